--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -73,7 +73,7 @@
 pub(crate) fn spawn(settings: Settings) -> Handle {
     let (inputs, queue) = mpsc::unbounded_channel();
     let (view, receiver) = watch::channel(View::default());
-    let pulse = Arc::new(Pulse::new(settings.clock, settings.members.pause));
+    let pulse = Arc::new(Pulse::new(settings.clock, settings.members.pause_threshold));
     let handle = Handle::new(inputs, receiver, pulse.clone());
     let controller = Controller::new(settings, handle.clone(), view, pulse);
     tokio::spawn(controller.run(queue));
@@ -239,7 +239,7 @@
             member::Event::Acked(probe, message) => {
                 member::Event::Acked(probe, self.received(message))
             }
-            member::Event::Heard(message) => member::Event::Heard(self.received(message)),
+            member::Event::Overheard(message) => member::Event::Overheard(self.received(message)),
             event => event,
         };
         self.member(event, None);
@@ -292,7 +292,7 @@
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
         let _ = self.news.send(News { entry, own: true });
-        self.member(member::Event::Hurry, None);
+        self.member(member::Event::Burst, None);
     }
 
     fn member(&mut self, event: member::Event, reply: Option<probe::Reply>) {
@@ -417,7 +417,7 @@
         };
         self.metrics.control.set_revision(version.revision);
         self.in_force = Some((read, configuration));
-        self.member(member::Event::Hurry, None);
+        self.member(member::Event::Burst, None);
     }
 
     fn sections(&self, least: Version) -> Option<(Version, Arc<[Section]>)> {
--- a/crates/daemon/src/control/handle.rs
+++ b/crates/daemon/src/control/handle.rs
@@ -7,7 +7,9 @@
 use monsoonring_configuration::section::Section;
 use monsoonring_decision::configuration::{Event as ConfigurationEvent, Version};
 use monsoonring_decision::fact;
-use monsoonring_decision::member::{Change, Event as MemberEvent, MemberId, Message, Page, Span};
+use monsoonring_decision::member::{
+    BucketRange, Change, Event as MemberEvent, MemberId, Message, Page,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -19,7 +21,7 @@
     /// A message to a member is wanted, for a probe on behalf of another.
     Message(MemberId, oneshot::Sender<Message>),
     /// A peer wants a page of the table.
-    Page(Span, oneshot::Sender<Page>),
+    Page(BucketRange, oneshot::Sender<Page>),
     /// A peer wants a document that is not lesser than this version.
     Sections(Version, oneshot::Sender<Option<(Version, Arc<[Section]>)>>),
     /// The start number of a member is wanted.
@@ -105,7 +107,7 @@
     }
 
     /// Returns a page of the member table.
-    pub(crate) async fn page(&self, span: Span) -> Option<Page> {
+    pub(crate) async fn page(&self, span: BucketRange) -> Option<Page> {
         self.ask(|sender| Input::Page(span, sender)).await
     }
 
--- a/crates/daemon/src/control/probe.rs
+++ b/crates/daemon/src/control/probe.rs
@@ -11,7 +11,7 @@
 use monsoonring_configuration::section::Section;
 use monsoonring_configuration::section::transfer::Base;
 use monsoonring_decision::configuration::{self, Version};
-use monsoonring_decision::member::{self, MemberId, Message, ProbeId, Span};
+use monsoonring_decision::member::{self, BucketRange, MemberId, Message, ProbeId};
 use monsoonring_wire::message::Sections;
 use slog::{Logger, warn};
 use std::collections::BTreeSet;
@@ -115,7 +115,7 @@
         self.handle.tell(Input::Member(event));
     }
 
-    pub(super) fn pull(&self, from: MemberId, span: Span) {
+    pub(super) fn pull(&self, from: MemberId, span: BucketRange) {
         let driver = self.clone();
         tokio::spawn(async move {
             let page = timeout(FETCH_TIMEOUT, driver.page(from, span))
@@ -130,7 +130,7 @@
         });
     }
 
-    async fn page(&self, from: MemberId, span: Span) -> Option<member::Page> {
+    async fn page(&self, from: MemberId, span: BucketRange) -> Option<member::Page> {
         let client = self.peers.client(from).await.ok()?;
         client.page(context(FETCH_TIMEOUT), span).await.ok()?
     }
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -23,7 +23,7 @@
 use monsoonring_decision::gateway::source::Readers;
 use monsoonring_decision::gateway::{Registry, Shards, Table, registry, shards};
 use monsoonring_decision::home::Event;
-use monsoonring_decision::placement::{Division, Part};
+use monsoonring_decision::placement::{Allocation, Division};
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::{Fingerprint, Time};
 use slog::{Logger, info, warn};
@@ -392,7 +392,7 @@
             codec: (settings.codec)(instances.clone()),
             side: Side::None,
             route: route.clone(),
-            part: Part {
+            part: Allocation {
                 division: self.division(set, table),
                 far,
             },
--- a/crates/daemon/src/node/hop.rs
+++ b/crates/daemon/src/node/hop.rs
@@ -1,7 +1,7 @@
 //! The one hop from the daemon that took a request to a home.
 
 use monsoonring_decision::member::MemberId;
-use monsoonring_decision::placement::Standing;
+use monsoonring_decision::placement::HomeLoad;
 use monsoonring_wire::peer::GRACE;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -41,12 +41,12 @@
     }
 
     /// Returns what placement needs to know of a member.
-    pub(super) fn standing(&self, id: MemberId, near: bool, suspected: bool) -> Standing {
+    pub(super) fn standing(&self, id: MemberId, near: bool, suspected: bool) -> HomeLoad {
         let seen = self.lock().get(&id).copied().unwrap_or_default();
         let silent = seen
             .silent_since
             .is_some_and(|since| since.elapsed() < AVOID);
-        Standing {
+        HomeLoad {
             id,
             near,
             suspect: suspected || silent,
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -9,7 +9,7 @@
 use monsoonring_decision::home::event;
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::outcome::{Outcome, Reason};
-use monsoonring_decision::placement::{self, Standing};
+use monsoonring_decision::placement::{self, HomeLoad};
 use monsoonring_wire::message::{Declined, Request};
 use std::pin::pin;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 }
 
 /// Says what told for a home.
-fn why(standing: &Standing, homes: usize) -> String {
+fn why(standing: &HomeLoad, homes: usize) -> String {
     let place = if standing.near { "near" } else { "far" };
     let doubt = if standing.suspect { ", suspect" } else { "" };
     let outstanding = standing.outstanding;
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -8,7 +8,7 @@
 use monsoonring_decision::fact;
 use monsoonring_decision::idempotency::lookup::{Answer, Question};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt, Refusal};
-use monsoonring_decision::member::{MemberId, Message, Page, Span};
+use monsoonring_decision::member::{BucketRange, MemberId, Message, Page};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_wire::channel::Endpoint;
 use monsoonring_wire::message::{Declined, Request, Sections, Send, Sent};
@@ -97,7 +97,7 @@
         self.0.probe(target, message, PROBE_TIMEOUT).await
     }
 
-    async fn page(self, _: Context, span: Span) -> Option<Page> {
+    async fn page(self, _: Context, span: BucketRange) -> Option<Page> {
         self.control().page(span).await
     }
 
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -1,5 +1,5 @@
 use super::Pool;
-use monsoonring_decision::member::Span;
+use monsoonring_decision::member::BucketRange;
 use monsoonring_wire::channel::Endpoint;
 use monsoonring_wire::key::Ring;
 use monsoonring_wire::meter::Meter;
@@ -27,7 +27,7 @@
     let pool = Pool::new(endpoint);
     let client = pool.client(peer).await.expect("it listens");
     drop(listener.accept().await);
-    let span = Span { first: 0, last: 0 };
+    let span = BucketRange { first: 0, last: 0 };
     let failed = client.page(tarpc::context::current(), span).await;
     assert!(failed.is_err(), "the stream has ended");
     let opening = async { tokio::join!(pool.client(peer), listener.accept()) };
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -15,7 +15,7 @@
 use monsoonring_decision::home::action::{Decision, Send};
 use monsoonring_decision::home::{Action, Alarm, Event, Home};
 use monsoonring_decision::outcome::Outcome;
-use monsoonring_decision::placement::Part;
+use monsoonring_decision::placement::Allocation;
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::{Fingerprint, RequestId};
 use slog::Logger;
@@ -46,7 +46,7 @@
     pub(crate) codec: K,
     pub(crate) side: Side,
     pub(crate) route: Arc<Route>,
-    pub(crate) part: Part,
+    pub(crate) part: Allocation,
     pub(crate) policy: Policy,
     pub(crate) seed: u64,
     pub(crate) clock: Clock,
--- a/crates/daemon/tests/hostile.rs
+++ b/crates/daemon/tests/hostile.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures::SinkExt;
-use monsoonring_decision::member::Span;
+use monsoonring_decision::member::BucketRange;
 use monsoonring_wire::peer::{Line, connect, framed};
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 }
 
 async fn is_served(line: &Line) -> bool {
-    let span = Span { first: 0, last: 0 };
+    let span = BucketRange { first: 0, last: 0 };
     let page = line.client().page(tarpc::context::current(), span);
     within(page).await.is_ok_and(|page| page.is_some())
 }
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -8,7 +8,7 @@
 use monsoonring_decision::idempotency::lookup::{Answer, Question};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt, Refusal};
 use monsoonring_decision::member::{
-    Attachment, Digest, Incarnation, MemberId, Message, Page, Span,
+    Attachment, BucketRange, Digest, Incarnation, MemberId, Message, Page,
 };
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_wire::channel::Endpoint;
@@ -130,7 +130,7 @@
         None
     }
 
-    async fn page(self, _: Context, _: Span) -> Option<Page> {
+    async fn page(self, _: Context, _: BucketRange) -> Option<Page> {
         None
     }
 
--- a/crates/decision/src/admission/mod.rs
+++ b/crates/decision/src/admission/mod.rs
@@ -10,19 +10,19 @@
 //! the deadline has to pay for. A caller that was refused comes back when it is told to.
 
 mod limit;
+pub mod overload;
 mod pace;
 mod rank;
-pub mod shortage;
 
 use crate::backend::{self, Room};
 use crate::outcome::Reason;
 use crate::{Time, Work};
 use limit::Limit;
 use monsoonring_configuration::document::{Class, Route};
+pub use overload::Overload;
 use pace::Pace;
 use rank::Ranks;
 pub use rank::{Rank, Urgency};
-pub use shortage::Shortage;
 use std::time::Duration;
 
 /// Share of the route's deadline within which requests are to be answered. The rest is for what
@@ -39,7 +39,7 @@
 
 /// A request whose rank is known, as admission sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ranked {
+pub struct RankedRequest {
     /// What it asks of the backend servers; requests that ask for the same are of one kind.
     pub work: Work,
     /// How urgent it is.
@@ -56,9 +56,9 @@
     /// At the backend servers, by what these report.
     pub at_servers: backend::Waits,
     /// Here and at the backend servers, for requests that keep out of the servers' queues.
-    pub in_all: backend::Waits,
+    pub total: backend::Waits,
     /// Whether most backend servers have reported their load recently.
-    pub are_reported: bool,
+    pub has_load_reports: bool,
 }
 
 /// What is done with a new request.
@@ -116,7 +116,7 @@
     pub fn admit_ranked(
         &mut self,
         class: Class,
-        ranked: Option<&Ranked>,
+        ranked: Option<&RankedRequest>,
         deadline: Time,
         room: &Room,
         now: Time,
@@ -136,7 +136,7 @@
         let in_time = room.wait + room.work < remaining;
         let allowed = self.allowed(class, ranked, now);
         // Reports of all hosts' load replace the limit, which is learned from this host's requests alone.
-        let is_reported = ranked.is_some_and(|ranked| ranked.waits.are_reported);
+        let is_reported = ranked.is_some_and(|ranked| ranked.waits.has_load_reports);
         let fits = is_reported || self.in_flight as f64 + 1.0 <= allowed;
         if in_time && fits && self.is_in_budget(ranked, now) {
             self.in_flight += 1;
@@ -151,7 +151,7 @@
     }
 
     /// Describes which delay budget a request exceeds, for the log.
-    pub fn describe(&self, ranked: &Ranked, now: Time) -> String {
+    pub fn describe(&self, ranked: &RankedRequest, now: Time) -> String {
         match self.ranks.excess(ranked, now) {
             Some(excess) => format!("rank={} {excess}", ranked.urgency.rank),
             None => format!("rank={}", ranked.urgency.rank),
@@ -165,7 +165,7 @@
 
     /// Tells whether a request exceeds no delay budget. With nothing in flight one is let in all the same: its answers tell the servers'
     /// load.
-    fn is_in_budget(&self, ranked: Option<&Ranked>, now: Time) -> bool {
+    fn is_in_budget(&self, ranked: Option<&RankedRequest>, now: Time) -> bool {
         let Some(ranked) = ranked else {
             return true;
         };
@@ -201,7 +201,7 @@
 
     /// Returns how many requests may be in flight for one of `class` to be admitted. At least one:
     /// with nothing in flight there is room for anybody.
-    fn allowed(&self, class: Class, ranked: Option<&Ranked>, now: Time) -> f64 {
+    fn allowed(&self, class: Class, ranked: Option<&RankedRequest>, now: Time) -> f64 {
         let of_class = match class {
             Class::Urgent => URGENT_SHARE,
             Class::Normal => NORMAL_SHARE,
--- a/crates/decision/src/admission/shortage.rs
+++ b/crates/decision/src/admission/overload.rs
@@ -25,13 +25,13 @@
 
 /// Tracks whether requests are being refused for overload.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shortage {
+pub struct Overload {
     began: Option<Time>,
     last: Time,
     refused: u64,
 }
 
-impl Shortage {
+impl Overload {
     /// Records that a request was refused for overload.
     pub fn refused(&mut self, now: Time) -> Option<Change> {
         self.last = now;
--- a/crates/decision/src/admission/rank.rs
+++ b/crates/decision/src/admission/rank.rs
@@ -7,7 +7,7 @@
 //!
 //! Starvation is prevented: a kind that is answered far less often than all together has only its own budget to keep.
 
-use super::{Ranked, Waits};
+use super::{RankedRequest, Waits};
 use crate::backend::Wait;
 use crate::{Time, Work};
 use derive_more::Display;
@@ -109,7 +109,7 @@
 
 impl Ranks {
     /// Records that a request is asked for.
-    pub(super) fn asked(&mut self, ranked: &Ranked, now: Time) {
+    pub(super) fn asked(&mut self, ranked: &RankedRequest, now: Time) {
         self.make_room(ranked.work);
         let Urgency { rank, objective } = ranked.urgency;
         let kind = self.kinds.entry(ranked.work).or_default();
@@ -132,7 +132,7 @@
     }
 
     /// Returns the first delay budget that is exceeded for a request, more urgent kinds' first.
-    pub(super) fn excess(&self, ranked: &Ranked, now: Time) -> Option<Excess> {
+    pub(super) fn excess(&self, ranked: &RankedRequest, now: Time) -> Option<Excess> {
         let Urgency { rank, objective } = ranked.urgency;
         let own = Excess {
             rank,
@@ -199,7 +199,7 @@
         now: Time,
     ) -> Wait {
         match self.yields(work, objective, now) {
-            true => waits.in_all.without(dispensable),
+            true => waits.total.without(dispensable),
             false => waits.at_servers.without(dispensable),
         }
     }
--- a/crates/decision/src/backend/events.rs
+++ b/crates/decision/src/backend/events.rs
@@ -416,7 +416,7 @@
         let believed = state.trust.weight(usual.work.div_f64(usual.slots));
         // Homes get alike shares of the requests: where nothing better is known, each of the others
         // has as much there as this one.
-        let alike = state.own() * (self.division.alike() - 1.0).max(0.0);
+        let alike = state.own() * (self.division.similar_homes() - 1.0).max(0.0);
         let reported = state.trust.mean() * believed + choice::others(state, usual, now);
         (state.own() + reported + (1.0 - believed) * alike).max(state.own())
     }
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -205,7 +205,7 @@
         let is_far = self.servers.get(&server).is_none_or(|state| state.far);
         match is_far {
             true => 0,
-            false => self.division.cold(cold.bears, server),
+            false => self.division.cold_quota(cold.bears, server),
         }
     }
 
--- a/crates/decision/src/backend/pool/line.rs
+++ b/crates/decision/src/backend/pool/line.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, State};
 use crate::Time;
 use crate::attempt::ConnectionId;
-use crate::placement::HELD_AT_MOST;
+use crate::placement::MAX_IDLE_TIME;
 use std::time::Duration;
 
 /// Connections to one server that are being opened at the same time. After a restart of the server
@@ -75,7 +75,7 @@
             peak: 0,
             misses: 0,
             shrunk: now,
-            held_for: HELD_AT_MOST,
+            held_for: MAX_IDLE_TIME,
             failures: 0,
             paused: None,
         }
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -41,8 +41,8 @@
     Share {
         most: division.connections(capacity.connections),
         spare: division.spare,
-        floor: division.floor,
-        held_for: division.held_for(capacity.connections),
+        floor: division.min_idle,
+        held_for: division.idle_time(capacity.connections),
     }
 }
 
@@ -383,8 +383,8 @@
     /// nearby. Where every host kept one at every server, 89 hosts asked for more than the 76 that a
     /// server takes, and it ended 203,276 connections in a calm minute.
     fn share_of(&self, server: BackendServerId) -> Share {
-        let kept = self.division.kept(self.capacity.connections);
-        let is_drawn = kept >= 1.0 || placement::lot(self.identity, server) < kept;
+        let kept = self.division.idle_share(self.capacity.connections);
+        let is_drawn = kept >= 1.0 || placement::uniform_hash(self.identity, server) < kept;
         let is_kept = is_drawn && !self.far.contains(&server);
         Share {
             floor: if is_kept { self.share.floor } else { 0 },
--- a/crates/decision/src/budget/mod.rs
+++ b/crates/decision/src/budget/mod.rs
@@ -104,7 +104,7 @@
     /// Takes one extra attempt that can wait: it leaves what was put aside. Those that can't wait
     /// would otherwise find the budget spent whenever the ordinary ones use it up, as a hedge at the
     /// 95th percentile does with a budget of five per cent.
-    pub fn take_spare(&mut self, now: Time) -> bool {
+    pub fn take_deferrable(&mut self, now: Time) -> bool {
         let spare = self.tokens - self.reserve >= 1.0;
         spare && self.take(now)
     }
@@ -146,19 +146,19 @@
 
 /// What rests on a further attempt after a failed one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Importance {
     /// The answer is one without it, only not a whole one.
-    Spare,
+    Optional,
     /// There is no answer without it, and as many retries were made for the same request before.
-    Decisive(u32),
+    Required(u32),
 }
 
-impl Need {
+impl Importance {
     /// Returns the share of what is allowed that it may use.
     fn share(self) -> f64 {
         match self {
-            Self::Spare => SPARE_SHARE,
-            Self::Decisive(before) => {
+            Self::Optional => SPARE_SHARE,
+            Self::Required(before) => {
                 let beyond = before.saturating_sub(FEW_RETRIES);
                 (1.0 - SCARCER * f64::from(beyond)).max(LEAST_SHARE)
             }
@@ -213,18 +213,18 @@
     }
 
     /// Takes a further attempt after a failed one. Returns whether there was one.
-    pub fn take_retry(&mut self, need: Need, now: Time) -> bool {
+    pub fn take_retry(&mut self, importance: Importance, now: Time) -> bool {
         match self {
             Self::Buckets { retries, .. } => retries.take(now),
-            Self::Window(window) => window.take_of(need.share(), now),
+            Self::Window(window) => window.take_of(importance.share(), now),
         }
     }
 
     /// Tells whether there is a further attempt for such a need.
-    pub fn has_retry(&mut self, need: Need, now: Time) -> bool {
+    pub fn has_retry(&mut self, importance: Importance, now: Time) -> bool {
         match self {
             Self::Buckets { retries, .. } => retries.available() >= 1.0,
-            Self::Window(window) => window.has_of(need.share(), now),
+            Self::Window(window) => window.has_of(importance.share(), now),
         }
     }
 
@@ -240,13 +240,13 @@
     /// Takes a hedge that can wait. Returns whether there was one.
     pub fn take_hedge(&mut self, now: Time) -> bool {
         match self {
-            Self::Buckets { hedges, .. } => hedges.take_spare(now),
-            Self::Window(window) => window.take_spare(now),
+            Self::Buckets { hedges, .. } => hedges.take_deferrable(now),
+            Self::Window(window) => window.take_deferrable(now),
         }
     }
 
     /// Takes a hedge that can't wait. Returns whether there was one.
-    pub fn take_late_hedge(&mut self, now: Time) -> bool {
+    pub fn take_required_hedge(&mut self, now: Time) -> bool {
         match self {
             Self::Buckets { hedges, .. } => hedges.take(now),
             Self::Window(window) => window.take(now),
@@ -301,24 +301,24 @@
 /// would not do: one slow group out of ten would be sent what all ten have earned, as many extra
 /// attempts as it has first ones.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct RouteBudgets {
     budgets: Vec<Budgets>,
     slack: Option<f64>,
     /// Time over which extra attempts are bounded.
     window: Duration,
 }
 
-impl Purse {
+impl RouteBudgets {
     /// Makes the budgets of a route for a home that takes its part of the `division`: a window for
     /// each group where extra attempts are bounded, common budgets otherwise.
     pub fn new(route: &Route, division: &Division) -> Self {
-        let mut purse = Self {
+        let mut budgets = Self {
             budgets: Vec::new(),
             slack: division.slack(),
             window: division.window(),
         };
-        purse.reconfigure(route);
-        purse
+        budgets.reconfigure(route);
+        budgets
     }
 
     /// Takes over another slack, where the extra attempts are bounded. Those that were made count on.
@@ -359,7 +359,7 @@
     /// # Panics
     ///
     /// Never: there is always one at least.
-    pub fn of(&mut self, group: usize) -> &mut Budgets {
+    pub fn for_group(&mut self, group: usize) -> &mut Budgets {
         let last = self.budgets.len() - 1;
         &mut self.budgets[group.min(last)]
     }
--- a/crates/decision/src/budget/window.rs
+++ b/crates/decision/src/budget/window.rs
@@ -74,7 +74,7 @@
     }
 
     /// Takes an extra attempt that can wait. Returns whether there was one.
-    pub fn take_spare(&mut self, now: Time) -> bool {
+    pub fn take_deferrable(&mut self, now: Time) -> bool {
         self.take_of(HEDGE_SHARE, now)
     }
 
--- a/crates/decision/src/configuration/event.rs
+++ b/crates/decision/src/configuration/event.rs
@@ -78,12 +78,12 @@
     /// Put the document just fed in force, and hurry the members so that the news spreads.
     Adopt(Version, Source),
     /// Write a line to the log.
-    Log(Line),
+    Log(LogLine),
 }
 
 /// A decision about the configuration, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct LogLine {
     /// What was decided: `adopted`, `conflict`, `rejected`, `stale`, …
     pub what: &'static str,
     /// The version decided on.
--- a/crates/decision/src/configuration/holder.rs
+++ b/crates/decision/src/configuration/holder.rs
@@ -1,7 +1,7 @@
 //! The version in force at one daemon, and how it gets a newer one.
 
 use super::contact::Record;
-use super::{Action, Event, Line, Source, Version};
+use super::{Action, Event, LogLine, Source, Version};
 use crate::Time;
 use crate::member::MemberId;
 use monsoonring_configuration::id::Revision;
@@ -340,7 +340,7 @@
 }
 
 fn log(what: &'static str, version: Version, why: String) -> Action {
-    Action::Log(Line { what, version, why })
+    Action::Log(LogLine { what, version, why })
 }
 
 /// Adds an item, dropping the least if there are many. Returns whether it was new.
--- a/crates/decision/src/configuration/mod.rs
+++ b/crates/decision/src/configuration/mod.rs
@@ -11,7 +11,7 @@
 mod reader;
 
 pub use contact::Contact;
-pub use event::{Action, Event, Line, Source, Version};
+pub use event::{Action, Event, LogLine, Source, Version};
 pub use holder::Holder;
 pub use reader::{READERS_PER_DATA_CENTRE, is_reader, outranks};
 
--- a/crates/decision/src/fact/mod.rs
+++ b/crates/decision/src/fact/mod.rs
@@ -12,4 +12,4 @@
 mod table;
 
 pub use entry::{Entry, Key, Stamp};
-pub use table::{CAPACITY, GUARD, MAX_LIFE, Table};
+pub use table::{CAPACITY, MAX_LIFE, TOMBSTONE_LIFE, Table};
--- a/crates/decision/src/fact/table.rs
+++ b/crates/decision/src/fact/table.rs
@@ -15,7 +15,7 @@
 pub const MAX_LIFE: Duration = Duration::from_secs(30 * 60);
 
 /// Time for which an expired fact is remembered, so that a late message can't bring it back.
-pub const GUARD: Duration = Duration::from_secs(10 * 60);
+pub const TOMBSTONE_LIFE: Duration = Duration::from_secs(10 * 60);
 
 /// Bytes of a message used to repeat facts already passed on, for members that missed them.
 const REPEAT_BYTES: usize = 128;
@@ -172,7 +172,7 @@
         let held = Held {
             stamp: entry.stamp,
             until,
-            forgotten: until.saturating_add(GUARD),
+            forgotten: until.saturating_add(TOMBSTONE_LIFE),
         };
         self.forgets.insert((held.forgotten, entry.key.clone()));
         if let Some(old) = self.held.insert(entry.key.clone(), held.clone()) {
--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -19,8 +19,8 @@
 use super::source::Readers;
 use crate::fact;
 use crate::member::{
-    self, Action as TableAction, Change, Event as TableEvent, Line, MemberId, Message, Page,
-    ProbeId, Seed, Settings, Span,
+    self, Action as TableAction, BucketRange, Change, Event as TableEvent, LogLine, MemberId,
+    Message, Page, ProbeId, Seed, Settings,
 };
 use crate::placement::Homes;
 use crate::{Time, placement};
@@ -61,7 +61,7 @@
     /// A request that the receiver probe somebody in the sender's place.
     ProbeFor(ProbeId, MemberId),
     /// A request for a page of the table.
-    Pull(Span),
+    Pull(BucketRange),
     /// The page that was requested.
     Page(Page),
     /// Something found out just now.
@@ -112,7 +112,7 @@
     /// Who reads the store changed.
     Readers(Readers),
     /// Write a line to the log.
-    Log(Line),
+    Log(LogLine),
 }
 
 /// A probe in somebody's place.
@@ -322,7 +322,7 @@
                 self.asked.remove(&probe);
                 TableEvent::Acked(probe, message)
             }
-            false => TableEvent::Heard(message),
+            false => TableEvent::Overheard(message),
         };
         self.table(event, now);
     }
--- a/crates/decision/src/home/execute.rs
+++ b/crates/decision/src/home/execute.rs
@@ -9,7 +9,7 @@
 use super::state::Home;
 use crate::attempt::Failure;
 use crate::backend::Repeat;
-use crate::budget::Need;
+use crate::budget::Importance;
 use crate::content::Content;
 use crate::outcome::{Outcome, Reason};
 use crate::query::attempt::Ended;
@@ -46,7 +46,9 @@
             return;
         }
         match self.pick_for_execution(&execution, now) {
-            Some((server, why)) if self.afford(EXECUTE_GROUP, cause, Need::Decisive(0), now) => {
+            Some((server, why))
+                if self.afford(EXECUTE_GROUP, cause, Importance::Required(0), now) =>
+            {
                 self.log(Some(execution.request.id), "execute", Some(server), why);
                 self.queue_execution(execution, server, now);
             }
--- a/crates/decision/src/home/rescue.rs
+++ b/crates/decision/src/home/rescue.rs
@@ -10,7 +10,7 @@
 
 use super::state::Home;
 use super::timer::Timer;
-use crate::budget::Need;
+use crate::budget::Importance;
 use crate::content::Content;
 use crate::query::run::{Cause, PartId, Run};
 use crate::{RequestId, Time};
@@ -35,7 +35,7 @@
         let Some(part) = run.parts.get_mut(&id) else {
             return false;
         };
-        if !self.budgets.of(part.group).is_scarce(now) {
+        if !self.budgets.for_group(part.group).is_scarce(now) {
             return false;
         }
         if run.deferred.is_empty() {
@@ -82,17 +82,17 @@
 
     /// Returns what rests on further attempts for as many parts: how many of them are beyond those
     /// that the answer can do without.
-    fn need_of_all(&self, run: &Run<C>, parts: usize) -> Need {
+    fn need_of_all(&self, run: &Run<C>, parts: usize) -> Importance {
         let dispensable = self.dispensable(&run.request);
         let lost = run.parts.values().filter(|part| part.given_up.is_some());
         match (parts + lost.count()).saturating_sub(dispensable) {
-            0 => Need::Spare,
-            needed => Need::Decisive(u32::try_from(needed - 1).unwrap_or(u32::MAX)),
+            0 => Importance::Optional,
+            needed => Importance::Required(u32::try_from(needed - 1).unwrap_or(u32::MAX)),
         }
     }
 
-    fn has_budget(&mut self, run: &Run<C>, id: PartId, need: Need, now: Time) -> bool {
+    fn has_budget(&mut self, run: &Run<C>, id: PartId, need: Importance, now: Time) -> bool {
         let group = run.parts.get(&id).map(|part| part.group);
-        group.is_some_and(|group| self.budgets.of(group).has_retry(need, now))
+        group.is_some_and(|group| self.budgets.for_group(group).has_retry(need, now))
     }
 }
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -7,7 +7,7 @@
 use super::timer::Timer;
 use crate::attempt::AttemptId;
 use crate::backend::suspect::Standing;
-use crate::budget::Need;
+use crate::budget::Importance;
 use crate::content::Content;
 use crate::outcome::{Outcome, Reason};
 use crate::query::run::{Cause, Part, PartId, Run};
@@ -151,13 +151,13 @@
     }
 
     /// Returns what rests on another attempt for a part.
-    fn need(&self, run: &Run<C>, id: PartId, cause: Cause) -> Need {
+    fn need(&self, run: &Run<C>, id: PartId, cause: Cause) -> Importance {
         let least = self.terms(&run.request).least_coverage;
         let is_retry = matches!(cause, Cause::Retry | Cause::Overdue);
         if !is_retry || least <= 0.0 || run.reachable(&self.route, Some(id)) < least {
-            return Need::Decisive(run.retries);
+            return Importance::Required(run.retries);
         }
-        Need::Spare
+        Importance::Optional
     }
 
     /// Returns the version at which a run begins again: once, if its own has vanished and there is
@@ -225,7 +225,7 @@
         run: &mut Run<C>,
         id: PartId,
         cause: Cause,
-        need: Need,
+        need: Importance,
         now: Time,
     ) {
         let terms = self.terms(&run.request);
@@ -287,8 +287,14 @@
     }
 
     /// Takes what an attempt costs out of the budgets. Returns whether it may be made.
-    pub(super) fn afford(&mut self, group: usize, cause: Cause, need: Need, now: Time) -> bool {
-        let budgets = self.budgets.of(group);
+    pub(super) fn afford(
+        &mut self,
+        group: usize,
+        cause: Cause,
+        need: Importance,
+        now: Time,
+    ) -> bool {
+        let budgets = self.budgets.for_group(group);
         match cause {
             Cause::First => {
                 budgets.deposit(now);
@@ -306,7 +312,7 @@
                 may
             }
             Cause::LateHedge => {
-                let may = budgets.take_late_hedge(now);
+                let may = budgets.take_required_hedge(now);
                 self.counts.hedges_denied += u64::from(!may);
                 may
             }
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -8,16 +8,16 @@
 use super::placement::Placement;
 use super::terms::Terms;
 use super::timer::{self, Timer};
-use crate::admission::shortage;
-use crate::admission::{Admission, Gate, Ranked, Shortage, Waits};
+use crate::admission::overload;
+use crate::admission::{Admission, Gate, Overload, RankedRequest, Waits};
 use crate::attempt::AttemptId;
 use crate::backend::pool::Pool;
 use crate::backend::suspect::{Standing, Table};
 use crate::backend::{Fleet, Room, Wait};
-use crate::budget::{Budgets, Purse};
+use crate::budget::{Budgets, RouteBudgets};
 use crate::content::{Content, Json};
 use crate::outcome::{Outcome, Reason};
-use crate::placement::Part;
+use crate::placement::Allocation;
 use crate::policy::Policy;
 use crate::query::attempt::Unrun;
 use crate::query::coverage;
@@ -48,9 +48,9 @@
     pub(super) fleet: Fleet,
     pub(super) pool: Pool,
     pub(super) gate: Gate,
-    pub(super) shortage: Shortage,
+    pub(super) shortage: Overload,
     pub(super) suspects: Table,
-    pub(super) budgets: Purse,
+    pub(super) budgets: RouteBudgets,
     pub(super) pin: Pin,
     pub(super) placement: Placement,
     pub(super) runs: BTreeMap<RequestId, Run<C>>,
@@ -89,7 +89,7 @@
     /// `seed` decides every random choice.
     pub fn new(
         route: Arc<Route>,
-        part: impl Into<Part>,
+        part: impl Into<Allocation>,
         seed: u64,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
@@ -99,21 +99,21 @@
     /// Makes the home of a route, as [`Self::new`] does, with some decisions replaced.
     pub fn with_policy(
         route: Arc<Route>,
-        part: impl Into<Part>,
+        part: impl Into<Allocation>,
         seed: u64,
         policy: Policy,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
-        let Part { division, far } = part.into();
+        let Allocation { division, far } = part.into();
         let mut home = Self {
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
             fleet: Fleet::new(&route, division, now),
             pool: Pool::new(&route, division, FIRST_CONNECTION, now),
             gate: Gate::new(&route),
-            shortage: Shortage::default(),
+            shortage: Overload::default(),
             suspects: Table::with_proof(policy.proof),
-            budgets: Purse::new(&route, &division),
+            budgets: RouteBudgets::new(&route, &division),
             pin: Pin::default(),
             placement: Placement::new(&route),
             runs: BTreeMap::new(),
@@ -282,7 +282,7 @@
     /// Returns the budgets of the first group that a server is in, if it is still in one.
     pub(super) fn budgets_of(&mut self, server: BackendServerId) -> Option<&mut Budgets> {
         let group = self.placement.groups(server).first()?;
-        Some(self.budgets.of(*group))
+        Some(self.budgets.for_group(*group))
     }
 
     /// Returns why a new request is not taken on. Admission comes last, as it counts those that it
@@ -313,7 +313,7 @@
         }
     }
 
-    fn log_shortage(&mut self, change: Option<shortage::Change>) {
+    fn log_shortage(&mut self, change: Option<overload::Change>) {
         if let Some(change) = change {
             self.log(None, "overload", None, change.to_string());
         }
@@ -344,9 +344,9 @@
     }
 
     /// Returns what admission has to know of a request whose rank is known.
-    fn ranked(&self, request: &Request<C>, now: Time) -> Option<Ranked> {
+    fn ranked(&self, request: &Request<C>, now: Time) -> Option<RankedRequest> {
         let terms = self.terms(request);
-        Some(Ranked {
+        Some(RankedRequest {
             work: terms.work,
             urgency: terms.urgency?,
             dispensable: self.dispensable(request),
@@ -361,7 +361,7 @@
             self.fleet.time_for(group, waiting)
         };
         Waits {
-            in_all: at_servers
+            total: at_servers
                 .iter()
                 .map(|wait| Wait {
                     time: wait.time + here(wait.group),
@@ -369,7 +369,7 @@
                 })
                 .collect(),
             at_servers: at_servers.into_iter().collect(),
-            are_reported: self.fleet.is_reported(now),
+            has_load_reports: self.fleet.is_reported(now),
         }
     }
 
--- a/crates/decision/src/member/detector.rs
+++ b/crates/decision/src/member/detector.rs
@@ -215,7 +215,7 @@
     /// make the whole fleet refute at once. Nothing heard at all points at itself: it draws its own
     /// conclusions and keeps them to itself.
     fn doubts_itself(&self, now: Time) -> bool {
-        now.saturating_sub(self.last_heard) >= self.settings.doubt
+        now.saturating_sub(self.last_heard) >= self.settings.silence_limit
     }
 
     /// Time that a suspect has. News of it and its refutation take a number of periods that grows
--- a/crates/decision/src/member/event.rs
+++ b/crates/decision/src/member/event.rs
@@ -49,7 +49,7 @@
 
 /// The buckets from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Span {
+pub struct BucketRange {
     /// First bucket.
     pub first: u8,
     /// Last bucket.
@@ -62,7 +62,7 @@
     /// All sayings about members of the buckets.
     pub changes: Vec<Change>,
     /// What is still missing of the span asked for; `None` if nothing is.
-    pub rest: Option<Span>,
+    pub rest: Option<BucketRange>,
 }
 
 /// A daemon's host in the platform's list.
@@ -86,7 +86,7 @@
     /// A probe failed or was not answered in time, directly or by any helper.
     Failed(ProbeId),
     /// A member's message was heard otherwise, for example while probing for somebody else.
-    Heard(Message),
+    Overheard(Message),
     /// The list of hosts was read.
     Listed(Vec<Seed>),
     /// A page asked for arrived.
@@ -94,7 +94,7 @@
     /// A page asked for did not arrive.
     PullFailed(MemberId),
     /// Something new should spread at once: probe a few members now.
-    Hurry,
+    Burst,
     /// This member stops gracefully.
     Leave {
         /// The member that takes over its records, if any.
@@ -131,7 +131,7 @@
     /// Answer the probe just fed.
     Reply(Message),
     /// Ask a member for its `Table::page` of a span; answered by `Pulled` or `PullFailed`.
-    Pull(MemberId, Span),
+    Pull(MemberId, BucketRange),
     /// A member's state changed in a way that matters for placement.
     Changed(MemberId, State),
     /// The process was paused for this long: no new work until `Table::is_current` is true again.
@@ -139,12 +139,12 @@
     /// The list says that this host is leaving: stop gracefully.
     Leaving,
     /// Write a line to the log.
-    Log(Line),
+    Log(LogLine),
 }
 
 /// A decision about a member, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct LogLine {
     /// What was decided: `suspect`, `dead`, `alive`, `left`, `refute`, `paused`, `isolated`, …
     pub what: &'static str,
     /// The member concerned.
--- a/crates/decision/src/member/exchange.rs
+++ b/crates/decision/src/member/exchange.rs
@@ -1,6 +1,6 @@
 //! What members tell each other, and how a table takes it in.
 
-use super::event::{Action, Digest, Message, Page, Span};
+use super::event::{Action, BucketRange, Digest, Message, Page};
 use super::record::ADDRESS_BYTES;
 use super::roster::BUCKETS;
 use super::settings::retransmits;
@@ -38,7 +38,7 @@
     }
 
     /// Returns as many whole buckets of the span as fit into a page, and one at least.
-    pub fn page(&self, span: Span) -> Page {
+    pub fn page(&self, span: BucketRange) -> Page {
         let (mut changes, mut bytes) = (Vec::new(), 0);
         let last = span.last.min(BUCKETS - 1);
         for bucket in span.first..=last {
@@ -46,7 +46,7 @@
             bytes += more.iter().map(Change::size).sum::<usize>();
             if bucket > span.first && bytes > self.settings.page_bytes {
                 let first = bucket;
-                let rest = Some(Span { first, last });
+                let rest = Some(BucketRange { first, last });
                 return Page { changes, rest };
             }
             changes.extend(more);
@@ -216,7 +216,8 @@
         self.due_repair = now + self.settings.period;
         self.repairing = Some(peer);
         let (first, last) = (digest.bucket, digest.bucket);
-        self.out.push(Action::Pull(peer, Span { first, last }));
+        self.out
+            .push(Action::Pull(peer, BucketRange { first, last }));
     }
 
     fn message_on(&mut self, to: MemberId, bucket: u8, corrections: Vec<Change>) -> Message {
@@ -287,7 +288,7 @@
         refuted.incarnation.refutation = theirs.refutation.saturating_add(1);
         let _ = self.roster.insert(refuted.clone(), now);
         self.broadcast.push(self.own);
-        self.hurry(now);
+        self.burst(now);
         self.log("refute", self.own, format!("was called {:?}", change.state));
         Some(refuted)
     }
--- a/crates/decision/src/member/mod.rs
+++ b/crates/decision/src/member/mod.rs
@@ -18,7 +18,9 @@
 pub mod settings;
 mod table;
 
-pub use event::{Action, Attachment, Digest, Event, Line, Message, Page, ProbeId, Seed, Span};
+pub use event::{
+    Action, Attachment, BucketRange, Digest, Event, LogLine, Message, Page, ProbeId, Seed,
+};
 pub use record::{Change, Incarnation, State};
 pub use settings::Settings;
 pub use table::Table;
--- a/crates/decision/src/member/settings.rs
+++ b/crates/decision/src/member/settings.rs
@@ -10,9 +10,9 @@
     /// Time after a start or a pause in which probes follow each other faster, and the time between two then.
     /// After a loss of power of all hosts nobody knows anybody, and each takes what it may beside the few hosts that
     /// it reckons with.
-    pub starting: Duration,
-    /// See `starting`.
-    pub starting_period: Duration,
+    pub startup: Duration,
+    /// See `startup`.
+    pub startup_period: Duration,
     /// Pages of another's table that are asked for one after the other when it is copied; the others come one
     /// a period, which bounds the bytes where the table is long.
     pub pages_at_once: u32,
@@ -27,17 +27,17 @@
     /// Time without flapping after which a member's earlier flaps are forgotten.
     pub flap_life: Duration,
     /// Gap between two ticks above which the process counts as having been paused.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
     /// Time without any peer's answer after which a starting or resumed member goes on alone.
-    pub patience: Duration,
+    pub refresh_timeout: Duration,
     /// Time without any answer after which failed probes are blamed on ourselves.
-    pub doubt: Duration,
+    pub silence_limit: Duration,
     /// Time between two probes of dead or unknown hosts that are still listed.
     pub revival_period: Duration,
     /// Shortest time between two bursts of extra probes.
-    pub hurry_period: Duration,
+    pub burst_period: Duration,
     /// Number of members probed in a burst.
-    pub hurry_fanout: usize,
+    pub burst_fanout: usize,
     /// Bound of the changes in one message, in bytes.
     pub message_bytes: usize,
     /// Bound of one page of the whole table, in bytes.
@@ -50,20 +50,20 @@
     fn default() -> Self {
         Self {
             period: Duration::from_secs(1),
-            starting: Duration::from_secs(3),
-            starting_period: Duration::from_millis(200),
+            startup: Duration::from_secs(3),
+            startup_period: Duration::from_millis(200),
             pages_at_once: 8,
             probe_timeout: Duration::from_millis(300),
             helpers: 3,
             suspicion: Duration::from_secs(3),
             tombstone_life: Duration::from_secs(24 * 60 * 60),
             flap_life: Duration::from_secs(10 * 60),
-            pause: Duration::from_secs(3),
-            patience: Duration::from_secs(10),
-            doubt: Duration::from_secs(2),
+            pause_threshold: Duration::from_secs(3),
+            refresh_timeout: Duration::from_secs(10),
+            silence_limit: Duration::from_secs(2),
             revival_period: Duration::from_secs(10),
-            hurry_period: Duration::from_millis(200),
-            hurry_fanout: 3,
+            burst_period: Duration::from_millis(200),
+            burst_fanout: 3,
             message_bytes: 1_000,
             page_bytes: 8 * 1_024,
             retransmit_factor: 3,
--- a/crates/decision/src/member/table.rs
+++ b/crates/decision/src/member/table.rs
@@ -1,7 +1,7 @@
 //! The members as one daemon sees them: entry points, and what happens as time passes.
 
 use super::detector::Pending;
-use super::event::{Action, Event, Line, ProbeId, Seed, Span};
+use super::event::{Action, BucketRange, Event, LogLine, ProbeId, Seed};
 use super::roster::{BUCKETS, Roster};
 use super::{Change, Incarnation, MemberId, Settings, State};
 use crate::broadcast::Broadcast;
@@ -43,7 +43,7 @@
     /// Members condemned while nothing at all was heard; nobody was told.
     pub(super) unspoken: BTreeSet<MemberId>,
     /// Copying of another's table, after a start or a pause.
-    pub(super) copying: Option<(MemberId, Span)>,
+    pub(super) copying: Option<(MemberId, BucketRange)>,
     /// Repair of one bucket that differs.
     pub(super) repairing: Option<MemberId>,
     /// Since when the table waits to be refreshed; `None` once it is current.
@@ -58,7 +58,7 @@
     last_tick: Option<Time>,
     due_probe: Time,
     due_revival: Time,
-    due_hurry: Time,
+    due_burst: Time,
     pub(super) due_repair: Time,
     pub(super) out: Vec<Action>,
 }
@@ -108,7 +108,7 @@
             last_tick: None,
             due_probe: now,
             due_revival: now,
-            due_hurry: now,
+            due_burst: now,
             due_repair: now,
             out: Vec::new(),
         }
@@ -124,11 +124,11 @@
                 self.heard(message, now);
             }
             Event::Failed(probe) => self.failed(probe, now),
-            Event::Heard(message) => self.heard(message, now),
+            Event::Overheard(message) => self.heard(message, now),
             Event::Listed(seeds) => self.list(&seeds),
             Event::Pulled(from, page) => self.pulled(from, page, now),
             Event::PullFailed(from) => self.pull_failed(from),
-            Event::Hurry => self.hurry(now),
+            Event::Burst => self.burst(now),
             Event::Leave { successor } => self.leave(successor, now),
         }
         std::mem::take(&mut self.out)
@@ -194,7 +194,7 @@
     fn tick(&mut self, now: Time) {
         let gap = now.saturating_sub(self.last_tick.unwrap_or(now));
         self.last_tick = Some(now);
-        if gap > self.settings.pause {
+        if gap > self.settings.pause_threshold {
             self.resume(gap, now);
         }
         self.give_up_probes(now);
@@ -219,8 +219,8 @@
     }
 
     fn period(&self, now: Time) -> Duration {
-        match now < self.began + self.settings.starting {
-            true => self.settings.starting_period,
+        match now < self.began + self.settings.startup {
+            true => self.settings.startup_period,
             false => self.settings.period,
         }
     }
@@ -252,7 +252,7 @@
         };
         let waited = now.saturating_sub(since);
         let unheard = self.last_heard <= since;
-        let patience = self.settings.patience;
+        let patience = self.settings.refresh_timeout;
         if (unheard && waited >= patience) || waited >= patience * PATIENCES {
             self.waiting = None;
             self.copying = None;
@@ -305,27 +305,27 @@
         let _ = self.roster.insert(Change { state, ..own }, now);
         self.broadcast.push(self.own);
         self.log("left", self.own, format!("successor {successor:?}"));
-        self.due_hurry = now;
-        self.hurry(now);
+        self.due_burst = now;
+        self.burst(now);
     }
 
-    /// Probes a few members now; at most once a `hurry_period`, so that bursts of news stay cheap.
-    pub(super) fn hurry(&mut self, now: Time) {
-        if now < self.due_hurry {
+    /// Probes a few members now; at most once a `burst_period`, so that bursts of news stay cheap.
+    pub(super) fn burst(&mut self, now: Time) {
+        if now < self.due_burst {
             return;
         }
-        self.due_hurry = now + self.settings.hurry_period;
-        for to in self.pick(self.settings.hurry_fanout, self.own) {
+        self.due_burst = now + self.settings.burst_period;
+        for to in self.pick(self.settings.burst_fanout, self.own) {
             self.probe(to, now);
         }
     }
 
     pub(super) fn log(&mut self, what: &'static str, member: MemberId, why: String) {
-        self.out.push(Action::Log(Line { what, member, why }));
+        self.out.push(Action::Log(LogLine { what, member, why }));
     }
 
-    pub(super) fn whole() -> Span {
-        Span {
+    pub(super) fn whole() -> BucketRange {
+        BucketRange {
             first: 0,
             last: BUCKETS - 1,
         }
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -20,14 +20,14 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Views of the members that may be acted on at the same time without exceeding the limit.
-pub const VIEWS: u32 = 2;
+pub const CONCURRENT_VIEWS: u32 = 2;
 
 /// Connections of a home to each backend server beside those for attempts: the one that reports are
 /// read and attempts are cancelled over, which must not wait behind an attempt.
-pub const CONTROL: u32 = 1;
+pub const CONTROL_CONNECTIONS: u32 = 1;
 
 /// Connections that a home keeps ready at each backend server beyond those lately in use at once.
-pub const SPARE: usize = 1;
+pub const SPARE_CONNECTIONS: usize = 1;
 
 /// Groups that one home is meant to drive before a route gets more homes.
 pub const GROUPS_PER_HOME: usize = 16;
@@ -36,7 +36,7 @@
 pub const MAX_HOMES: usize = 32;
 
 /// Outstanding queries by which a home in another data centre counts as busier than it is.
-pub const DISTANCE: u32 = 4;
+pub const REMOTE_PENALTY: u32 = 4;
 
 /// Hosts in a data centre that are reckoned with until more are known, where every host is a home. The
 /// users' deployments have one to three in each.
@@ -57,7 +57,7 @@
 /// Share of a server's connections that may be kept ready without need. After a loss of power of all
 /// homes a server counts those that they had until it finds them idle, and has to have room for as
 /// many again.
-const KEPT_SHARE: f64 = 0.45;
+const IDLE_SHARE: f64 = 0.45;
 
 /// Share of a server's connections, and of the extra attempts beyond the ratio, for the homes that fan out
 /// for others; the rest is for those that do so when none of them answers.
@@ -68,7 +68,7 @@
 const COLD_VIEWS: f64 = 2.0;
 
 /// Time for which a connection without need is held at most.
-pub(crate) const HELD_AT_MOST: Duration = Duration::from_secs(5);
+pub(crate) const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
 /// The homes that share backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -124,13 +124,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
     /// Homes that share the backend servers.
-    shared_by: Homes,
+    homes: Homes,
     views: u32,
     control: u32,
     /// Connections kept ready at each backend server beyond those lately in use at once.
     pub spare: usize,
     /// Connections kept ready at each backend server without any need.
-    pub floor: usize,
+    pub min_idle: usize,
     /// Extra attempts that all homes together may make at each group beyond a share of the first
     /// ones, where that is bounded.
     slack: Option<f64>,
@@ -142,11 +142,11 @@
     /// Divides among the homes of a route, which two views of the members may choose differently.
     pub fn among(homes: usize) -> Self {
         Self {
-            shared_by: homes.max(1).into(),
-            views: VIEWS,
-            control: CONTROL,
-            spare: SPARE,
-            floor: 1,
+            homes: homes.max(1).into(),
+            views: CONCURRENT_VIEWS,
+            control: CONTROL_CONNECTIONS,
+            spare: SPARE_CONNECTIONS,
+            min_idle: 1,
             slack: None,
             window: WINDOW,
         }
@@ -159,13 +159,13 @@
     /// Nothing is kept to spare. When hosts lose power, a server goes on counting the connections
     /// that they had until it finds them idle, and they come back to a server that is half full:
     /// with one to spare, 361 of 900 connects in the first second were ended at once.
-    pub fn everyone(hosts: impl Into<Homes>, slack: f64) -> Self {
+    pub fn among_all_hosts(hosts: impl Into<Homes>, slack: f64) -> Self {
         Self {
-            shared_by: hosts.into(),
+            homes: hosts.into(),
             views: 1,
             control: 0,
             spare: 0,
-            floor: 1,
+            min_idle: 1,
             slack: Some(slack),
             window: WINDOW,
         }
@@ -173,7 +173,7 @@
 
     /// Bounds the extra attempts over this time.
     #[must_use]
-    pub fn over(self, window: Duration) -> Self {
+    pub fn with_window(self, window: Duration) -> Self {
         Self { window, ..self }
     }
 
@@ -182,7 +182,10 @@
     /// no room for hosts that came back after a loss of power, for eight seconds.
     #[must_use]
     pub fn on_demand(self) -> Self {
-        Self { floor: 0, ..self }
+        Self {
+            min_idle: 0,
+            ..self
+        }
     }
 
     /// Returns the connections that a home may hold to a backend server which takes `limit`.
@@ -190,11 +193,11 @@
         let homes = u32::try_from(self.count()).unwrap_or(u32::MAX);
         let own = limit / self.views / homes;
         let even = own.saturating_sub(self.control).max(1) as usize;
-        match self.shared_by.role {
+        match self.homes.role {
             Role::Even | Role::Weak => even,
             Role::Strong => {
                 let most = f64::from(limit) * STRONG_CONNECTIONS;
-                even.max((most / self.shared_by.all_strong()) as usize)
+                even.max((most / self.homes.all_strong()) as usize)
             }
         }
     }
@@ -205,22 +208,22 @@
     /// A server counts connections of homes that lost power until it finds them idle. Where 89 homes
     /// held each for five seconds, servers that take 76 had no room for those that came back, and half
     /// of the searches were refused for eight seconds.
-    pub fn held_for(&self, limit: u32) -> Duration {
-        let near = self.shared_by.near as f64;
+    pub fn idle_time(&self, limit: u32) -> Duration {
+        let near = self.homes.near as f64;
         let far = self.count() as f64 - near;
-        if far < 1.0 || self.shared_by.role == Role::Strong {
-            return HELD_AT_MOST;
+        if far < 1.0 || self.homes.role == Role::Strong {
+            return MAX_IDLE_TIME;
         }
-        let most = f64::from(limit) * KEPT_SHARE - near;
-        HELD_AT_MOST.mul_f64((most / far).clamp(0.0, 1.0))
+        let most = f64::from(limit) * IDLE_SHARE - near;
+        MAX_IDLE_TIME.mul_f64((most / far).clamp(0.0, 1.0))
     }
 
     /// Returns the share of the homes in a server's data centre that keep a connection to it ready
     /// without need, from 0 to 1.
-    pub fn kept(&self, limit: u32) -> f64 {
-        let most = f64::from(limit) * KEPT_SHARE;
-        match self.shared_by.role {
-            Role::Even => (most / self.shared_by.near.max(1) as f64).min(1.0),
+    pub fn idle_share(&self, limit: u32) -> f64 {
+        let most = f64::from(limit) * IDLE_SHARE;
+        match self.homes.role {
+            Role::Even => (most / self.homes.near.max(1) as f64).min(1.0),
             Role::Strong => 1.0,
             Role::Weak => 0.0,
         }
@@ -229,8 +232,8 @@
     /// Returns the extra attempts that a home may make at one group beyond its share of the first
     /// ones, where that is bounded.
     pub fn slack(&self) -> Option<f64> {
-        let strong = self.shared_by.all_strong();
-        let part = match self.shared_by.role {
+        let strong = self.homes.all_strong();
+        let part = match self.homes.role {
             Role::Even => 1.0 / self.count() as f64,
             Role::Strong => STRONG_SLACK / strong,
             Role::Weak => (1.0 - STRONG_SLACK) / (self.count() as f64 - strong).max(1.0),
@@ -245,13 +248,13 @@
     /// common still fit. Those that fan out for others have the larger part. Where there are more homes than
     /// requests, some of them may send one each: others for each server, so that all servers of a home are not shut
     /// at once.
-    pub fn cold(&self, bears: f64, server: BackendServerId) -> usize {
-        if self.floor == 0 {
+    pub fn cold_quota(&self, bears: f64, server: BackendServerId) -> usize {
+        if self.min_idle == 0 {
             // Another home here has the same servers, and all of this.
             return 0;
         }
-        let Homes { near, strong, .. } = self.shared_by;
-        let (part, homes) = match self.shared_by.role {
+        let Homes { near, strong, .. } = self.homes;
+        let (part, homes) = match self.homes.role {
             Role::Even => (1.0, near),
             Role::Strong => (STRONG_SLACK, strong),
             Role::Weak => (1.0 - STRONG_SLACK, near.saturating_sub(strong)),
@@ -259,26 +262,26 @@
         let homes = homes.max(1);
         let all = (bears * part / COLD_VIEWS) as usize;
         let turn = xxh3_64(server.to_string().as_bytes()) as usize;
-        let place = turn.wrapping_add(self.shared_by.rank) % homes;
+        let place = turn.wrapping_add(self.homes.rank) % homes;
         all / homes + usize::from(place < all % homes)
     }
 
     /// Returns how many homes are likely to ask a server as often as this one.
-    pub fn alike(&self) -> f64 {
-        match self.shared_by.role {
+    pub fn similar_homes(&self) -> f64 {
+        match self.homes.role {
             Role::Even | Role::Weak => self.count() as f64,
-            Role::Strong => self.shared_by.all_strong(),
+            Role::Strong => self.homes.all_strong(),
         }
     }
 
     /// Returns the number of homes that share the backend servers, this one included.
     fn count(&self) -> usize {
-        self.shared_by.all.max(1)
+        self.homes.all.max(1)
     }
 
     /// Returns the homes that share the backend servers.
     pub fn homes(&self) -> Homes {
-        self.shared_by
+        self.homes
     }
 
     /// Returns the time over which extra attempts are bounded.
@@ -290,7 +293,7 @@
     #[must_use]
     pub fn with_homes(self, homes: impl Into<Homes>) -> Self {
         Self {
-            shared_by: homes.into(),
+            homes: homes.into(),
             ..self
         }
     }
@@ -298,14 +301,14 @@
 
 /// What a home takes, and where the backend servers are.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct Allocation {
     /// Its part beside the other homes.
     pub division: Division,
     /// The backend servers in other data centres than its own.
     pub far: BTreeSet<BackendServerId>,
 }
 
-impl<T: Into<Division>> From<T> for Part {
+impl<T: Into<Division>> From<T> for Allocation {
     fn from(division: T) -> Self {
         Self {
             division: division.into(),
@@ -331,7 +334,7 @@
 
 /// What a daemon knows of a home that it could pass a query on to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct HomeLoad {
     /// The home.
     pub id: MemberId,
     /// Whether it is in the daemon's own data centre.
@@ -346,25 +349,25 @@
 ///
 /// With room to spare each home can keep all slots of a backend server busy on its own, so that
 /// the slots are shared well whichever home the work lands on:
-/// `roomy = limit / VIEWS / (slots + CONTROL)`. A route with many groups gets more homes, down to
+/// `roomy = limit / CONCURRENT_VIEWS / (slots + CONTROL_CONNECTIONS)`. A route with many groups gets more homes, down to
 /// one connection for attempts each: `wanted = groups / GROUPS_PER_HOME`, at most
-/// `limit / VIEWS / (1 + CONTROL)`. Never more than [`MAX_HOMES`] or the members; all members when
+/// `limit / CONCURRENT_VIEWS / (1 + CONTROL_CONNECTIONS)`. Never more than [`MAX_HOMES`] or the members; all members when
 /// they are few.
 pub fn homes(capacity: &Capacity, groups: usize, members: usize) -> usize {
-    let usable = capacity.connections / VIEWS;
-    let most = (usable / (1 + CONTROL)).max(1) as usize;
-    let roomy = (usable / (capacity.slots.max(1) + CONTROL)).max(1) as usize;
+    let usable = capacity.connections / CONCURRENT_VIEWS;
+    let most = (usable / (1 + CONTROL_CONNECTIONS)).max(1) as usize;
+    let roomy = (usable / (capacity.slots.max(1) + CONTROL_CONNECTIONS)).max(1) as usize;
     let wanted = groups.div_ceil(GROUPS_PER_HOME).min(most);
     roomy.max(wanted).min(MAX_HOMES).min(members)
 }
 
 /// Returns the connections for attempts that each of `homes` may hold to one backend server, beside
-/// [`CONTROL`] others.
+/// [`CONTROL_CONNECTIONS`] others.
 ///
-/// Bound: homes of one view hold at most `limit / VIEWS` together; hence the sum over any two
+/// Bound: homes of one view hold at most `limit / CONCURRENT_VIEWS` together; hence the sum over any two
 /// views, whatever they differ by, is at most `limit`. With more views at once, any set of
 /// `2 * homes` distinct daemons fits, so views that moved at most `homes` homes in all do. Only a
-/// limit below `VIEWS * (1 + CONTROL)` can't be shared so: then the one home has one connection for
+/// limit below `CONCURRENT_VIEWS * (1 + CONTROL_CONNECTIONS)` can't be shared so: then the one home has one connection for
 /// attempts all the same.
 pub fn share(limit: u32, homes: usize) -> u32 {
     Division::among(homes).connections(limit) as u32
@@ -391,7 +394,7 @@
 /// Returns the home that a query goes to: the daemon itself if it is one; else one that is not
 /// suspected, with the fewest outstanding queries, the near ones first. Ties are broken by the
 /// request, so that daemons without load don't all choose the same home.
-pub fn choose(own: MemberId, request: RequestId, homes: &[Standing]) -> Option<MemberId> {
+pub fn choose(own: MemberId, request: RequestId, homes: &[HomeLoad]) -> Option<MemberId> {
     if homes.iter().any(|home| home.id == own) {
         return Some(own);
     }
@@ -399,7 +402,7 @@
     homes
         .iter()
         .min_by_key(|home| {
-            let distance = if home.near { 0 } else { DISTANCE };
+            let distance = if home.near { 0 } else { REMOTE_PENALTY };
             let busy = home.outstanding.saturating_add(distance);
             (home.suspect, busy, hash(seed, home.id))
         })
@@ -412,7 +415,7 @@
 }
 
 /// Returns a number from 0 to 1 that is drawn for a home and a backend server, always the same.
-pub(crate) fn lot(home: u64, server: BackendServerId) -> f64 {
+pub(crate) fn uniform_hash(home: u64, server: BackendServerId) -> f64 {
     hash(home, server) as f64 / u64::MAX as f64
 }
 
--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -150,7 +150,7 @@
     let mut sets = Vec::new();
     for host in 0..HOSTS {
         let far: BTreeSet<u16> = (0..SERVERS).filter(|one| is_far(host, *one)).collect();
-        let division = Division::everyone(homes(host), 162.0);
+        let division = Division::among_all_hosts(homes(host), 162.0);
         let mut first = Set::new(division, &far);
         first.pool.set_identity(host as u64);
         sets.push(first);
--- a/crates/decision/tests/budget.rs
+++ b/crates/decision/tests/budget.rs
@@ -29,14 +29,14 @@
 // Events:  every twentieth attempt is hedged as it is somewhat slow; then a server becomes slow.
 // Cause:   what is merely somewhat slow uses the whole budget up.
 #[test]
-fn take_spare_leaves_what_was_put_aside() {
+fn take_deferrable_leaves_what_was_put_aside() {
     let mut budget = Budget::new(5.0);
-    assert!(budget.take_spare(NOW), "a lone request can be hedged");
+    assert!(budget.take_deferrable(NOW), "a lone request can be hedged");
     for _ in 0..1_000 {
         budget.deposit(NOW);
-        budget.take_spare(NOW);
+        budget.take_deferrable(NOW);
     }
-    assert!(!budget.take_spare(NOW));
+    assert!(!budget.take_deferrable(NOW));
     let kept = (0..).take_while(|_| budget.take(NOW)).count();
     assert!((9..=11).contains(&kept), "a fifth of 50: {kept}");
 }
@@ -138,7 +138,7 @@
                     firsts.push(now);
                     false
                 }
-                4..6 => window.take_spare(now),
+                4..6 => window.take_deferrable(now),
                 6..9 => window.take(now),
                 _ => {
                     if extras.pop().is_some() {
--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -42,8 +42,8 @@
 /// Returns what all homes of one view may send to a server in a second.
 fn sum(near: usize, strong: usize, bears: f64, to: BackendServerId) -> usize {
     let shares = (0..near).map(|rank| {
-        let division = Division::everyone(homes(near, strong, rank), 58.0);
-        division.cold(bears, to)
+        let division = Division::among_all_hosts(homes(near, strong, rank), 58.0);
+        division.cold_quota(bears, to)
     });
     shares.sum()
 }
@@ -76,9 +76,9 @@
 #[test]
 fn cold_few_requests_of_many_homes_go_to_others_for_each_server() {
     let shares = |rank: usize| -> Vec<usize> {
-        let division = Division::everyone(homes(40, 0, rank), 58.0);
+        let division = Division::among_all_hosts(homes(40, 0, rank), 58.0);
         (0..30)
-            .map(|number| division.cold(10.0, server(number, 0)))
+            .map(|number| division.cold_quota(10.0, server(number, 0)))
             .collect()
     };
     let served: Vec<usize> = (0..40).map(|rank| shares(rank).iter().sum()).collect();
@@ -89,8 +89,8 @@
 
 #[test]
 fn cold_home_without_need_of_its_own_sends_nothing() {
-    let division = Division::everyone(homes(4, 0, 0), 58.0).on_demand();
-    assert_eq!(division.cold(BEARS, server(0, 0)), 0);
+    let division = Division::among_all_hosts(homes(4, 0, 0), 58.0).on_demand();
+    assert_eq!(division.cold_quota(BEARS, server(0, 0)), 0);
 }
 
 /// One home of several, and when its attempts left for a cold server.
@@ -106,7 +106,7 @@
 
 impl Player {
     fn new(route: Route, rank: usize) -> Self {
-        let division = Division::everyone(homes(HOSTS, 0, rank), 58.0);
+        let division = Division::among_all_hosts(homes(HOSTS, 0, rank), 58.0);
         Self {
             session: Session::divided(route, division),
             seen: 0,
@@ -291,7 +291,7 @@
     player.session.pass(ms(100));
     player.session.on(cold(&[to], ms(60_000)));
     player.session.pass(ms(1_200));
-    let share = Division::everyone(homes(HOSTS, 0, 0), 58.0).cold(BEARS, to);
+    let share = Division::among_all_hosts(homes(HOSTS, 0, 0), 58.0).cold_quota(BEARS, to);
     player.session.pending.insert(to);
     let opened = player.session.opens.len();
     for _ in 0..30 {
@@ -348,7 +348,7 @@
     let to = server(0, 0);
     player.session.on(cold(&[to], ms(60_000)));
     player.pass(ms(1_200));
-    let share = Division::everyone(homes(HOSTS, 0, 0), 58.0).cold(BEARS, to);
+    let share = Division::among_all_hosts(homes(HOSTS, 0, 0), 58.0).cold_quota(BEARS, to);
     for _ in 0..share {
         player.ask();
         player.pass(ms(20));
--- a/crates/decision/tests/demand.rs
+++ b/crates/decision/tests/demand.rs
@@ -23,7 +23,7 @@
     };
     let mut route = route(1, 1);
     route.capacity.connections = 90;
-    let mut session = Session::divided(route, Division::everyone(weak, 58.0));
+    let mut session = Session::divided(route, Division::among_all_hosts(weak, 58.0));
     session.pass(ms(10_000));
     for id in 1..=20 {
         session.ask(id);
@@ -45,7 +45,7 @@
         role: Role::Weak,
         rank: 0,
     };
-    let mut session = Session::divided(route(1, 1), Division::everyone(weak, 58.0));
+    let mut session = Session::divided(route(1, 1), Division::among_all_hosts(weak, 58.0));
     session.refusing.insert(server(0, 0));
     session.ask(1);
     session.pass(ms(5_000));
--- a/crates/decision/tests/fact.rs
+++ b/crates/decision/tests/fact.rs
@@ -2,7 +2,7 @@
 
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::Time;
-use monsoonring_decision::fact::{Entry, GUARD, Key, MAX_LIFE, Stamp, Table};
+use monsoonring_decision::fact::{Entry, Key, MAX_LIFE, Stamp, TOMBSTONE_LIFE, Table};
 use proptest::prelude::*;
 use std::time::Duration;
 use test_case::test_case;
@@ -43,7 +43,7 @@
     assert_eq!(table.get(&Key::Suspect(7), late), None);
     assert_eq!(table.receive(vec![suspect.clone()], late), vec![]);
     assert_eq!(table.get(&Key::Suspect(7), late), None);
-    let forgotten = LIFE + GUARD;
+    let forgotten = LIFE + TOMBSTONE_LIFE;
     table.expire(forgotten);
     assert!(table.is_empty());
 }
@@ -168,7 +168,7 @@
 
 proptest! {
     /// A stamp never goes back, and a stamp once expired never holds again, while it is guarded
-    /// against: the whole case lasts less than `GUARD`.
+    /// against: the whole case lasts less than `TOMBSTONE_LIFE`.
     #[test]
     fn receive_never_reverts(entries in prop::collection::vec((any_entry(), 0..15u32), 1..40)) {
         let mut table = Table::default();
--- a/crates/decision/tests/helper.rs
+++ b/crates/decision/tests/helper.rs
@@ -230,7 +230,7 @@
 #[test_case(&[180, 181, 180, 180], 9; "many_hosts")]
 fn slack_of_all_homes_is_what_owners_allow(near: &[usize], strong: usize) {
     let parts = fleet(near, strong).into_iter();
-    let slack = parts.filter_map(|homes| Division::everyone(homes, 218.0).slack());
+    let slack = parts.filter_map(|homes| Division::among_all_hosts(homes, 218.0).slack());
     let slack: f64 = slack.sum();
     assert!(slack <= 218.0 * 1.001, "{slack}");
     assert!(slack >= 218.0 * 0.9, "{slack}");
@@ -250,7 +250,7 @@
     all_nearby_keep_one: bool,
 ) {
     let fleet = fleet(near, strong);
-    let kept = |homes: &Homes| Division::everyone(*homes, 218.0).kept(limit);
+    let kept = |homes: &Homes| Division::among_all_hosts(*homes, 218.0).idle_share(limit);
     // Those nearby one server.
     let nearby = fleet.iter().take(near[0]);
     let together: f64 = nearby.clone().map(kept).sum();
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_everyone.rs
@@ -431,7 +431,7 @@
 //          seconds.
 #[test]
 fn home_of_shared_servers_connects_on_demand() {
-    let division = Division::everyone(HOSTS, 58.0).on_demand();
+    let division = Division::among_all_hosts(HOSTS, 58.0).on_demand();
     let mut session = Session::divided(without_hedges(1, 2), division);
     assert_eq!(session.opens.len(), 0);
     begin(&mut session, 1, search(1.0));
--- a/crates/decision/tests/home_leave_out.rs
+++ b/crates/decision/tests/home_leave_out.rs
@@ -124,7 +124,7 @@
         group.backend_servers.truncate(1);
     }
     let mut played = Played {
-        session: Session::divided(groups, Division::everyone(2, 4.0)),
+        session: Session::divided(groups, Division::among_all_hosts(2, 4.0)),
         servers: (0..short)
             .map(|one| (server(one, 0), Queue::default()))
             .collect(),
--- a/crates/decision/tests/home_ranks.rs
+++ b/crates/decision/tests/home_ranks.rs
@@ -155,7 +155,7 @@
         groups.capacity.slots = SLOTS as u32;
         groups.capacity.connections = 200;
         groups.deadline_ms = 600;
-        let home = || Session::divided(groups.clone(), Division::everyone(HOMES, 100.0));
+        let home = || Session::divided(groups.clone(), Division::among_all_hosts(HOMES, 100.0));
         Self {
             rng: ChaCha8Rng::seed_from_u64(3),
             homes: (0..HOMES).map(|_| home()).collect(),
--- a/crates/decision/tests/home_rescue.rs
+++ b/crates/decision/tests/home_rescue.rs
@@ -63,7 +63,7 @@
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 10.0;
-    let mut session = Session::divided(route, Division::everyone(1, 0.0));
+    let mut session = Session::divided(route, Division::among_all_hosts(1, 0.0));
     for id in 1..=BEFORE {
         let sends = begin(&mut session, id);
         let sent = session.sends.len();
@@ -152,7 +152,7 @@
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 0.0;
-    let mut session = Session::divided(route, Division::everyone(1, 0.0));
+    let mut session = Session::divided(route, Division::among_all_hosts(1, 0.0));
     let sends = begin(&mut session, 1);
     sends[..2].iter().for_each(|send| fail(&mut session, send));
     session.pass(ms(WAIT));
--- a/crates/decision/tests/many_hosts.rs
+++ b/crates/decision/tests/many_hosts.rs
@@ -129,7 +129,7 @@
 #[test_case(9, 5_000; "few_hosts")]
 #[test_case(89, 2_000; "many_hosts")]
 fn want_further_away_is_held_while_there_is_room(all: usize, held: u64) {
-    let division = Division::everyone(homes(all), 218.0);
+    let division = Division::among_all_hosts(homes(all), 218.0);
     let mut pool = Pool::new(&route(1, 2), division, 1, ms(0));
     pool.set_far([server(1)].into());
     assert_eq!(settle(&mut pool, ms(0)), [1, 0], "only nearby");
--- a/crates/decision/tests/member.rs
+++ b/crates/decision/tests/member.rs
@@ -215,7 +215,7 @@
     let mut now = Time::ZERO;
     table.handle(Event::Tick, now);
     assert!(!table.is_current());
-    while now < Settings::default().patience {
+    while now < Settings::default().refresh_timeout {
         now += STEP;
         table.handle(Event::Tick, now);
     }
--- a/crates/decision/tests/member_laws.rs
+++ b/crates/decision/tests/member_laws.rs
@@ -3,7 +3,7 @@
 mod network;
 
 use monsoonring_decision::Time;
-use monsoonring_decision::member::{Change, Event, Settings, Span, State, Table};
+use monsoonring_decision::member::{BucketRange, Change, Event, Settings, State, Table};
 use network::{Network, SECOND, change, feed, id, listed, table};
 use proptest::prelude::*;
 
@@ -28,7 +28,7 @@
             encoded.len()
         );
     }
-    let page = table.page(Span { first: 0, last: 63 });
+    let page = table.page(BucketRange { first: 0, last: 63 });
     let bytes: usize = page.changes.iter().map(Change::size).sum();
     assert!(bytes <= Settings::default().page_bytes && page.rest.is_some());
 }
@@ -76,7 +76,7 @@
         }
         prop_assert_eq!(one.serving(), other.serving());
         for bucket in 0..64 {
-            let span = Span { first: bucket, last: bucket };
+            let span = BucketRange { first: bucket, last: bucket };
             prop_assert_eq!(one.page(span), other.page(span));
         }
     }
--- a/crates/decision/tests/members.rs
+++ b/crates/decision/tests/members.rs
@@ -145,7 +145,7 @@
     fn shared(&self) -> (usize, f64) {
         let homes = self.hosts.iter().flatten().map(Members::hosts);
         let divisions: Vec<(Role, Division)> = homes
-            .map(|homes| (homes.role, Division::everyone(homes, SLACK)))
+            .map(|homes| (homes.role, Division::among_all_hosts(homes, SLACK)))
             .collect();
         let strong = divisions.iter().filter(|(role, _)| *role == Role::Strong);
         let connections = strong.map(|(_, own)| own.connections(CONNECTIONS));
@@ -156,7 +156,7 @@
     /// Returns the connections of one server and the extra attempts that all hosts take together.
     fn taken(&self) -> (usize, f64) {
         let divisions: Vec<_> = (self.counted().into_iter())
-            .map(|hosts| Division::everyone(hosts, SLACK))
+            .map(|hosts| Division::among_all_hosts(hosts, SLACK))
             .collect();
         let connections = divisions.iter().map(|own| own.connections(CONNECTIONS));
         let slack = divisions.iter().filter_map(Division::slack);
--- a/crates/decision/tests/network/mod.rs
+++ b/crates/decision/tests/network/mod.rs
@@ -54,7 +54,7 @@
     /// Makes tables that all know each other and are current.
     pub(crate) fn joined(count: usize) -> Self {
         let tables: Vec<Table> = (0..count).map(|n| table(n, 1, Time::ZERO)).collect();
-        let span = monsoonring_decision::member::Span { first: 0, last: 63 };
+        let span = monsoonring_decision::member::BucketRange { first: 0, last: 63 };
         let all = tables.iter().flat_map(|table| table.page(span).changes);
         let changes: Vec<_> = all.collect();
         let mut network = Self {
--- a/crates/decision/tests/placement.rs
+++ b/crates/decision/tests/placement.rs
@@ -3,7 +3,7 @@
 use monsoonring_configuration::document::Capacity;
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::placement::{
-    CONTROL, Difference, Member, Standing, choose, homes, select, share,
+    CONTROL_CONNECTIONS, Difference, HomeLoad, Member, choose, homes, select, share,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -61,7 +61,7 @@
     let sum = |side: Vec<Member>| {
         let count = homes(&capacity, 10, side.len());
         let chosen = select("dispatch-map", &side, count);
-        (share(capacity.connections, count) + CONTROL)
+        (share(capacity.connections, count) + CONTROL_CONNECTIONS)
             * u32::try_from(chosen.len()).expect("few homes")
     };
     let total = sum(members(0..4, 4)) + sum(members(4..8, 4));
@@ -97,7 +97,7 @@
 
 #[test]
 fn choose_own_home_first() {
-    let standing = |n, outstanding| Standing {
+    let standing = |n, outstanding| HomeLoad {
         id: id(n),
         near: true,
         suspect: false,
@@ -112,13 +112,13 @@
 #[test_case(9, 0, false => 2; "far_when_near_is_busy")]
 #[test_case(0, 9, true => 2; "never_a_suspect_while_there_is_another")]
 fn choose_between(near_load: u32, far_load: u32, near_suspect: bool) -> usize {
-    let near = Standing {
+    let near = HomeLoad {
         id: id(1),
         near: true,
         suspect: near_suspect,
         outstanding: near_load,
     };
-    let far = Standing {
+    let far = HomeLoad {
         id: id(2),
         near: false,
         suspect: false,
@@ -133,8 +133,8 @@
     // Symptom: one home of an idle route gets every query.
     // Events: many daemons pass a query on at the same time, none has any outstanding.
     // Cause: all break the tie in the same order.
-    let homes: Vec<Standing> = (0..5)
-        .map(|n| Standing {
+    let homes: Vec<HomeLoad> = (0..5)
+        .map(|n| HomeLoad {
             id: id(n),
             near: true,
             suspect: false,
@@ -161,7 +161,7 @@
     groups: usize,
 ) -> BTreeMap<MemberId, u32> {
     let count = homes(capacity, groups, view.len());
-    let each = share(capacity.connections, count) + CONTROL;
+    let each = share(capacity.connections, count) + CONTROL_CONNECTIONS;
     select(route, view, count)
         .into_iter()
         .map(|home| (home, each))
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -187,7 +187,7 @@
     /// Returns a session of a home that is one of `hosts` which all are homes, and that takes
     /// nothing but a refused connect for a sign that a server died.
     pub(crate) fn everyone(route: Route, hosts: usize) -> Self {
-        Self::divided(route, Division::everyone(hosts, 58.0))
+        Self::divided(route, Division::among_all_hosts(hosts, 58.0))
     }
 
     /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
--- a/crates/experiment/src/capacity/backend_server.rs
+++ b/crates/experiment/src/capacity/backend_server.rs
@@ -18,7 +18,7 @@
     let homes = size.homes as usize;
     let share = placement::share(size.capacity.connections, homes);
     let working = size.homes * f64::from(share);
-    let held = size.homes * f64::from(share + placement::CONTROL);
+    let held = size.homes * f64::from(share + placement::CONTROL_CONNECTIONS);
     let busy = requests * (service + round_trip);
     let polled = values.get("servers_polled_per_second")? / size.servers_of_route;
     let polls = 2.0 * size.homes * polled.min(1.0);
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -7,7 +7,7 @@
 use monsoonring_decision::content::Content;
 use monsoonring_decision::gateway::{Registry, Table, shards};
 use monsoonring_decision::home::{Action, Alarm, Event, Home};
-use monsoonring_decision::placement::{Division, Part};
+use monsoonring_decision::placement::{Allocation, Division};
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::reply::{Item, Load, Reply, Report};
 use std::collections::{BTreeSet, HashMap};
@@ -54,8 +54,8 @@
         let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
         let own = Site::place_name(place).into();
         let far: BTreeSet<BackendServerId> = shards::far(&set, &usable, &own);
-        let division = Division::everyone(site.reckoned_hosts(), site.slack);
-        let part = Part { division, far };
+        let division = Division::among_all_hosts(site.reckoned_hosts(), site.slack);
+        let part = Allocation { division, far };
         let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
         let mut driver = Self {
             home,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -8,7 +8,7 @@
 use monsoonring_decision::fact;
 use monsoonring_decision::idempotency::lookup::{Answer, Question};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt};
-use monsoonring_decision::member::{MemberId, Message, Page, Span};
+use monsoonring_decision::member::{BucketRange, MemberId, Message, Page};
 use monsoonring_decision::outcome::Outcome;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     async fn probe_for(target: MemberId) -> Option<Message>;
 
     /// Returns a page of the member table.
-    async fn page(span: Span) -> Option<Page>;
+    async fn page(span: BucketRange) -> Option<Page>;
 
     /// Returns the document in force as it differs from the base, `None` where it is lesser than
     /// `least`.
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -2,7 +2,7 @@
 
 use monsoonring_decision::fact::{Entry, Key, Stamp};
 use monsoonring_decision::gateway::members::Datagram;
-use monsoonring_decision::member::{Change, Incarnation, Page, Span, State};
+use monsoonring_decision::member::{BucketRange, Change, Incarnation, Page, State};
 use monsoonring_wire::datagram::{MAX_BYTES, decode, encode};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -35,7 +35,8 @@
     prop_oneof![
         (any::<u64>(), any::<[u8; 4]>(), any::<u16>())
             .prop_map(|(probe, address, port)| Datagram::ProbeFor(probe, (address, port).into())),
-        (any::<u8>(), any::<u8>()).prop_map(|(first, last)| Datagram::Pull(Span { first, last })),
+        (any::<u8>(), any::<u8>())
+            .prop_map(|(first, last)| Datagram::Pull(BucketRange { first, last })),
         page.prop_map(|changes| Datagram::Page(Page {
             changes,
             rest: None
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -12,7 +12,7 @@
     self, Fence, Handover, Key, Ledger, Limits, Receipt, Refusal,
 };
 use monsoonring_decision::member::{
-    Attachment, Change, Digest, Incarnation, Message, Page, Span, State,
+    Attachment, BucketRange, Change, Digest, Incarnation, Message, Page, State,
 };
 use monsoonring_decision::outcome::{self, Outcome, Reason};
 use monsoonring_decision::reply::Item;
@@ -174,7 +174,7 @@
         fingerprint: FINGERPRINT,
     };
     let (key, handover) = (own().to_string(), handover());
-    let (least, message, target, span) = (version(), message(), far(), Span { first, last });
+    let (least, message, target, span) = (version(), message(), far(), BucketRange { first, last });
     let normal = Request {
         class: Class::Normal,
         ..request()
@@ -351,7 +351,7 @@
         parts: parts(),
     };
     let (first, last) = (4, 5);
-    let rest = Some(Span { first, last });
+    let rest = Some(BucketRange { first, last });
     let (from, to) = (fence(), fence());
     let mut all = vec![
         ("probe", PeerResponse::Probe(Some(message()))),
