--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -15,8 +15,8 @@
 use crate::route::{self, Facts, Side};
 use monsoonring_configuration::document;
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
-use monsoonring_decision::backend::Cold;
-use monsoonring_decision::backend::suspect::Proof;
+use monsoonring_decision::backend::ColdLimit;
+use monsoonring_decision::backend::suspect::CrashSignal;
 use monsoonring_decision::fact;
 use monsoonring_decision::gateway::registry::Usable;
 use monsoonring_decision::gateway::shards::Expected;
@@ -92,7 +92,7 @@
 struct Home {
     handle: route::Handle<Opaque>,
     route: Arc<document::Route>,
-    cold: BTreeMap<BackendServerId, Cold>,
+    cold: BTreeMap<BackendServerId, ColdLimit>,
     instances: Instances,
 }
 
@@ -355,11 +355,11 @@
         set: &Shards,
         table: &Table,
         usable: &Usable<'_>,
-    ) -> BTreeMap<BackendServerId, Cold> {
+    ) -> BTreeMap<BackendServerId, ColdLimit> {
         let now = self.settings.clock.now();
         let mut cold = shards::cold(set, table, &self.registry, usable, now);
         if now < SETTLED {
-            cold.values_mut().for_each(|cold| cold.bears = 0.0);
+            cold.values_mut().for_each(|cold| cold.max_rate = 0.0);
         }
         cold
     }
@@ -398,7 +398,7 @@
             },
             // Every host has a small part of a server's requests.
             policy: Policy {
-                proof: Proof::Refusal,
+                proof: CrashSignal::ConnectFailed,
                 ..Policy::default()
             },
             seed: settings.seed,
--- a/crates/decision/src/admission/mod.rs
+++ b/crates/decision/src/admission/mod.rs
@@ -14,7 +14,7 @@
 mod rank;
 pub mod shortage;
 
-use crate::backend::{self, Room};
+use crate::backend::{self, GroupLoad};
 use crate::outcome::Reason;
 use crate::{Time, Work};
 use limit::Limit;
@@ -107,7 +107,13 @@
 
     /// Decides about a request that has to be answered by `deadline`. One that is admitted counts
     /// as in flight until [`Self::finished`].
-    pub fn admit(&mut self, class: Class, deadline: Time, room: &Room, now: Time) -> Admission {
+    pub fn admit(
+        &mut self,
+        class: Class,
+        deadline: Time,
+        room: &GroupLoad,
+        now: Time,
+    ) -> Admission {
         self.admit_ranked(class, None, deadline, room, now)
     }
 
@@ -118,7 +124,7 @@
         class: Class,
         ranked: Option<&Ranked>,
         deadline: Time,
-        room: &Room,
+        room: &GroupLoad,
         now: Time,
     ) -> Admission {
         self.waiting = !room.wait.is_zero();
@@ -126,14 +132,14 @@
             self.ranks.asked(ranked, now);
         }
         let remaining = deadline.saturating_sub(now);
-        if remaining <= room.work {
+        if remaining <= room.service_time {
             // Coming back with as little time left would be as useless.
             return Admission::Refuse {
                 reason: Reason::Deadline,
                 retry_after: None,
             };
         }
-        let in_time = room.wait + room.work < remaining;
+        let in_time = room.wait + room.service_time < remaining;
         let allowed = self.allowed(class, ranked, now);
         // Reports of all hosts' load replace the limit, which is learned from this host's requests alone.
         let is_reported = ranked.is_some_and(|ranked| ranked.waits.are_reported);
--- a/crates/decision/src/backend/choice.rs
+++ b/crates/decision/src/backend/choice.rs
@@ -70,9 +70,9 @@
     let Some(reported) = server.reported else {
         return 0.0;
     };
-    let weight = server.trust.weight(usual.work.div_f64(usual.slots));
+    let weight = server.trust.weight(usual.service_time.div_f64(usual.slots));
     let age = now.saturating_sub(reported.at);
-    let half_life = usual.work.mul_f64(HALF_LIFE_IN_WORK);
+    let half_life = usual.service_time.mul_f64(HALF_LIFE_IN_WORK);
     weight * fading(age, half_life) * (reported.others - server.trust.mean())
 }
 
--- a/crates/decision/src/backend/cold.rs
+++ b/crates/decision/src/backend/cold.rs
@@ -16,17 +16,17 @@
 
 /// A bound on what a server gets while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdLimit {
     /// Until when it is cold.
     pub until: Time,
-    /// Requests that it bears in each second, from all homes together.
-    pub bears: f64,
+    /// Requests that it max_rate in each second, from all homes together.
+    pub max_rate: f64,
 }
 
 /// What one home sends to a cold server.
 #[derive(Clone, Debug)]
 pub(crate) struct Warming {
-    cold: Cold,
+    cold: ColdLimit,
     /// Attempts that are meant for it and have not left.
     queued: usize,
     /// When those left that it may still count.
@@ -37,7 +37,7 @@
 
 impl Warming {
     /// Begins with a server to which nothing was sent yet.
-    pub(crate) fn new(cold: Cold) -> Self {
+    pub(crate) fn new(cold: ColdLimit) -> Self {
         Self {
             cold,
             queued: 0,
@@ -48,7 +48,7 @@
 
     /// Begins with a server that was in use, and for which `queued` attempts wait: it may count what it got before it
     /// was known to be cold.
-    pub(crate) fn in_use(cold: Cold, queued: usize, now: Time) -> Self {
+    pub(crate) fn in_use(cold: ColdLimit, queued: usize, now: Time) -> Self {
         Self {
             queued,
             closed_until: Some(now + WINDOW),
@@ -57,11 +57,11 @@
     }
 
     /// Takes over what is known of it now.
-    pub(crate) fn set(&mut self, cold: Cold) {
+    pub(crate) fn set(&mut self, cold: ColdLimit) {
         self.cold = cold;
     }
 
-    pub(crate) fn cold(&self) -> Cold {
+    pub(crate) fn cold(&self) -> ColdLimit {
         self.cold
     }
 
--- a/crates/decision/src/backend/events.rs
+++ b/crates/decision/src/backend/events.rs
@@ -4,7 +4,7 @@
 use super::fleet::{Attempt, Fleet, WORKS_AT_MOST};
 use super::latency::Latency;
 use super::ramp::Ramp;
-use super::verdict::{News, Verdict};
+use super::verdict::{StatusChange, Verdict};
 use crate::attempt::{AttemptId, Failure, Refusal};
 use crate::reply::Report;
 use crate::{Time, Work};
@@ -61,7 +61,7 @@
     }
 
     /// Records that an attempt has left for its server, for which it waited until now.
-    pub fn left(&mut self, attempt: AttemptId, now: Time) {
+    pub fn transmitted(&mut self, attempt: AttemptId, now: Time) {
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
         };
@@ -85,10 +85,10 @@
             return;
         }
         let server = record.server;
-        let patience = self.patience(server, now);
+        let silence_timeout = self.silence_timeout(server, now);
         if let Some(state) = self.servers.get_mut(&server) {
             state.overdue += 1;
-            state.probe.want(patience, now);
+            state.probe.want(silence_timeout, now);
         }
     }
 
@@ -116,12 +116,12 @@
     }
 
     /// Records a reply.
-    pub fn replied(&mut self, attempt: AttemptId, report: &Report, now: Time) -> News {
+    pub fn replied(&mut self, attempt: AttemptId, report: &Report, now: Time) -> StatusChange {
         let Some(record) = self.end(attempt) else {
-            return News::default();
+            return StatusChange::default();
         };
         if record.earlier {
-            return News::default();
+            return StatusChange::default();
         }
         if record.cancelled.is_none() {
             let took = now.saturating_sub(record.sent);
@@ -162,7 +162,7 @@
                 report,
             } => self.refused(server, refusal, *retry_after, report, now),
             Failure::Ran { report } | Failure::Cancelled { report } => Verdict {
-                news: self.heard(server, report, now),
+                status_change: self.heard(server, report, now),
                 ..Verdict::default()
             },
             Failure::NotSent => Verdict {
@@ -188,12 +188,19 @@
     /// Takes in what the load endpoint says, `None` where it did not answer.
     ///
     /// An endpoint without an answer says nothing about the server: requests may still be served.
-    pub fn polled(&mut self, server: BackendServerId, report: Option<&Report>, now: Time) -> News {
-        report.map_or_else(News::default, |report| self.heard(server, report, now))
+    pub fn polled(
+        &mut self,
+        server: BackendServerId,
+        report: Option<&Report>,
+        now: Time,
+    ) -> StatusChange {
+        report.map_or_else(StatusChange::default, |report| {
+            self.heard(server, report, now)
+        })
     }
 
     /// Marks a server as leaving with the given start number. Returns whether that is new.
-    pub fn leave(
+    pub fn mark_leaving(
         &mut self,
         server: BackendServerId,
         start: Option<Incarnation>,
@@ -312,13 +319,13 @@
     }
 
     /// Takes in what a server says of itself.
-    fn heard(&mut self, server: BackendServerId, report: &Report, now: Time) -> News {
+    fn heard(&mut self, server: BackendServerId, report: &Report, now: Time) -> StatusChange {
         let Some(state) = self.servers.get_mut(&server) else {
-            return News::default();
+            return StatusChange::default();
         };
         // A report of an earlier start was overtaken on its way: it tells of a process that is gone.
         if report.start.is_some() && report.start < state.start {
-            return News::default();
+            return StatusChange::default();
         }
         let restarted = state.start.is_some() && report.start > state.start;
         let survived = state.lost && report.start.is_some() && report.start == state.start;
@@ -337,8 +344,8 @@
         if let Some(start) = report.start {
             self.marks.heard(server, start);
         }
-        let leaving = report.draining && self.leave(server, report.start, now);
-        News {
+        let leaving = report.draining && self.mark_leaving(server, report.start, now);
+        StatusChange {
             leaving,
             restarted,
             survived,
@@ -353,7 +360,7 @@
         report: &Report,
         now: Time,
     ) -> Verdict {
-        let mut news = self.heard(server, report, now);
+        let mut status_change = self.heard(server, report, now);
         let mut back_off = None;
         match refusal {
             Refusal::Shedding => back_off = self.shed(server, retry_after, now),
@@ -363,7 +370,9 @@
                     state.ramp = Some(Ramp::cold());
                 }
             }
-            Refusal::Draining => news.leaving |= self.leave(server, report.start, now),
+            Refusal::Draining => {
+                status_change.leaving |= self.mark_leaving(server, report.start, now)
+            }
             Refusal::IndexVersion { served } => {
                 if let Some(state) = self.servers.get_mut(&server) {
                     state.versions.clone_from(served);
@@ -376,7 +385,7 @@
             discard_connection: *refusal == Refusal::Connections,
             not_run: true,
             back_off,
-            news,
+            status_change,
             ..Verdict::default()
         }
     }
@@ -413,7 +422,7 @@
     /// Returns the load of all homes to expect at a server.
     pub(super) fn expected_load(&self, state: &super::server::Server, now: Time) -> f64 {
         let usual = self.usual(state.group);
-        let believed = state.trust.weight(usual.work.div_f64(usual.slots));
+        let believed = state.trust.weight(usual.service_time.div_f64(usual.slots));
         // Homes get alike shares of the requests: where nothing better is known, each of the others
         // has as much there as this one.
         let alike = state.own() * (self.division.alike() - 1.0).max(0.0);
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -1,7 +1,7 @@
 //! All backend servers of one route at one home.
 
 use super::choice::{self, Choice, Repeat};
-use super::cold::{Cold, Warming};
+use super::cold::{ColdLimit, Warming};
 use super::latency::Latency;
 use super::leaving::Marks;
 use super::ramp::Ramp;
@@ -67,7 +67,7 @@
     pub(super) attempts: FxHashMap<AttemptId, Attempt>,
     pub(super) marks: Marks,
     /// The servers that are cold, of this route or not.
-    cold: BTreeMap<BackendServerId, Cold>,
+    cold: BTreeMap<BackendServerId, ColdLimit>,
     pub(super) capacity: Capacity,
     pub(super) division: Division,
     pub(super) deadline: Duration,
@@ -165,7 +165,7 @@
     }
 
     /// Takes over which servers are cold, and for how long.
-    pub fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, Cold>, now: Time) {
+    pub fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, ColdLimit>, now: Time) {
         self.cold.clone_from(cold);
         for (&server, &cold) in cold {
             let queued = self.queued(server);
@@ -187,8 +187,8 @@
         state.is_some_and(|state| state.warming.is_some())
     }
 
-    /// Returns until when a server is cold and bears nothing of this home.
-    pub fn shut_until(&self, server: BackendServerId, now: Time) -> Option<Time> {
+    /// Returns until when a server is cold and max_rate nothing of this home.
+    pub fn excluded_until(&self, server: BackendServerId, now: Time) -> Option<Time> {
         let warming = self.servers.get(&server)?.warming.as_ref()?;
         let is_shut = !warming.is_over(now) && self.cold_share(server, warming.cold()) == 0;
         is_shut.then(|| warming.cold().until)
@@ -201,15 +201,15 @@
     }
 
     /// Returns how many attempts this home may send to a cold server in a second.
-    fn cold_share(&self, server: BackendServerId, cold: Cold) -> usize {
+    fn cold_share(&self, server: BackendServerId, cold: ColdLimit) -> usize {
         let is_far = self.servers.get(&server).is_none_or(|state| state.far);
         match is_far {
             true => 0,
-            false => self.division.cold(cold.bears, server),
+            false => self.division.cold(cold.max_rate, server),
         }
     }
 
-    /// Tells whether a cold server bears one more attempt of this home now.
+    /// Tells whether a cold server max_rate one more attempt of this home now.
     fn bears_one(&self, id: BackendServerId, server: &Server, now: Time) -> bool {
         let Some(warming) = &server.warming else {
             return true;
@@ -308,7 +308,7 @@
     }
 
     /// Returns the time that attempts for this kind of work usually take, where it is known.
-    pub fn usual_of(&self, work: Work) -> Option<Duration> {
+    pub fn median_latency(&self, work: Work) -> Option<Duration> {
         self.works.get(&work)?.quantile(0.5)
     }
 
@@ -334,7 +334,7 @@
     }
 
     /// Returns the time after which an attempt at `server` is suspiciously silent.
-    pub fn patience(&self, server: BackendServerId, _now: Time) -> Duration {
+    pub fn silence_timeout(&self, server: BackendServerId, _now: Time) -> Duration {
         let usual = self.quantile(server, PATIENCE_QUANTILE);
         let recent = self.servers.get(&server).and_then(|state| state.recent);
         let recent = recent.map_or(0.0, |(mean, _)| mean * PATIENCE_IN_MEANS);
@@ -401,20 +401,20 @@
 
     fn find_usual(&self, group: usize) -> Usual {
         let members = self.groups[group].servers.iter();
-        let works: Vec<Duration> = members
-            .filter_map(|server| self.servers.get(server)?.work())
+        let service_times: Vec<Duration> = members
+            .filter_map(|server| self.servers.get(server)?.service_time())
             .collect();
         let median = self.groups[group]
             .latency
             .quantile(0.5)
             .or_else(|| self.latency.quantile(0.5))
             .unwrap_or_else(|| self.unknown_latency());
-        let work = match works.len() {
+        let service_time = match service_times.len() {
             0 => median,
-            count => works.iter().sum::<Duration>() / count as u32,
+            count => service_times.iter().sum::<Duration>() / count as u32,
         };
         Usual {
-            work,
+            service_time,
             median,
             slots: self.slots(),
             interval: Duration::from_secs_f64(self.groups[group].interval),
--- a/crates/decision/src/backend/room.rs
+++ b/crates/decision/src/backend/group_load.rs
@@ -1,4 +1,4 @@
-//! Room that the backend servers of a route have for this home.
+//! GroupLoad that the backend servers of a route have for this home.
 
 use super::fleet::Fleet;
 use super::server::Server;
@@ -41,11 +41,11 @@
     }
 }
 
-/// Room for work, taken from the group that has the least of it.
+/// GroupLoad for service_time, taken from the group that has the least of it.
 ///
 /// A search needs every group, so the busiest group decides how long a query waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct GroupLoad {
     /// Work slots of the usable servers in the tightest group, shared by all homes.
     pub slots: f64,
     /// Attempts of all homes expected at those servers.
@@ -53,21 +53,21 @@
     /// Time that a new attempt would wait in that group before it is worked on.
     pub wait: Duration,
     /// Measured mean time that an attempt in that group is worked on, waiting not included.
-    pub work: Duration,
+    pub service_time: Duration,
 }
 
 impl Fleet {
     /// Returns the room in the tightest group. A group none of whose servers is usable is left out:
     /// queries don't wait for it.
-    pub fn room(&self, now: Time) -> Room {
-        self.room_without(0, now)
+    pub fn busiest_group(&self, now: Time) -> GroupLoad {
+        self.busiest_group_without(0, now)
     }
 
     /// Returns the room in the tightest group that is left when so many of the tightest are left
     /// out: a query that can do without them does not wait for them.
-    pub fn room_without(&self, dispensable: usize, now: Time) -> Room {
+    pub fn busiest_group_without(&self, dispensable: usize, now: Time) -> GroupLoad {
         let groups = 0..self.groups.len();
-        let mut rooms: Vec<Room> = groups
+        let mut rooms: Vec<GroupLoad> = groups
             .filter_map(|group| self.room_of(group, now))
             .collect();
         rooms.sort_unstable_by(|one, other| {
@@ -81,7 +81,7 @@
 
     /// Returns the time that a new attempt would wait at the least busy server of each group that has usable
     /// ones, the longest first. One of them may have paused with much before it, and the next is idle.
-    pub fn waits(&self, now: Time) -> Vec<(usize, Duration)> {
+    pub fn expected_waits(&self, now: Time) -> Vec<(usize, Duration)> {
         let groups = 0..self.groups.len();
         let mut waits: Vec<(usize, Duration)> = groups
             .filter_map(|group| Some((group, self.least_wait(group, now)?)))
@@ -91,13 +91,13 @@
     }
 
     /// Returns the share of the recent attempts that failed, as the mean over all servers.
-    pub fn failing(&self, now: Time) -> f64 {
+    pub fn failure_rate(&self, now: Time) -> f64 {
         let shares = self.servers.values().map(|server| server.failing(now));
         shares.sum::<f64>() / self.servers.len().max(1) as f64
     }
 
     /// Returns the time that a new attempt would wait in each group, at its least busy server, by what servers report of all
-    /// homes' work.
+    /// homes' service_time.
     pub fn reported_waits(&self, now: Time) -> Vec<Wait> {
         let groups = 0..self.groups.len();
         let wait = |group| {
@@ -109,12 +109,12 @@
 
     /// Returns the time until so many attempts of this home have left for a group, at the rate of the recent ones: that shows what share
     /// of the servers other homes leave to this one.
-    pub fn time_for(&self, group: usize, attempts: usize) -> Duration {
+    pub fn time_to_send(&self, group: usize, attempts: usize) -> Duration {
         Duration::from_secs_f64(self.groups[group].interval).mul_f64(attempts as f64)
     }
 
     /// Tells whether most servers have reported their load recently.
-    pub fn is_reported(&self, now: Time) -> bool {
+    pub fn has_recent_reports(&self, now: Time) -> bool {
         let reported = self
             .servers
             .values()
@@ -148,12 +148,12 @@
         servers.filter_map(move |id| {
             let server = self.servers.get(id)?;
             let is_usable = server.reachable && server.configured && !self.is_leaving(*id);
-            let is_shut = self.shut_until(*id, now).is_some();
+            let is_shut = self.excluded_until(*id, now).is_some();
             (is_usable && !is_shut).then_some(server)
         })
     }
 
-    fn room_of(&self, group: usize, now: Time) -> Option<Room> {
+    fn room_of(&self, group: usize, now: Time) -> Option<GroupLoad> {
         let mut usable: u32 = 0;
         let mut busy = 0.0;
         for server in self.usable(group, now) {
@@ -164,14 +164,14 @@
             return None;
         }
         let slots = f64::from(usable) * self.slots();
-        let work = self.usual(group).work;
+        let service_time = self.usual(group).service_time;
         // The new attempt starts when all but `slots - 1` of those before it have ended.
         let ahead = (busy + 1.0 - slots).max(0.0);
-        Some(Room {
+        Some(GroupLoad {
             slots,
             busy,
-            wait: work.mul_f64(ahead / slots),
-            work,
+            wait: service_time.mul_f64(ahead / slots),
+            service_time,
         })
     }
 }
--- a/crates/decision/src/backend/pool/line.rs
+++ b/crates/decision/src/backend/pool/line.rs
@@ -154,10 +154,10 @@
 
     /// Takes out a new connection that the server has ended at once. With others open it is left
     /// alone for longer: it serves over those, and each try takes one of its slots for a while.
-    pub(super) fn ended_at_once(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
+    pub(super) fn rejected(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
         self.remove(id, connection);
         if self.idle.len() + self.busy > 0 {
-            self.crowded(now);
+            self.connection_limit_reached(now);
             return;
         }
         // It is well, and has room again as soon as another home gives some up.
@@ -174,7 +174,7 @@
         }
     }
 
-    pub(super) fn crowded(&mut self, now: Time) {
+    pub(super) fn connection_limit_reached(&mut self, now: Time) {
         self.paused = self.paused.max(Some(now + CROWDED));
     }
 
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -48,12 +48,12 @@
 
 /// The end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct Disconnect {
     /// The server at its other end.
     pub server: BackendServerId,
     /// Whether the server counts as unreachable from now on; to be told to
     /// [`Fleet::set_reachable`](super::Fleet::set_reachable).
-    pub down: bool,
+    pub became_unreachable: bool,
 }
 
 /// Connections to the backend servers of one route.
@@ -68,7 +68,7 @@
     far: BTreeSet<BackendServerId>,
     /// What tells this home from the others when it is decided who keeps connections ready.
     identity: u64,
-    /// Servers that something has happened to since the last [`Pool::want`].
+    /// Servers that something has happened to since the last [`Pool::reconcile`].
     changed: BTreeSet<BackendServerId>,
     closing: Vec<ConnectionId>,
     /// Time at which time alone may have given some line something to do; never too late.
@@ -167,7 +167,7 @@
     ///
     /// It is asked after each event: only servers to which something happened are looked at, and
     /// all of them only when time has given some of them something to do.
-    pub fn want(&mut self, now: Time) -> Vec<Command> {
+    pub fn reconcile(&mut self, now: Time) -> Vec<Command> {
         self.take_due(now);
         let mut opens = Vec::new();
         for server in std::mem::take(&mut self.changed) {
@@ -222,16 +222,16 @@
 
     /// Records that a connection could not be made or has ended by itself, under an attempt
     /// (`Failure::Lost`) or idle.
-    pub fn closed(&mut self, id: ConnectionId, now: Time) -> Option<Ending> {
+    pub fn closed(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
         let line = self.lines.get_mut(&server)?;
         let was_reachable = line.reachable;
         line.closed(id, &connection, now);
         self.changed.insert(server);
-        Some(Ending {
+        Some(Disconnect {
             server,
-            down: was_reachable && !line.reachable,
+            became_unreachable: was_reachable && !line.reachable,
         })
     }
 
@@ -293,7 +293,7 @@
         self.changed.insert(connection.server);
     }
 
-    /// Gives up a connection that can't be used again; [`Self::want`] returns its `Close`.
+    /// Gives up a connection that can't be used again; [`Self::reconcile`] returns its `Close`.
     pub fn discard(&mut self, id: ConnectionId, _now: Time) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -307,24 +307,24 @@
 
     /// Records that a server ended a new connection at once because it has too many. It counts as
     /// unreachable for a while if there is no other connection to it.
-    pub fn ended_at_once(&mut self, id: ConnectionId, now: Time) -> Option<Ending> {
+    pub fn rejected(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
         let line = self.lines.get_mut(&server)?;
         let was_reachable = line.reachable;
-        line.ended_at_once(id, &connection, now);
+        line.rejected(id, &connection, now);
         self.changed.insert(server);
-        Some(Ending {
+        Some(Disconnect {
             server,
-            down: was_reachable && !line.reachable,
+            became_unreachable: was_reachable && !line.reachable,
         })
     }
 
     /// Takes in that a server refused a connection because its limit is reached: no more are
     /// opened for a while.
-    pub fn crowded(&mut self, server: BackendServerId, now: Time) {
+    pub fn connection_limit_reached(&mut self, server: BackendServerId, now: Time) {
         if let Some(line) = self.lines.get_mut(&server) {
-            line.crowded(now);
+            line.connection_limit_reached(now);
             self.changed.insert(server);
         }
     }
@@ -344,7 +344,7 @@
         self.lines.get(&server).map_or(0, |line| line.idle.len())
     }
 
-    /// Returns the time at which [`Self::want`] has something to do, if nothing else happens.
+    /// Returns the time at which [`Self::reconcile`] has something to do, if nothing else happens.
     pub fn next_wake(&self) -> Option<Time> {
         self.due
     }
--- a/crates/decision/src/backend/pool/silence.rs
+++ b/crates/decision/src/backend/pool/silence.rs
@@ -11,7 +11,7 @@
 use crate::attempt::ConnectionId;
 use std::time::Duration;
 
-/// Multiple of the patience after which a mere new connection, without an answer on it, is proof
+/// Multiple of the silence_timeout after which a mere new connection, without an answer on it, is proof
 /// enough where nothing at all was answered meanwhile: all older connections may be silent.
 const LONE_FACTOR: u32 = 4;
 
@@ -19,36 +19,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// Nothing out of the ordinary.
-    Fine,
-    /// No answer within the patience, and no proof of why.
+    Healthy,
+    /// No answer within the silence_timeout, and no proof of why.
     Overdue,
     /// Its attempt was overtaken: the connection is silent.
     Silent,
 }
 
 impl Pool {
-    /// Looks at a busy connection. It is silent if it is overdue by the `patience` with its server
+    /// Looks at a busy connection. It is silent if it is overdue by the `silence_timeout` with its server
     /// and an attempt that was sent later to the same server has been answered.
     ///
     /// That one was sent later is the point: a server that is slow, or that pauses, answers in about
     /// the order of sending, and its connections must not be closed for it.
-    pub fn look(&self, id: ConnectionId, patience: Duration, now: Time) -> Health {
+    pub fn health(&self, id: ConnectionId, silence_timeout: Duration, now: Time) -> Health {
         let Some(connection) = self.connections.get(&id) else {
-            return Health::Fine;
+            return Health::Healthy;
         };
         let State::Busy(since) = connection.state else {
-            return Health::Fine;
+            return Health::Healthy;
         };
         let Some(line) = self.lines.get(&connection.server) else {
-            return Health::Fine;
+            return Health::Healthy;
         };
         let age = now.saturating_sub(since);
-        if age < patience {
-            return Health::Fine;
+        if age < silence_timeout {
+            return Health::Healthy;
         }
         let overtaken = line.overtaken > since;
-        let opened = line.connected >= since + patience && line.answered <= since;
-        match overtaken || (opened && age >= patience * LONE_FACTOR) {
+        let opened = line.connected >= since + silence_timeout && line.answered <= since;
+        match overtaken || (opened && age >= silence_timeout * LONE_FACTOR) {
             true => Health::Silent,
             false => Health::Overdue,
         }
@@ -56,15 +56,15 @@
 
     /// Gives up a silent connection, and with it the idle ones to the same server that were not
     /// seen to work since the attempt was put on it.
-    pub fn condemn(&mut self, id: ConnectionId, now: Time) {
-        self.distrust(id, now);
+    pub fn discard_silent(&mut self, id: ConnectionId, now: Time) {
+        self.discard_unverified(id, now);
         self.discard(id, now);
     }
 
     /// Gives up the idle connections to the server of a busy one that were not seen to work since
     /// the attempt was put on that: what lost track of the one has probably lost track of them too,
-    /// and each would cost a further request its patience.
-    pub fn distrust(&mut self, id: ConnectionId, now: Time) {
+    /// and each would cost a further request its silence_timeout.
+    pub fn discard_unverified(&mut self, id: ConnectionId, now: Time) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
--- a/crates/decision/src/backend/probe.rs
+++ b/crates/decision/src/backend/probe.rs
@@ -24,13 +24,13 @@
         self.wanted
     }
 
-    /// Takes in that an attempt was found overdue by the `patience` with the server.
-    pub(crate) fn want(&mut self, patience: Duration, now: Time) {
+    /// Takes in that an attempt was found overdue by the `silence_timeout` with the server.
+    pub(crate) fn want(&mut self, silence_timeout: Duration, now: Time) {
         if now < self.not_before {
             return;
         }
         self.wanted = true;
-        let pause = patience * 2_u32.pow(self.unanswered.min(DOUBLINGS));
+        let pause = silence_timeout * 2_u32.pow(self.unanswered.min(DOUBLINGS));
         self.unanswered = self.unanswered.saturating_add(1);
         self.not_before = now + pause;
     }
--- a/crates/decision/src/backend/server.rs
+++ b/crates/decision/src/backend/server.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Weight of a new work time in the mean.
-const WORK_GAIN: f64 = 0.05;
+const SERVICE_TIME_GAIN: f64 = 0.05;
 
 /// Weight of a new latency in the recent mean.
 const RECENT_GAIN: f64 = 0.2;
@@ -85,7 +85,7 @@
     /// Whether the last latency was out of the ordinary.
     surprised: bool,
     /// Mean work time without waiting, in seconds.
-    work: Option<f64>,
+    service_time: Option<f64>,
 }
 
 impl Server {
@@ -112,7 +112,7 @@
             failing: None,
             recent: None,
             surprised: false,
-            work: None,
+            service_time: None,
         }
     }
 
@@ -158,8 +158,8 @@
     }
 
     /// Returns the mean work time, where it is known.
-    pub(crate) fn work(&self) -> Option<Duration> {
-        self.work.map(Duration::from_secs_f64)
+    pub(crate) fn service_time(&self) -> Option<Duration> {
+        self.service_time.map(Duration::from_secs_f64)
     }
 
     /// Records the latency of an attempt that left when `load` attempts of all homes were at the
@@ -169,8 +169,8 @@
         let slots = usual.slots;
         let seconds = latency.as_secs_f64();
         // Behind `load` others each slot works off `load / slots` attempts before this one ends.
-        let work = seconds / ((load + 1.0) / slots).max(1.0);
-        self.work = Some(blend(self.work, work, WORK_GAIN));
+        let service_time = seconds / ((load + 1.0) / slots).max(1.0);
+        self.service_time = Some(blend(self.service_time, service_time, SERVICE_TIME_GAIN));
         let recent = self.recent.map(|(recent, _)| recent);
         let is_surprising = seconds > SURPRISING * usual.median.as_secs_f64();
         let gain = match is_surprising && self.surprised {
--- a/crates/decision/src/backend/snapshot.rs
+++ b/crates/decision/src/backend/snapshot.rs
@@ -55,7 +55,7 @@
             start: server.start,
             outstanding: server.outstanding,
             limit: server.limit(self.share()),
-            trust: server.trust.weight(usual.work.div_f64(usual.slots)),
+            trust: server.trust.weight(usual.service_time.div_f64(usual.slots)),
             median_ms: milliseconds(self.quantile(id, 0.5)),
             p95_ms: milliseconds(self.quantile(id, 0.95)),
             versions: server.versions.clone(),
--- a/crates/decision/src/backend/suspect.rs
+++ b/crates/decision/src/backend/suspect.rs
@@ -11,9 +11,9 @@
 //! not alone: the requests of that moment ran on all those servers, and none of them did it.
 //!
 //! What counts as a death depends on what can be known. A home that has most of a server's requests
-//! takes a lost connection for one ([`Proof::Loss`]). Where many homes share a server and nothing in
+//! takes a lost connection for one ([`CrashSignal::ConnectionLost`]). Where many homes share a server and nothing in
 //! its replies tells its processes apart, a connection may be lost for many reasons, and only a
-//! server that can't be connected to any more counts as dead ([`Proof::Refusal`]). Without that,
+//! server that can't be connected to any more counts as dead ([`CrashSignal::ConnectFailed`]). Without that,
 //! a network that resets connections would get hundreds of harmless requests refused for a minute
 //! each.
 //!
@@ -50,22 +50,22 @@
 /// Evidence that a fingerprint without any is taken to have when a death is shared out.
 const UNSUSPECTED: f64 = 0.1;
 
-/// Time for which a lost connection waits for the proof that its server died.
+/// Time for which a lost connection waits for the crash_signal that its server died.
 const UNPROVED: Duration = Duration::from_secs(10);
 
 /// What proves that a server died.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Proof {
+pub enum CrashSignal {
     /// The loss of a connection under an attempt.
     #[default]
-    Loss,
+    ConnectionLost,
     /// A connect that failed after such a loss.
-    Refusal,
+    ConnectFailed,
 }
 
 /// What may be done with requests of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// Nothing speaks against it.
     Clear,
     /// It may have crashed a server: no hedge, no retry, one attempt at a time.
@@ -76,8 +76,8 @@
 
 /// Evidence against fingerprints.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    proof: Proof,
+pub struct Detector {
+    crash_signal: CrashSignal,
     running: FxHashMap<AttemptId, Running>,
     deaths: BTreeMap<BackendServerId, Death>,
     evidence: BTreeMap<Fingerprint, Vec<Evidence>>,
@@ -109,16 +109,16 @@
     proved: bool,
 }
 
-impl Table {
+impl Detector {
     /// Makes a table without evidence.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes a table without evidence that takes `proof` for a death.
-    pub fn with_proof(proof: Proof) -> Self {
+    /// Makes a table without evidence that takes `crash_signal` for a death.
+    pub fn with_crash_signal(crash_signal: CrashSignal) -> Self {
         Self {
-            proof,
+            crash_signal,
             ..Self::default()
         }
     }
@@ -130,7 +130,7 @@
         server: BackendServerId,
         now: Time,
     ) -> Vec<(Fingerprint, Duration)> {
-        if self.proof == Proof::Loss {
+        if self.crash_signal == CrashSignal::ConnectionLost {
             return Vec::new();
         }
         let mut proved = Vec::new();
@@ -146,24 +146,24 @@
     }
 
     /// Returns what may be done with requests of a fingerprint.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Time) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
         let refused = self.refused.get(&fingerprint);
         if let Some(until) = refused.copied().filter(|until| now < *until) {
-            return Standing::Refused(until);
+            return Status::Refused(until);
         }
         match self.weight(fingerprint, now) > 0.0 {
-            true => Standing::Quarantined,
-            false => Standing::Clear,
+            true => Status::Quarantined,
+            false => Status::Clear,
         }
     }
 
     /// Tells whether another attempt of this fingerprint may be sent now: always when it is clear,
     /// one at a time in quarantine, never when refused.
     pub fn may_send(&self, fingerprint: Fingerprint, now: Time) -> bool {
-        match self.standing(fingerprint, now) {
-            Standing::Clear => true,
-            Standing::Quarantined => !self.is_running(fingerprint),
-            Standing::Refused(_) => false,
+        match self.status(fingerprint, now) {
+            Status::Clear => true,
+            Status::Quarantined => !self.is_running(fingerprint),
+            Status::Refused(_) => false,
         }
     }
 
@@ -179,7 +179,7 @@
             fingerprint,
             server,
             sent: now,
-            alone: self.standing(fingerprint, now) != Standing::Clear,
+            alone: self.status(fingerprint, now) != Status::Clear,
         };
         self.running.insert(attempt, running);
     }
@@ -221,7 +221,7 @@
             server,
             weight,
             at: now,
-            proved: self.proof == Proof::Loss,
+            proved: self.crash_signal == CrashSignal::ConnectionLost,
         });
         self.refuse(fingerprint, now)
     }
@@ -236,7 +236,7 @@
     }
 
     /// Takes over another home's finding.
-    pub fn told(&mut self, fingerprint: Fingerprint, until: Time, now: Time) {
+    pub fn apply_refusal(&mut self, fingerprint: Fingerprint, until: Time, now: Time) {
         let until = until.min(now + REFUSED_AT_MOST);
         let refused = self.refused.entry(fingerprint).or_insert(until);
         *refused = until.max(*refused);
@@ -311,7 +311,7 @@
         let counts = |one: &&Evidence| one.proved && now < one.at + RETENTION;
         for evidence in all.iter().filter(counts) {
             // Who knows few of a server's requests can't know that one was alone there.
-            if evidence.weight >= 1.0 && self.proof == Proof::Loss {
+            if evidence.weight >= 1.0 && self.crash_signal == CrashSignal::ConnectionLost {
                 sum += evidence.weight;
                 continue;
             }
--- a/crates/decision/src/backend/verdict.rs
+++ b/crates/decision/src/backend/verdict.rs
@@ -17,17 +17,17 @@
     /// Time until which the server gets no new work.
     pub back_off: Option<Time>,
     /// What is new in what the server said of itself.
-    pub news: News,
+    pub status_change: StatusChange,
 }
 
 /// What is new in something that a server said of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct StatusChange {
     /// First sign that the server is leaving: the other homes are to be told.
     pub leaving: bool,
     /// The server has a higher start number than before.
     pub restarted: bool,
     /// The process that lost a connection still runs: the loss was no crash, and
-    /// [`suspect::Table::survived`](super::suspect::Table::survived) is to be told.
+    /// [`suspect::Detector::survived`](super::suspect::Detector::survived) is to be told.
     pub survived: bool,
 }
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -8,7 +8,7 @@
 use super::table::Table;
 use super::{InstanceId, ServiceId, Shards};
 use crate::Time;
-use crate::backend::Cold;
+use crate::backend::ColdLimit;
 use crate::query::coverage::Set;
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::{Capacity, Group, Hedge, Kind, Retry, Route};
@@ -126,7 +126,7 @@
     registry: &Registry,
     usable: &Usable<'_>,
     now: Time,
-) -> BTreeMap<BackendServerId, Cold> {
+) -> BTreeMap<BackendServerId, ColdLimit> {
     if table.cold.is_empty() {
         return BTreeMap::new();
     }
@@ -137,8 +137,8 @@
         let said = registry.cold_until(&entry.instance);
         let given_back = registry.evacuations().given_back(&entry.data_centre);
         let until = said.max(given_back.map(|at| at + bound.lasts))?;
-        let bears = bound.bears;
-        (until > now).then_some((*address, Cold { until, bears }))
+        let max_rate = bound.bears;
+        (until > now).then_some((*address, ColdLimit { until, max_rate }))
     });
     cold.collect()
 }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -163,7 +163,7 @@
             return;
         };
         let planned = flight.next();
-        let patience = self.fleet.patience(flight.server, now);
+        let patience = self.fleet.silence_timeout(flight.server, now);
         flight.check_at = Some(now + patience.min(LOOK_AT_MOST));
         let flight = flight.clone();
         self.timers.clear(planned, Timer::Attempt(id));
@@ -171,7 +171,7 @@
         let Some(request) = self.depart(&flight) else {
             return;
         };
-        self.fleet.left(id, now);
+        self.fleet.transmitted(id, now);
         self.fleet_changed |= self.fleet.is_cold(flight.server);
         self.suspects
             .sent(id, flight.fingerprint, flight.server, now);
@@ -306,7 +306,7 @@
 
     /// Carries out what the pool wants.
     pub(super) fn command(&mut self, now: Time) {
-        for command in self.pool.want(now) {
+        for command in self.pool.reconcile(now) {
             self.actions.push(match command {
                 Command::Open(id, server) => Action::Open(id, server),
                 Command::Close(id) => Action::Close(id),
--- a/crates/decision/src/home/ending.rs
+++ b/crates/decision/src/home/ending.rs
@@ -159,7 +159,7 @@
                 budgets.failed(now);
             }
         }
-        self.heed(flight.server, verdict.news, now);
+        self.heed(flight.server, verdict.status_change, now);
         if !verdict.crash_evidence {
             self.suspects.ended(flight.id, now);
         } else if let Some((fingerprint, period)) = self.suspects.lost(flight.id, now) {
@@ -179,7 +179,7 @@
         now: Time,
     ) {
         if is_crowded(failure) {
-            self.pool.crowded(flight.server, now);
+            self.pool.connection_limit_reached(flight.server, now);
         }
         match failure {
             Failure::Lost => self.ended(connection, now),
@@ -250,7 +250,7 @@
         let health = if checks {
             self.check(id, now)
         } else {
-            Health::Fine
+            Health::Healthy
         };
         if health == Health::Silent {
             self.give_up_connection(id, now);
@@ -303,20 +303,20 @@
     /// earlier.
     fn check(&mut self, id: AttemptId, now: Time) -> Health {
         let Some(flight) = self.flights.get_mut(id) else {
-            return Health::Fine;
+            return Health::Healthy;
         };
         let Some(connection) = flight.connection else {
-            return Health::Fine;
+            return Health::Healthy;
         };
-        let patience = self.fleet.patience(flight.server, now);
+        let patience = self.fleet.silence_timeout(flight.server, now);
         flight.check_at = Some(now + patience.mul_f64(LOOK).min(LOOK_AT_MOST));
-        let health = self.pool.look(connection, patience, now);
-        if health != Health::Fine {
-            self.pool.distrust(connection, now);
+        let health = self.pool.health(connection, patience, now);
+        if health != Health::Healthy {
+            self.pool.discard_unverified(connection, now);
             self.fleet.overdue(id, now);
         }
         match flight.owner {
-            Owner::Execution(_) => Health::Fine,
+            Owner::Execution(_) => Health::Healthy,
             _ => health,
         }
     }
@@ -332,7 +332,7 @@
         self.fleet.forget(id, now);
         self.suspects.ended(id, now);
         if let Some(connection) = flight.connection {
-            self.pool.condemn(connection, now);
+            self.pool.discard_silent(connection, now);
             *self.callable.entry(flight.server).or_default() += 1;
         }
         match flight.owner {
--- a/crates/decision/src/home/event.rs
+++ b/crates/decision/src/home/event.rs
@@ -2,7 +2,7 @@
 
 use super::terms::Terms;
 use crate::attempt::{AttemptId, ConnectionId, Failure, Unopened};
-use crate::backend::Cold;
+use crate::backend::ColdLimit;
 use crate::content::{Content, Json};
 use crate::placement::Homes;
 use crate::query::coverage::Set;
@@ -85,7 +85,7 @@
     /// The backend servers of the route that are in other data centres than this home.
     Far(BTreeSet<BackendServerId>),
     /// The backend servers that are cold, of the route or not.
-    Cold(BTreeMap<BackendServerId, Cold>),
+    Cold(BTreeMap<BackendServerId, ColdLimit>),
     /// The homes of the route, this one included, changed.
     Homes(Homes),
     /// A backend server is leaving; only a start number above `start` undoes it.
--- a/crates/decision/src/home/hindrance.rs
+++ b/crates/decision/src/home/hindrance.rs
@@ -73,7 +73,7 @@
             Some(until) if *until >= deadline => return Hindrance::BackOff(*until),
             _ => {}
         }
-        match self.fleet.shut_until(server, now) {
+        match self.fleet.excluded_until(server, now) {
             Some(until) if until >= deadline => Hindrance::Cold(until),
             _ => Hindrance::Tried,
         }
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -6,7 +6,7 @@
 use super::state::Home;
 use super::timer::Timer;
 use crate::attempt::AttemptId;
-use crate::backend::suspect::Standing;
+use crate::backend::suspect::Status;
 use crate::budget::Need;
 use crate::content::Content;
 use crate::outcome::{Outcome, Reason};
@@ -72,14 +72,14 @@
             return;
         };
         let dispensable = self.dispensable(&run.request);
-        if dispensable == 0 || self.fleet.failing(now) > FAILING {
+        if dispensable == 0 || self.fleet.failure_rate(now) > FAILING {
             return;
         }
         let work = self.terms(&run.request).work;
-        let usual = self.fleet.usual_of(work).unwrap_or_default();
+        let usual = self.fleet.median_latency(work).unwrap_or_default();
         let in_time = Duration::from_millis(soft.after_ms).mul_f64(IN_TIME);
         let in_time = in_time.saturating_sub(usual);
-        let waits = self.fleet.waits(now);
+        let waits = self.fleet.expected_waits(now);
         let late = waits.into_iter().filter(|(_, wait)| *wait > in_time);
         for (group, wait) in late.take(dispensable) {
             let in_group = |(_, part): &(&PartId, &Part)| part.group == group;
@@ -386,7 +386,7 @@
         let queued = self.next_attempt;
         self.with_run(request, now, |home, run| {
             let fingerprint = run.request.fingerprint;
-            let clear = home.suspects.standing(fingerprint, now) == Standing::Clear;
+            let clear = home.suspects.status(fingerprint, now) == Status::Clear;
             let most = match cause {
                 Cause::Overdue => home.route.retry.attempts,
                 _ => u32::MAX,
--- a/crates/decision/src/home/server.rs
+++ b/crates/decision/src/home/server.rs
@@ -5,8 +5,8 @@
 use super::flight::Owner;
 use super::state::Home;
 use crate::attempt::{ConnectionId, Failure, Unopened};
-use crate::backend::pool::Ending;
-use crate::backend::{Cold, News};
+use crate::backend::pool::Disconnect;
+use crate::backend::{ColdLimit, StatusChange};
 use crate::content::Content;
 use crate::query::pin;
 use crate::query::run::{Cause, Part, PartId};
@@ -45,7 +45,7 @@
         now: Time,
     ) -> bool {
         let until = self.back_offs.get(&server).copied().unwrap_or_default();
-        let until = until.max(self.fleet.shut_until(server, now).unwrap_or_default());
+        let until = until.max(self.fleet.excluded_until(server, now).unwrap_or_default());
         self.is_usable(server) && !self.lacks(server, version) && until < deadline
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Acts on what is new about a server.
-    pub(super) fn heed(&mut self, server: BackendServerId, news: News, now: Time) {
+    pub(super) fn heed(&mut self, server: BackendServerId, news: StatusChange, now: Time) {
         if news.survived {
             self.suspects.survived(server, now);
         }
@@ -113,7 +113,7 @@
         start: Option<Incarnation>,
         now: Time,
     ) {
-        if self.fleet.leave(server, start, now) {
+        if self.fleet.mark_leaving(server, start, now) {
             self.leave(server, now);
         }
     }
@@ -133,12 +133,12 @@
     }
 
     /// Takes over which servers are cold. Those that are so no more take any number again.
-    pub(super) fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, Cold>, now: Time) {
+    pub(super) fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, ColdLimit>, now: Time) {
         self.fleet.set_cold(cold, now);
         self.fleet_changed = true;
         for (&server, cold) in cold {
             if self.placement.servers().contains(&server) {
-                let why = format!("bears {} a second until {:?}", cold.bears, cold.until);
+                let why = format!("bears {} a second until {:?}", cold.max_rate, cold.until);
                 self.log(None, "cold", Some(server), why);
                 self.changed(server);
             }
@@ -207,7 +207,7 @@
     /// the server's health.
     pub(super) fn unopened(&mut self, connection: ConnectionId, why: Unopened, now: Time) {
         let ending = match why {
-            Unopened::Ended => self.pool.ended_at_once(connection, now),
+            Unopened::Ended => self.pool.rejected(connection, now),
             Unopened::Refused | Unopened::Silent => self.pool.closed(connection, now),
         };
         let Some(ending) = ending else {
@@ -230,9 +230,9 @@
         self.lose(ending, Down::Lost, now);
     }
 
-    fn lose(&mut self, ending: Ending, down: Down, now: Time) {
+    fn lose(&mut self, ending: Disconnect, down: Down, now: Time) {
         self.touch(ending.server);
-        if !ending.down {
+        if !ending.became_unreachable {
             *self.callable.entry(ending.server).or_default() += 1;
             return;
         }
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -12,8 +12,8 @@
 use crate::admission::{Admission, Gate, Ranked, Shortage, Waits};
 use crate::attempt::AttemptId;
 use crate::backend::pool::Pool;
-use crate::backend::suspect::{Standing, Table};
-use crate::backend::{Fleet, Room, Wait};
+use crate::backend::suspect::{Detector, Status};
+use crate::backend::{Fleet, GroupLoad, Wait};
 use crate::budget::{Budgets, Purse};
 use crate::content::{Content, Json};
 use crate::outcome::{Outcome, Reason};
@@ -49,7 +49,7 @@
     pub(super) pool: Pool,
     pub(super) gate: Gate,
     pub(super) shortage: Shortage,
-    pub(super) suspects: Table,
+    pub(super) suspects: Detector,
     pub(super) budgets: Purse,
     pub(super) pin: Pin,
     pub(super) placement: Placement,
@@ -112,7 +112,7 @@
             pool: Pool::new(&route, division, FIRST_CONNECTION, now),
             gate: Gate::new(&route),
             shortage: Shortage::default(),
-            suspects: Table::with_proof(policy.proof),
+            suspects: Detector::with_crash_signal(policy.proof),
             budgets: Purse::new(&route, &division),
             pin: Pin::default(),
             placement: Placement::new(&route),
@@ -185,8 +185,8 @@
     }
 
     /// Returns the room that the route's backend servers have for this home.
-    pub fn room(&self, now: Time) -> Room {
-        self.fleet.room(now)
+    pub fn room(&self, now: Time) -> GroupLoad {
+        self.fleet.busiest_group(now)
     }
 
     fn handle(&mut self, event: Event<C>, now: Time) {
@@ -217,7 +217,7 @@
                 start,
             } => self.told_leaving(backend_server, start, now),
             Event::Suspect { fingerprint, until } => {
-                self.suspects.told(fingerprint, until, now);
+                self.suspects.apply_refusal(fingerprint, until, now);
                 self.condemn(fingerprint, now);
             }
             Event::Polled(server, report) => self.polled(server, report.as_ref(), now),
@@ -291,14 +291,14 @@
         if self.stopping {
             return Some((Reason::Stopping, Some(Duration::ZERO)));
         }
-        if let Standing::Refused(until) = self.suspects.standing(request.fingerprint, now) {
+        if let Status::Refused(until) = self.suspects.status(request.fingerprint, now) {
             return Some((Reason::Suspect, Some(until.saturating_sub(now))));
         }
         if self.policy.admit_all {
             return None;
         }
         let dispensable = self.dispensable(request);
-        let room = self.fleet.room_without(dispensable, now);
+        let room = self.fleet.busiest_group_without(dispensable, now);
         let ranked = self.ranked(request, now);
         let (class, deadline) = (request.class, request.deadline);
         match self
@@ -358,7 +358,7 @@
         let at_servers = self.fleet.reported_waits(now);
         let here = |group| {
             let waiting = self.waiting.get(&group).map_or(0, BTreeSet::len);
-            self.fleet.time_for(group, waiting)
+            self.fleet.time_to_send(group, waiting)
         };
         Waits {
             in_all: at_servers
@@ -369,7 +369,7 @@
                 })
                 .collect(),
             at_servers: at_servers.into_iter().collect(),
-            are_reported: self.fleet.is_reported(now),
+            are_reported: self.fleet.has_recent_reports(now),
         }
     }
 
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -5,7 +5,7 @@
 //! that chooses at random. The simple ways live here and not beside a measurement, so that both run
 //! through the same daemon. In production nothing is replaced.
 
-use crate::backend::suspect::Proof;
+use crate::backend::suspect::CrashSignal;
 use std::time::Duration;
 
 /// The decisions of a home that differ.
@@ -20,5 +20,5 @@
     /// Admits every request that has time left.
     pub admit_all: bool,
     /// What proves that a request crashed a backend server.
-    pub proof: Proof,
+    pub proof: CrashSignal,
 }
--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -112,7 +112,7 @@
             }
         }
         loop {
-            let commands = self.pool.want(now);
+            let commands = self.pool.reconcile(now);
             if commands.is_empty() {
                 return;
             }
@@ -132,7 +132,7 @@
                     self.open.insert(id, to);
                     self.pool.opened(id, now);
                 } else {
-                    self.pool.ended_at_once(id, now);
+                    self.pool.rejected(id, now);
                 }
             }
             Command::Close(id) => {
--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -5,7 +5,7 @@
 use monsoonring_configuration::document::Class;
 use monsoonring_decision::Time;
 use monsoonring_decision::admission::{Admission, Gate};
-use monsoonring_decision::backend::Room;
+use monsoonring_decision::backend::GroupLoad;
 use monsoonring_decision::outcome::Reason;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -87,14 +87,14 @@
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 
-    fn room(&self) -> Room {
+    fn room(&self) -> GroupLoad {
         let busy = (self.queue.len() + self.busy.len()) as f64 * self.believed;
         let ahead = (busy + 1.0 - SLOTS as f64).max(0.0);
-        Room {
+        GroupLoad {
             slots: SLOTS as f64,
             busy,
             wait: Duration::from_secs_f64(WORK * ahead / SLOTS as f64),
-            work: Duration::from_secs_f64(WORK),
+            service_time: Duration::from_secs_f64(WORK),
         }
     }
 
@@ -212,19 +212,19 @@
     let before = gate.limit();
     for step in 0..100 {
         let now = ms(step * 300);
-        gate.admit(Class::Normal, now + DEADLINE, &Room::default(), now);
+        gate.admit(Class::Normal, now + DEADLINE, &GroupLoad::default(), now);
         gate.finished(Class::Normal, DEADLINE, now + DEADLINE);
     }
     assert!(gate.limit() >= before);
     assert_eq!(gate.in_flight(), 0);
 }
 
-fn room(wait: u64) -> Room {
-    Room {
+fn room(wait: u64) -> GroupLoad {
+    GroupLoad {
         slots: 9.0,
         busy: 9.0,
         wait: ms(wait),
-        work: ms(10),
+        service_time: ms(10),
     }
 }
 
--- a/crates/decision/tests/backend.rs
+++ b/crates/decision/tests/backend.rs
@@ -208,14 +208,14 @@
 // Symptom: new work reaches a server seconds after it said that it is leaving.
 // Events:  any one sign of leaving; after it the lagging ones still say that it serves.
 // Cause:   the sign that came last wins.
-#[test_case(|fleet| { fleet.leave(server(0), Some(5), ms(1)); }; "told with its start number")]
-#[test_case(|fleet| { fleet.leave(server(0), None, ms(1)); }; "told without")]
+#[test_case(|fleet| { fleet.mark_leaving(server(0), Some(5), ms(1)); }; "told with its start number")]
+#[test_case(|fleet| { fleet.mark_leaving(server(0), None, ms(1)); }; "told without")]
 #[test_case(|fleet| { fleet.polled(server(0), Some(&Report { draining: true, ..started(5) }), ms(1)); }; "health endpoint")]
 #[test_case(|fleet| {
     fleet.sent(server(0), 1, ms(0));
     let failure = refused(Refusal::Draining, None, started(5));
     let verdict = fleet.failed(1, &failure, ms(1));
-    assert!(verdict.news.leaving && verdict.not_run);
+    assert!(verdict.status_change.leaving && verdict.not_run);
 }; "refusal")]
 fn leave_by_any_sign_ends_only_with_higher_start(sign: fn(&mut Fleet)) {
     let mut fleet = fleet();
@@ -223,7 +223,7 @@
     sign(&mut fleet);
     fleet.polled(server(0), Some(&started(5)), ms(2));
     assert!(
-        !fleet.leave(server(0), Some(5), ms(2)),
+        !fleet.mark_leaving(server(0), Some(5), ms(2)),
         "not new a second time"
     );
     assert!(fleet.is_leaving(server(0)));
@@ -231,7 +231,7 @@
     assert!(fleet.polled(server(0), Some(&started(6)), ms(4)).restarted);
     assert!(!fleet.is_leaving(server(0)));
     assert!(
-        !fleet.leave(server(0), Some(5), ms(5)),
+        !fleet.mark_leaving(server(0), Some(5), ms(5)),
         "a late sign of the old process"
     );
     assert!(!fleet.is_leaving(server(0)));
@@ -347,13 +347,16 @@
 fn room_of_busiest_group() {
     let mut fleet = Fleet::new(&route(2, 3), 1, ms(0));
     assert_eq!(
-        (fleet.room(ms(0)).slots, fleet.room(ms(0)).wait),
+        (
+            fleet.busiest_group(ms(0)).slots,
+            fleet.busiest_group(ms(0)).wait
+        ),
         (9.0, ms(0))
     );
     for attempt in 0..18 {
         fleet.sent(server(3 + (attempt % 3) as u16), attempt, ms(0));
     }
-    let room = fleet.room(ms(0));
+    let room = fleet.busiest_group(ms(0));
     assert_eq!(room.busy, 18.0);
     // Ten of eighteen must end before the next starts, on nine slots, 250 ms each by default.
     assert_eq!(room.wait.as_millis(), 277);
@@ -369,10 +372,17 @@
         fleet.sent(server(3 + (attempt % 3) as u16), attempt, ms(0));
     }
     fleet.sent(server(6), 18, ms(0));
-    let room = fleet.room_without(1, ms(0));
+    let room = fleet.busiest_group_without(1, ms(0));
     assert_eq!((room.busy, room.wait), (1.0, ms(0)));
-    assert_eq!(fleet.room_without(9, ms(0)).busy, 0.0, "some group is left");
-    assert_eq!(fleet.room_without(0, ms(0)), fleet.room(ms(0)));
+    assert_eq!(
+        fleet.busiest_group_without(9, ms(0)).busy,
+        0.0,
+        "some group is left"
+    );
+    assert_eq!(
+        fleet.busiest_group_without(0, ms(0)),
+        fleet.busiest_group(ms(0))
+    );
 }
 
 /// Returns what must hold of a choice that avoided `tried` and asked for `version`.
@@ -417,7 +427,7 @@
                 8..11 => { fleet.replied(attempt, &versions, now); }
                 11 => { fleet.failed(attempt, &Failure::Lost, now); }
                 12 => { fleet.failed(attempt, &refused(Refusal::Shedding, None, Report::default()), now); }
-                13 => { fleet.leave(at, None, now); }
+                13 => { fleet.mark_leaving(at, None, now); }
                 14 => { fleet.polled(at, Some(&started(index as u64 % 9)), now); }
                 _ => {
                     fleet.set_homes(index % 9, now);
--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -5,7 +5,7 @@
 use monsoonring_configuration::document::Route;
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::Time;
-use monsoonring_decision::backend::Cold;
+use monsoonring_decision::backend::ColdLimit;
 use monsoonring_decision::home::Event;
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_decision::placement::{Division, Homes, Role};
@@ -158,9 +158,9 @@
 }
 
 fn cold(servers: &[BackendServerId], until: Time) -> Event {
-    let one = Cold {
+    let one = ColdLimit {
         until,
-        bears: BEARS,
+        max_rate: BEARS,
     };
     Event::Cold(servers.iter().map(|server| (*server, one)).collect())
 }
--- a/crates/decision/tests/many_hosts.rs
+++ b/crates/decision/tests/many_hosts.rs
@@ -111,7 +111,7 @@
 /// Carries out what the pool wants. Returns how many connections to each server are open then.
 fn settle(pool: &mut Pool, now: Time) -> [usize; 2] {
     loop {
-        let commands = pool.want(now);
+        let commands = pool.reconcile(now);
         if commands.is_empty() {
             return [0, 1].map(|number| pool.connections(server(number)));
         }
--- a/crates/decision/tests/pool.rs
+++ b/crates/decision/tests/pool.rs
@@ -21,7 +21,7 @@
 fn settle(pool: &mut Pool, now: u64) -> Vec<ConnectionId> {
     let mut opened = Vec::new();
     loop {
-        let commands = pool.want(ms(now));
+        let commands = pool.reconcile(ms(now));
         if commands.is_empty() {
             return opened;
         }
@@ -50,7 +50,7 @@
 
 /// Returns those of the connections that are silent, with a patience of 50 ms.
 fn silent(pool: &Pool, ids: &[ConnectionId], now: u64) -> Vec<ConnectionId> {
-    let is_silent = |id: &&ConnectionId| pool.look(**id, ms(50), ms(now)) == Health::Silent;
+    let is_silent = |id: &&ConnectionId| pool.health(**id, ms(50), ms(now)) == Health::Silent;
     ids.iter().filter(is_silent).copied().collect()
 }
 
@@ -72,8 +72,8 @@
 fn want_after_many_misses_opens_few_at_once() {
     let mut pool = Pool::new(&route(1, 1), 1, 0, ms(0));
     (0..10).for_each(|_| assert!(pool.acquire(server(0), ms(0)).is_none()));
-    assert_eq!(pool.want(ms(0)).len(), 2);
-    assert_eq!(pool.want(ms(1)), []);
+    assert_eq!(pool.reconcile(ms(0)).len(), 2);
+    assert_eq!(pool.reconcile(ms(1)), []);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     ids.iter().for_each(|id| pool.release(*id, ms(1)));
     let mut now = ms(1);
     while let Some(wake) = pool.next_wake() {
-        pool.want(now);
+        pool.reconcile(now);
         assert!(pool.next_wake().is_none_or(|next| next > now), "at {now:?}");
         now = now.max(wake);
     }
@@ -147,9 +147,9 @@
     pool.release(other, ms(100));
     assert!(silent(&pool, &ids, 49).is_empty(), "not overdue yet");
     assert_eq!(silent(&pool, &ids, 100), [ids[0]]);
-    pool.condemn(ids[0], ms(100));
+    pool.discard_silent(ids[0], ms(100));
     assert!(pool.is_reachable(server(0)));
-    assert!(pool.want(ms(100)).contains(&Command::Close(ids[0])));
+    assert!(pool.reconcile(ms(100)).contains(&Command::Close(ids[0])));
 }
 
 // Symptom: connections to a server that is only slow are closed, and its work is done twice.
@@ -162,7 +162,7 @@
     pool.release(ids[1], ms(5));
     let later = pool.acquire(server(0), ms(10)).expect("one is idle");
     pool.release(ids[0], ms(150));
-    assert_eq!(pool.look(later, ms(50), ms(160)), Health::Overdue);
+    assert_eq!(pool.health(later, ms(50), ms(160)), Health::Overdue);
 }
 
 // Symptom: attempts wait to the deadline although new connections work.
@@ -195,9 +195,9 @@
 #[test]
 fn condemn_gives_up_unproven_idle_ones() {
     let (mut pool, ids, silent) = one_silent();
-    pool.condemn(silent, ms(100));
+    pool.discard_silent(silent, ms(100));
     let closed: BTreeSet<_> = pool
-        .want(ms(100))
+        .reconcile(ms(100))
         .iter()
         .filter_map(|command| match command {
             Command::Close(id) => Some(*id),
@@ -213,8 +213,8 @@
 #[test]
 fn distrust_gives_up_unproven_idle_ones_only() {
     let (mut pool, ids, silent) = one_silent();
-    pool.distrust(silent, ms(100));
-    let commands = pool.want(ms(100));
+    pool.discard_unverified(silent, ms(100));
+    let commands = pool.reconcile(ms(100));
     let closes = commands
         .iter()
         .filter(|command| matches!(command, Command::Close(_)));
@@ -239,7 +239,7 @@
     let mut pool = pool(1);
     let ids = settle(&mut pool, 0);
     let ending = pool.closed(ids[0], ms(1)).expect("it was open");
-    assert!(!ending.down && pool.is_reachable(server(0)));
+    assert!(!ending.became_unreachable && pool.is_reachable(server(0)));
 }
 
 // Symptom: a dead server is connected to thousands of times a second, by each home.
@@ -254,7 +254,7 @@
     }
     let mut probes = 0;
     for now in 1..60_000 {
-        for command in pool.want(ms(now)) {
+        for command in pool.reconcile(ms(now)) {
             let Command::Open(id, _) = command else {
                 continue;
             };
@@ -290,14 +290,14 @@
                 5 => { pool.acquire_fresh(at, now); }
                 6..8 => pool.release(id, now),
                 8 => pool.discard(id, now),
-                9 => pool.condemn(id, now),
+                9 => pool.discard_silent(id, now),
                 10 => pool.set_leaving(at, index % 4 < 2, now),
                 _ => {
                     pool.closed(id, now);
                     open.remove(&id);
                 }
             }
-            for command in pool.want(now) {
+            for command in pool.reconcile(now) {
                 match command {
                     Command::Open(id, at) => open.insert(id, u16::from(at == server(1))),
                     Command::Close(id) => open.remove(&id),
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -11,7 +11,7 @@
 };
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 use monsoonring_decision::attempt::{AttemptId, ConnectionId, Failure, Refusal, Unopened};
-use monsoonring_decision::backend::suspect::Proof;
+use monsoonring_decision::backend::suspect::CrashSignal;
 use monsoonring_decision::home::action::{Decision, Send};
 use monsoonring_decision::home::event::{Request, Scope};
 use monsoonring_decision::home::{Action, Event, Home};
@@ -193,7 +193,7 @@
     /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
     pub(crate) fn divided(route: Route, division: Division) -> Self {
         let policy = Policy {
-            proof: Proof::Refusal,
+            proof: CrashSignal::ConnectFailed,
             ..Policy::default()
         };
         let (home, actions) = Home::with_policy(Arc::new(route), division, 7, policy, Time::ZERO);
--- a/crates/decision/tests/suspect.rs
+++ b/crates/decision/tests/suspect.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use monsoonring_decision::Time;
-use monsoonring_decision::backend::suspect::{Standing, Table};
+use monsoonring_decision::backend::suspect::{Detector, Status};
 use proptest::prelude::*;
 use support::{ms, server};
 use test_case::test_case;
@@ -12,7 +12,7 @@
 
 /// Sends one attempt of each fingerprint to a server, which then dies. Returns the fingerprints
 /// that are refused from then on.
-fn die(table: &mut Table, number: u16, fingerprints: &[u64], now: Time) -> Vec<u64> {
+fn die(table: &mut Detector, number: u16, fingerprints: &[u64], now: Time) -> Vec<u64> {
     let attempt = |index: usize| u64::from(number) * 1_000 + index as u64;
     for (index, fingerprint) in fingerprints.iter().enumerate() {
         table.sent(attempt(index), *fingerprint, server(number), now);
@@ -28,13 +28,13 @@
 // Cause:   each loss by itself looks like a server failure, to be answered with a retry elsewhere.
 #[test]
 fn lost_alone_on_two_servers_is_refused() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     assert!(die(&mut table, 1, &[CULPRIT], ms(0)).is_empty());
-    assert_eq!(table.standing(CULPRIT, ms(10)), Standing::Quarantined);
+    assert_eq!(table.status(CULPRIT, ms(10)), Status::Quarantined);
     assert_eq!(die(&mut table, 2, &[CULPRIT], ms(1_000)), [CULPRIT]);
     assert!(matches!(
-        table.standing(CULPRIT, ms(1_010)),
-        Standing::Refused(_)
+        table.status(CULPRIT, ms(1_010)),
+        Status::Refused(_)
     ));
     assert!(!table.may_send(CULPRIT, ms(1_010)));
 }
@@ -45,7 +45,7 @@
 #[test_case(2_000; "long after")]
 #[test_case(300; "as soon as it is back")]
 fn lost_twice_on_one_server_is_refused(after: u64) {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     assert!(die(&mut table, 1, &[CULPRIT], ms(0)).is_empty());
     assert_eq!(die(&mut table, 1, &[CULPRIT], ms(after)), [CULPRIT]);
 }
@@ -55,7 +55,7 @@
 // Cause:   each connection is counted as a death.
 #[test]
 fn lost_twice_in_one_death_is_not_refused() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     table.sent(1, 7, server(1), ms(0));
     assert!(table.lost(1, ms(100)).is_none());
     table.sent(2, 7, server(1), ms(150));
@@ -67,7 +67,7 @@
 // Cause:   only what the deaths have in common tells the culprit from the bystanders.
 #[test]
 fn lost_among_others_is_refused_before_long() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     for death in 1..=4_u16 {
         let bystanders = u64::from(death) * 10;
         let running = [bystanders, bystanders + 1, CULPRIT, bystanders + 2];
@@ -85,11 +85,11 @@
 // Cause:   counted by server, each of the searches was there at eight deaths.
 #[test]
 fn lost_together_by_many_is_not_refused() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     for number in 1..=8 {
         assert!(die(&mut table, number, &[1, 2, 3], ms(0)).is_empty());
     }
-    assert_eq!(table.standing(1, ms(10)), Standing::Quarantined);
+    assert_eq!(table.status(1, ms(10)), Status::Quarantined);
 }
 
 // Symptom: a harmless request stays in quarantine, without hedges, for ten minutes.
@@ -97,20 +97,20 @@
 // Cause:   evidence that is not withdrawn when the request proves harmless.
 #[test]
 fn succeeded_on_replica_clears() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     die(&mut table, 1, &[7], ms(0));
     table.sent(9, 7, server(2), ms(10));
     table.succeeded(9, &[server(1), server(2)], ms(20));
-    assert_eq!(table.standing(7, ms(20)), Standing::Clear);
+    assert_eq!(table.status(7, ms(20)), Status::Clear);
 }
 
 #[test]
 fn succeeded_on_other_group_clears_nothing() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     die(&mut table, 1, &[7], ms(0));
     table.sent(9, 7, server(5), ms(10));
     table.succeeded(9, &[server(4), server(5)], ms(20));
-    assert_eq!(table.standing(7, ms(20)), Standing::Quarantined);
+    assert_eq!(table.status(7, ms(20)), Status::Quarantined);
 }
 
 // Symptom: requests are refused as crashing servers although no server ever stopped.
@@ -118,16 +118,16 @@
 // Cause:   a lost connection is taken for a dead process.
 #[test]
 fn survived_withdraws_evidence() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     die(&mut table, 1, &[7], ms(0));
     table.survived(server(1), ms(5));
     assert!(die(&mut table, 2, &[7], ms(1_000)).is_empty());
-    assert_eq!(table.standing(7, ms(1_010)), Standing::Quarantined);
+    assert_eq!(table.status(7, ms(1_010)), Status::Quarantined);
 }
 
 #[test]
 fn may_send_in_quarantine_allows_one_at_a_time() {
-    let mut table = Table::new();
+    let mut table = Detector::new();
     die(&mut table, 1, &[7], ms(0));
     assert!(table.may_send(7, ms(10)));
     table.sent(9, 7, server(2), ms(10));
@@ -138,11 +138,11 @@
 
 #[test]
 fn told_by_other_home_refuses_until_then() {
-    let mut table = Table::new();
-    table.told(7, ms(500), ms(0));
-    assert_eq!(table.standing(7, ms(499)), Standing::Refused(ms(500)));
+    let mut table = Detector::new();
+    table.apply_refusal(7, ms(500), ms(0));
+    assert_eq!(table.status(7, ms(499)), Status::Refused(ms(500)));
     table.tick(ms(500));
-    assert_eq!(table.standing(7, ms(500)), Standing::Clear);
+    assert_eq!(table.status(7, ms(500)), Status::Clear);
 }
 
 proptest! {
@@ -151,7 +151,7 @@
     fn lost_under_different_requests_refuses_none(
         deaths in prop::collection::vec(1..6_u64, 1..20),
     ) {
-        let mut table = Table::new();
+        let mut table = Detector::new();
         for (index, running) in deaths.iter().enumerate() {
             let number = index as u16;
             let first = u64::from(number) * 100;
