--- a/crates/daemon/src/backend/connection.rs
+++ b/crates/daemon/src/backend/connection.rs
@@ -96,10 +96,10 @@
                     serve(sender, driver, queue, clock, &codec, &report).await;
                     Event::Closed(id)
                 }
-                None => Event::Unopened(id, Unopened::Ended),
+                None => Event::ConnectFailed(id, Unopened::Ended),
             },
-            Ok(Err(error)) => Event::Unopened(id, unopened(&error)),
-            Err(_) => Event::Unopened(id, Unopened::Silent),
+            Ok(Err(error)) => Event::ConnectFailed(id, unopened(&error)),
+            Err(_) => Event::ConnectFailed(id, Unopened::Silent),
         };
         let _ = report.send(ended);
     });
--- a/crates/daemon/src/gateway/front/handing.rs
+++ b/crates/daemon/src/gateway/front/handing.rs
@@ -158,8 +158,8 @@
             reply = &mut part, if is_pending => {
                 is_pending = false;
                 home.tell(match reply {
-                    Ok(reply) => Event::Gathered(id, reply),
-                    Err(begun) => Event::NotGathered(id, begun),
+                    Ok(reply) => Event::DelegatedReply(id, reply),
+                    Err(begun) => Event::DelegationFailed(id, begun),
                 });
             }
         }
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -144,7 +144,7 @@
         let asked = event::Request {
             scope: Scope {
                 only: only.clone(),
-                elsewhere: (sharing.as_ref())
+                delegated: (sharing.as_ref())
                     .map(|(sharing, ..)| sharing.keys().clone())
                     .unwrap_or_default(),
             },
@@ -223,7 +223,9 @@
         let route = asking.route;
         let terms = route.terms(on_the_way);
         let terms = match (&route.target, only) {
-            (Target::Gather(gather), Some(only)) => terms.of_part(only.len(), gather.shards.len()),
+            (Target::Gather(gather), Some(only)) => {
+                terms.for_groups(only.len(), gather.shards.len())
+            }
             _ => terms,
         };
         event::Request {
@@ -234,7 +236,7 @@
             fingerprint: fingerprint(&forward),
             body: Arc::new(forward),
             execute_key: None,
-            terms: Some(terms),
+            params: Some(terms),
             scope: Scope::default(),
         }
     }
--- a/crates/daemon/src/gateway/relay/share.rs
+++ b/crates/daemon/src/gateway/relay/share.rs
@@ -11,7 +11,7 @@
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::IndexVersion;
 use monsoonring_decision::gateway::helper::{Ended, Share};
-use monsoonring_decision::home::event::Begun;
+use monsoonring_decision::home::event::Progress;
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::query::coverage::Set;
 use monsoonring_decision::reply::{Item, Reply, Report};
@@ -43,7 +43,7 @@
 }
 
 /// What the other host covers, or whether it may have begun.
-pub(in crate::gateway) type Part = std::result::Result<Reply<Whole>, Begun>;
+pub(in crate::gateway) type Part = std::result::Result<Reply<Whole>, Progress>;
 
 /// What became of a part.
 pub(in crate::gateway) struct Shared {
@@ -111,8 +111,8 @@
         let (Some((covered, snapshot)), StatusCode::OK) = (covered, status) else {
             let begun = match status {
                 // It says that nothing has run.
-                StatusCode::SERVICE_UNAVAILABLE => Begun::No,
-                _ => Begun::Maybe,
+                StatusCode::SERVICE_UNAVAILABLE => Progress::NotStarted,
+                _ => Progress::MaybeStarted,
             };
             let why = Some(format!("status {}", status.as_u16()));
             let reply = Err(begun);
@@ -139,8 +139,8 @@
 
 fn lost(error: &Error) -> Shared {
     let begun = match error.may_have_begun() {
-        true => Begun::Maybe,
-        false => Begun::No,
+        true => Progress::MaybeStarted,
+        false => Progress::NotStarted,
     };
     Shared {
         reply: Err(begun),
@@ -157,7 +157,7 @@
         headers: head.headers,
         body: body.to_bytes(),
     };
-    let first = covered.ranges().first().ok_or(Begun::Maybe)?;
+    let first = covered.ranges().first().ok_or(Progress::MaybeStarted)?;
     Ok(Reply {
         items: vec![Item {
             key: first.start,
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -245,7 +245,7 @@
             fingerprint: call.fingerprint,
             body: call.body.clone(),
             execute_key,
-            terms: None,
+            params: None,
             scope: event::Scope::default(),
         }
     }
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -13,7 +13,7 @@
 use monsoonring_decision::attempt::{ConnectionId, Failure};
 use monsoonring_decision::content::Content;
 use monsoonring_decision::home::action::{Decision, Send};
-use monsoonring_decision::home::{Action, Alarm, Event, Home};
+use monsoonring_decision::home::{Action, Event, Home, Wakeup};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_decision::placement::Part;
 use monsoonring_decision::policy::Policy;
@@ -133,7 +133,7 @@
     side: side::Line,
     connections: HashMap<ConnectionId, Connection<K>>,
     waiting: HashMap<RequestId, oneshot::Sender<Ended<K::Content>>>,
-    alarm: Alarm,
+    alarm: Wakeup,
     gauges: Gauges,
 }
 
@@ -158,7 +158,7 @@
             side,
             connections: HashMap::new(),
             waiting: HashMap::new(),
-            alarm: Alarm::default(),
+            alarm: Wakeup::default(),
             gauges,
         }
     }
@@ -179,7 +179,7 @@
     fn event(&mut self, event: Event<K::Content>) {
         match &event {
             Event::Abandoned(request) => drop(self.waiting.remove(request)),
-            Event::Closed(connection) | Event::Unopened(connection, _) => {
+            Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
                 drop(self.connections.remove(connection));
             }
             Event::Opened(_) => self.metrics.home.opened(&self.route),
@@ -188,7 +188,7 @@
             _ => {}
         }
         let now = self.clock.now();
-        self.alarm.feed(now);
+        self.alarm.on_event(now);
         let actions = self.home.on(event, now);
         self.perform(actions);
         self.gauges.follow(&self.home, self.connections.len(), now);
@@ -223,13 +223,13 @@
                 self.side.cancel(attempt, backend_server, &self.report);
             }
             Action::Finish(request, outcome) => self.finish(request, outcome),
-            Action::TellLeaving(backend_server, start) => {
+            Action::AnnounceLeaving(backend_server, start) => {
                 let _ = self.facts.send(Fact::Leaving(backend_server, start));
             }
-            Action::TellSuspect(fingerprint, life) => {
+            Action::AnnounceSuspect(fingerprint, life) => {
                 let _ = self.facts.send(Fact::Suspect(fingerprint, life));
             }
-            Action::Wake(at) => self.alarm.ask(at),
+            Action::Wake(at) => self.alarm.schedule(at),
             // They are logged together.
             Action::Log(_) => {}
         }
--- a/crates/decision/examples/instructions.rs
+++ b/crates/decision/examples/instructions.rs
@@ -9,7 +9,7 @@
 use monsoonring_configuration::document::{Class, Kind};
 use monsoonring_decision::Time;
 use monsoonring_decision::admission::Urgency;
-use monsoonring_decision::home::Terms;
+use monsoonring_decision::home::Params;
 use monsoonring_decision::home::event::{Request, Scope};
 use monsoonring_decision::home::{Action, Event, Home};
 use monsoonring_decision::reply::{Item, Load, Reply, Report};
@@ -205,7 +205,7 @@
         fingerprint: u64::from(number),
         body: "{\"near\":[1,2]}".into(),
         execute_key: None,
-        terms: ranked().then(|| terms(number)),
+        params: ranked().then(|| terms(number)),
         scope: Scope::default(),
     }
 }
@@ -215,13 +215,13 @@
     std::env::args().any(|argument| argument == "--ranked")
 }
 
-fn terms(number: u32) -> Terms {
+fn terms(number: u32) -> Params {
     let rank = number % 2;
-    Terms {
+    Params {
         kind: Kind::Search,
-        runs_at_most: u32::MAX,
+        max_runs: u32::MAX,
         soft_deadline: None,
-        least_coverage: 0.0,
+        min_coverage: 0.0,
         work: u64::from(rank),
         urgency: Some(Urgency {
             rank,
--- a/crates/decision/src/gateway/table.rs
+++ b/crates/decision/src/gateway/table.rs
@@ -2,7 +2,7 @@
 
 use super::{ServiceId, Shards, way};
 use crate::admission::Urgency;
-use crate::home::Terms;
+use crate::home::Params;
 use crate::query::coverage;
 use monsoonring_configuration::document::{Class, Kind, SoftDeadline};
 use monsoonring_configuration::id::RouteId;
@@ -88,7 +88,7 @@
     }
 
     /// Returns what holds for its requests at a home, where answers take so long on their way to callers.
-    pub fn terms(&self, on_the_way: Duration) -> Terms {
+    pub fn terms(&self, on_the_way: Duration) -> Params {
         let soft = match &self.target {
             Target::Gather(gather) => Some(SoftDeadline {
                 after_ms: way::leaves_after(self.objective, on_the_way).as_millis() as u64,
@@ -96,11 +96,11 @@
             }),
             Target::Split(_) => None,
         };
-        Terms {
+        Params {
             kind: self.kind,
-            runs_at_most: self.attempts,
+            max_runs: self.attempts,
             soft_deadline: soft,
-            least_coverage: soft.map_or(0.0, |soft| soft.coverage),
+            min_coverage: soft.map_or(0.0, |soft| soft.coverage),
             work: xxh3_64(self.name.as_bytes()),
             urgency: Some(Urgency {
                 rank: self.priority,
--- a/crates/decision/src/home/action.rs
+++ b/crates/decision/src/home/action.rs
@@ -25,11 +25,11 @@
     /// The one final result of a request.
     Finish(RequestId, Outcome<C::Value>),
     /// Tell the other homes that a backend server is leaving.
-    TellLeaving(BackendServerId, Option<Incarnation>),
+    AnnounceLeaving(BackendServerId, Option<Incarnation>),
     /// Tell the other homes that requests with this fingerprint crash backend servers.
-    TellSuspect(Fingerprint, Duration),
+    AnnounceSuspect(Fingerprint, Duration),
     /// Feed `Tick` at this time, or earlier; kept by any event from that time on, as in
-    /// [`Alarm`](super::Alarm).
+    /// [`Wakeup`](super::Wakeup).
     Wake(Time),
     /// Write a line to the log.
     Log(Decision),
--- a/crates/decision/src/home/rescue.rs
+++ b/crates/decision/src/home/deferral.rs
@@ -24,7 +24,7 @@
     /// Lets a failed part wait for the others, if further attempts are scarce and there is time.
     /// Returns whether it waits.
     pub(super) fn defers(&mut self, run: &mut Run<C>, id: PartId, now: Time) -> bool {
-        let Some(soft) = self.terms(&run.request).soft_deadline else {
+        let Some(soft) = self.params(&run.request).soft_deadline else {
             return false;
         };
         let until = run.started + Duration::from_millis(soft.after_ms).mul_f64(WAIT_SHARE);
--- a/crates/decision/src/home/elsewhere.rs
+++ b/crates/decision/src/home/delegation.rs
@@ -4,7 +4,7 @@
 //! of the search are those of the whole answer. Its keys are not asked for here while it may have begun: it may ask as
 //! many servers of a group as the request may run on.
 
-use super::event::Begun;
+use super::event::Progress;
 use super::state::Home;
 use crate::content::Content;
 use crate::outcome::Reason;
@@ -39,18 +39,18 @@
     }
 
     /// Takes in that another home does not look through what it was asked for.
-    pub(super) fn not_gathered(&mut self, id: RequestId, begun: Begun, now: Time) {
+    pub(super) fn not_gathered(&mut self, id: RequestId, begun: Progress, now: Time) {
         self.with_run(id, now, |home, run| {
             let elsewhere = run.take_elsewhere();
             match begun {
-                Begun::No => {
+                Progress::NotStarted => {
                     let why = format!("keys {:?} are asked for here", elsewhere.ranges());
                     home.log(Some(id), "elsewhere", None, why);
                     for part in run.deal_anew(&elsewhere, &home.route) {
                         home.assign(run, part, Cause::First, now);
                     }
                 }
-                Begun::Maybe => {
+                Progress::MaybeStarted => {
                     run.fanout.send();
                     home.lose_elsewhere(run, &elsewhere, "lost");
                 }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -70,7 +70,7 @@
             lost_at: task.request.deadline + ANSWER_GRACE,
         };
         self.timers.set(flight.next(), Timer::Attempt(id));
-        let work = self.terms(task.request).work;
+        let work = self.params(task.request).work;
         self.fleet.sent_for(work, server, id, now);
         self.flights.queue(flight);
         *self.callable.entry(server).or_default() += 1;
@@ -82,7 +82,7 @@
         let may = hedge.budget_percent > 0.0
             && !task.cause.is_second()
             && matches!(task.owner, Owner::Part(..));
-        let work = self.terms(task.request).work;
+        let work = self.params(task.request).work;
         may.then(|| {
             self.fleet
                 .hedge_delay_of(work, task.server, hedge.quantile, now)
--- a/crates/decision/src/home/event.rs
+++ b/crates/decision/src/home/event.rs
@@ -1,6 +1,6 @@
 //! What happens to a home.
 
-use super::terms::Terms;
+use super::params::Params;
 use crate::attempt::{AttemptId, ConnectionId, Failure, Unopened};
 use crate::backend::Cold;
 use crate::content::{Content, Json};
@@ -31,7 +31,7 @@
     /// Idempotency key of a non-idempotent request; `None` for a search.
     pub execute_key: Option<Arc<str>>,
     /// What holds for this request; `None` for what the home's route says.
-    pub terms: Option<Terms>,
+    pub params: Option<Params>,
     /// Which keys are asked for.
     pub scope: Scope,
 }
@@ -42,17 +42,17 @@
     /// The keys asked for; `None` for all keys of the route.
     pub only: Option<Set>,
     /// Those of them that another home looks through, which
-    /// [`Event::Gathered`] or [`Event::NotGathered`] tell of.
-    pub elsewhere: Set,
+    /// [`Event::DelegatedReply`] or [`Event::DelegationFailed`] tell of.
+    pub delegated: Set,
 }
 
 /// Whether another home has begun what it was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begun {
+pub enum Progress {
     /// It has not, and won't.
-    No,
+    NotStarted,
     /// It may have asked as many servers as the request may run on.
-    Maybe,
+    MaybeStarted,
 }
 
 /// Something that a home has to react to.
@@ -63,15 +63,15 @@
     /// The caller of a request went away.
     Abandoned(RequestId),
     /// Another home has looked through keys of a search; the ranges of the reply are those that it covers.
-    Gathered(RequestId, Reply<C::Value>),
+    DelegatedReply(RequestId, Reply<C::Value>),
     /// Another home does not look through the keys of a search that it was asked for.
-    NotGathered(RequestId, Begun),
+    DelegationFailed(RequestId, Progress),
     /// A connection asked for by an action is ready.
     Opened(ConnectionId),
     /// A connection asked for could not be made, or an idle one has ended.
     Closed(ConnectionId),
     /// A connection asked for could not be made, with what is known of why.
-    Unopened(ConnectionId, Unopened),
+    ConnectFailed(ConnectionId, Unopened),
     /// An attempt was answered; its connection is idle again.
     Reply(AttemptId, Reply<C::Value>),
     /// An attempt of a non-idempotent request was answered with its result.
--- a/crates/decision/src/home/mod.rs
+++ b/crates/decision/src/home/mod.rs
@@ -11,28 +11,28 @@
 //! `timer` keeps what is due.
 
 pub mod action;
-mod alarm;
 mod counts;
+mod deferral;
+mod delegation;
 mod dispatch;
-mod down;
-mod elsewhere;
 mod ending;
 pub mod event;
 mod execute;
 mod flight;
-mod hindrance;
+mod outage;
+pub mod params;
 mod placement;
-mod reroute;
-mod rescue;
+mod route;
 mod search;
 mod server;
+mod skip;
 mod state;
-pub mod terms;
 mod timer;
+mod wakeup;
 
 pub use action::Action;
-pub use alarm::Alarm;
 pub use counts::Counts;
 pub use event::Event;
+pub use params::Params;
 pub use state::Home;
-pub use terms::Terms;
+pub use wakeup::Wakeup;
--- a/crates/decision/src/home/down.rs
+++ b/crates/decision/src/home/outage.rs
@@ -5,9 +5,9 @@
 
 /// What made a server count as unreachable.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub(super) enum Down {
+pub(super) enum Outage {
     #[display("connect: {_0}")]
-    Unopened(Unopened),
+    ConnectFailed(Unopened),
     #[display("last connection lost")]
-    Lost,
+    ConnectionLost,
 }
--- a/crates/decision/src/home/terms.rs
+++ b/crates/decision/src/home/params.rs
@@ -11,27 +11,27 @@
 
 /// What holds for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Params {
     /// Whether the request may run more than once.
     pub kind: Kind,
     /// Backend servers that may come to run one part of it, hedges included. A server that proves
     /// that it did not run it does not count.
-    pub runs_at_most: u32,
+    pub max_runs: u32,
     /// When and at which coverage waiting on is no longer worth it.
     pub soft_deadline: Option<SoftDeadline>,
     /// Share of the data, from 0 to 1, below which an answer is of no use to the caller.
-    pub least_coverage: f64,
+    pub min_coverage: f64,
     /// What it asks of the backend servers.
     pub work: Work,
     /// How urgent it is, where requests of other ranks share the backend servers.
     pub urgency: Option<Urgency>,
 }
 
-impl Terms {
+impl Params {
     /// Returns the same for a search of so many of all groups, as they weigh alike: its answer may lack as many as one
     /// of all groups may.
     #[must_use]
-    pub fn of_part(self, part: u64, of: usize) -> Self {
+    pub fn for_groups(self, part: u64, of: usize) -> Self {
         let least = |coverage: f64| {
             let dispensable = coverage::dispensable(coverage, of as f64);
             (1.0 - dispensable as f64 / part.max(1) as f64).max(0.0)
@@ -41,19 +41,19 @@
                 coverage: least(soft.coverage),
                 ..soft
             }),
-            least_coverage: least(self.least_coverage),
+            min_coverage: least(self.min_coverage),
             ..self
         }
     }
 }
 
-impl From<&Route> for Terms {
+impl From<&Route> for Params {
     fn from(route: &Route) -> Self {
         Self {
             kind: route.kind,
-            runs_at_most: u32::MAX,
+            max_runs: u32::MAX,
             soft_deadline: route.soft_deadline,
-            least_coverage: 0.0,
+            min_coverage: 0.0,
             work: 0,
             urgency: None,
         }
--- a/crates/decision/src/home/reroute.rs
+++ b/crates/decision/src/home/route.rs
@@ -27,7 +27,7 @@
         let gone = self.replace(route);
         for server in gone {
             self.evacuate(server, now);
-            self.down.remove(&server);
+            self.outages.remove(&server);
         }
         let groups = 0..self.route.groups.len();
         self.changed.extend(groups);
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -50,11 +50,11 @@
     /// Returns the times at which a partial answer becomes better than a later one: with what another home looks
     /// through, and without it.
     fn soft_times(&self, run: &Run<C>) -> SmallVec<[Time; 2]> {
-        let Some(soft) = self.terms(&run.request).soft_deadline else {
+        let Some(soft) = self.params(&run.request).soft_deadline else {
             return SmallVec::new();
         };
         let at = run.started + Duration::from_millis(soft.after_ms);
-        match run.request.scope.elsewhere.is_empty() {
+        match run.request.scope.delegated.is_empty() {
             true => smallvec![at],
             false => smallvec![at, at + ELSEWHERE_GRACE],
         }
@@ -68,14 +68,14 @@
     /// that are least behind, and all of them are answered. Asked for all, two groups that had one server of
     /// three left gave late answers to one search in four, and one in twenty was refused.
     fn leave_out(&mut self, run: &mut Run<C>, now: Time) {
-        let Some(soft) = self.terms(&run.request).soft_deadline else {
+        let Some(soft) = self.params(&run.request).soft_deadline else {
             return;
         };
         let dispensable = self.dispensable(&run.request);
         if dispensable == 0 || self.fleet.failing(now) > FAILING {
             return;
         }
-        let work = self.terms(&run.request).work;
+        let work = self.params(&run.request).work;
         let usual = self.fleet.usual_of(work).unwrap_or_default();
         let in_time = Duration::from_millis(soft.after_ms).mul_f64(IN_TIME);
         let in_time = in_time.saturating_sub(usual);
@@ -131,7 +131,7 @@
 
     /// Tells whether waiting on is no longer worth it.
     fn is_enough(&self, run: &Run<C>, now: Time) -> bool {
-        let Some(soft) = self.terms(&run.request).soft_deadline else {
+        let Some(soft) = self.params(&run.request).soft_deadline else {
             return false;
         };
         let times = self.soft_times(run);
@@ -145,14 +145,14 @@
     /// Tells whether so much was given up that no answer can come of the rest. Waiting on would hold
     /// the caller, and the servers with it, for nothing.
     pub(super) fn is_hopeless(&self, run: &Run<C>) -> bool {
-        let least = self.terms(&run.request).least_coverage;
+        let least = self.params(&run.request).min_coverage;
         let is_whole = || run.parts.values().all(|part| part.given_up.is_none());
         least > 0.0 && !is_whole() && run.reachable(&self.route, None) < least
     }
 
     /// Returns what rests on another attempt for a part.
     fn need(&self, run: &Run<C>, id: PartId, cause: Cause) -> Need {
-        let least = self.terms(&run.request).least_coverage;
+        let least = self.params(&run.request).min_coverage;
         let is_retry = matches!(cause, Cause::Retry | Cause::Overdue);
         if !is_retry || least <= 0.0 || run.reachable(&self.route, Some(id)) < least {
             return Need::Decisive(run.retries);
@@ -228,7 +228,7 @@
         need: Need,
         now: Time,
     ) {
-        let terms = self.terms(&run.request);
+        let params = self.params(&run.request);
         let Some(part) = run.parts.get_mut(&id) else {
             return;
         };
@@ -236,7 +236,7 @@
             part.cause = cause;
         }
         let many = cause == Cause::Retry && part.attempts >= self.route.retry.attempts;
-        if many || part.may_have_run() >= terms.runs_at_most {
+        if many || part.may_have_run() >= params.max_runs {
             if part.live.is_empty() {
                 part.give_up();
             }
@@ -370,8 +370,8 @@
         part.vanished = self.has_vanished(part.group, version);
         part.give_up();
         let group = part.group;
-        let hindrances = self.hindrances(group, version, deadline, now);
-        let why = format!("no server for part {id}, {hindrances}");
+        let skip_reasons = self.skip_reasons(group, version, deadline, now);
+        let why = format!("no server for part {id}, {skip_reasons}");
         self.log(Some(run.request.id), "give_up", None, why);
     }
 
@@ -416,7 +416,7 @@
         }
         let request = run.request.clone();
         let began = run.started;
-        let least = self.terms(&request).least_coverage;
+        let least = self.params(&request).min_coverage;
         let outcome = run.finish(&self.route, least, reason);
         let why = summary(&outcome, reason);
         self.log(Some(request.id), "finish", None, why);
--- a/crates/decision/src/home/server.rs
+++ b/crates/decision/src/home/server.rs
@@ -1,8 +1,8 @@
 //! What is learned of backend servers and of the route.
 
 use super::action::Action;
-use super::down::Down;
 use super::flight::Owner;
+use super::outage::Outage;
 use super::state::Home;
 use crate::attempt::{ConnectionId, Failure, Unopened};
 use crate::backend::pool::Ending;
@@ -101,7 +101,7 @@
         }
         if news.leaving {
             let start = self.fleet.start(server);
-            self.actions.push(Action::TellLeaving(server, start));
+            self.actions.push(Action::AnnounceLeaving(server, start));
             self.leave(server, now);
         }
     }
@@ -188,7 +188,7 @@
             return;
         };
         self.fleet.set_reachable(server, true, now);
-        self.down.remove(&server);
+        self.outages.remove(&server);
         self.learn(server);
         *self.callable.entry(server).or_default() += 1;
         self.touch(server);
@@ -218,7 +218,7 @@
         if why != Unopened::Ended {
             self.prove(ending.server, now);
         }
-        self.lose(ending, Down::Unopened(why), now);
+        self.lose(ending, Outage::ConnectFailed(why), now);
     }
 
     /// Takes a connection that has ended off the books. If it was the last sign that the server can
@@ -227,18 +227,18 @@
         let Some(ending) = self.pool.closed(connection, now) else {
             return;
         };
-        self.lose(ending, Down::Lost, now);
+        self.lose(ending, Outage::ConnectionLost, now);
     }
 
-    fn lose(&mut self, ending: Ending, down: Down, now: Time) {
+    fn lose(&mut self, ending: Ending, outage: Outage, now: Time) {
         self.touch(ending.server);
         if !ending.down {
             *self.callable.entry(ending.server).or_default() += 1;
             return;
         }
         let server = ending.server;
-        self.log(None, "unreachable", Some(server), down.to_string());
-        self.down.insert(server, down);
+        self.log(None, "unreachable", Some(server), outage.to_string());
+        self.outages.insert(server, outage);
         self.fleet.set_reachable(server, false, now);
         self.evacuate(server, now);
         self.learn(server);
@@ -262,7 +262,8 @@
     ) {
         let why = format!("fingerprint {fingerprint:016x} for {period:?}");
         self.log(None, "suspect", Some(server), why);
-        self.actions.push(Action::TellSuspect(fingerprint, period));
+        self.actions
+            .push(Action::AnnounceSuspect(fingerprint, period));
         self.condemn(fingerprint, now);
     }
 
--- a/crates/decision/src/home/hindrance.rs
+++ b/crates/decision/src/home/skip.rs
@@ -4,7 +4,7 @@
 //! the servers and what stands in the way of each, operators can't tell a shard whose servers have all
 //! left from one whose servers are full of other hosts' connections.
 
-use super::down::Down;
+use super::outage::Outage;
 use super::state::Home;
 use crate::Time;
 use crate::content::Content;
@@ -13,11 +13,11 @@
 
 /// What stands in the way of work for a server.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-enum Hindrance {
+enum SkipReason {
     #[display("leaving")]
     Leaving,
     #[display("unreachable, {_0}")]
-    Unreachable(Down),
+    Unreachable(Outage),
     #[display("lacks the version")]
     Version,
     #[display("asked to be left alone until {_0:?}")]
@@ -30,7 +30,7 @@
 
 impl<C: Content> Home<C> {
     /// Says for each server of a group why it gets no work of a search.
-    pub(super) fn hindrances(
+    pub(super) fn skip_reasons(
         &self,
         group: usize,
         version: Option<IndexVersion>,
@@ -42,8 +42,8 @@
         };
         let servers = group.backend_servers.iter();
         let told = servers.map(|server| {
-            let hindrance = self.hindrance(*server, version, deadline, now);
-            format!("{server} {hindrance}")
+            let skip_reason = self.skip_reason(*server, version, deadline, now);
+            format!("{server} {skip_reason}")
         });
         let told: Vec<String> = told.collect();
         match told.is_empty() {
@@ -52,30 +52,34 @@
         }
     }
 
-    fn hindrance(
+    fn skip_reason(
         &self,
         server: BackendServerId,
         version: Option<IndexVersion>,
         deadline: Time,
         now: Time,
-    ) -> Hindrance {
+    ) -> SkipReason {
         if self.fleet.is_leaving(server) {
-            return Hindrance::Leaving;
+            return SkipReason::Leaving;
         }
         if !self.pool.is_reachable(server) {
-            let down = self.down.get(&server).copied().unwrap_or(Down::Lost);
-            return Hindrance::Unreachable(down);
+            let outage = self
+                .outages
+                .get(&server)
+                .copied()
+                .unwrap_or(Outage::ConnectionLost);
+            return SkipReason::Unreachable(outage);
         }
         if self.lacks(server, version) {
-            return Hindrance::Version;
+            return SkipReason::Version;
         }
         match self.back_offs.get(&server) {
-            Some(until) if *until >= deadline => return Hindrance::BackOff(*until),
+            Some(until) if *until >= deadline => return SkipReason::BackOff(*until),
             _ => {}
         }
         match self.fleet.shut_until(server, now) {
-            Some(until) if until >= deadline => Hindrance::Cold(until),
-            _ => Hindrance::Tried,
+            Some(until) if until >= deadline => SkipReason::Cold(until),
+            _ => SkipReason::Tried,
         }
     }
 }
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -2,11 +2,11 @@
 
 use super::action::{Action, Decision};
 use super::counts::Counts;
-use super::down::Down;
 use super::event::{Event, Request};
 use super::flight;
+use super::outage::Outage;
+use super::params::Params;
 use super::placement::Placement;
-use super::terms::Terms;
 use super::timer::{self, Timer};
 use crate::admission::shortage;
 use crate::admission::{Admission, Gate, Ranked, Shortage, Waits};
@@ -71,7 +71,7 @@
     /// Until when a server asked for no work.
     pub(super) back_offs: BTreeMap<BackendServerId, Time>,
     /// What made servers unreachable, for those that are.
-    pub(super) down: BTreeMap<BackendServerId, Down>,
+    pub(super) outages: BTreeMap<BackendServerId, Outage>,
     pub(super) timers: timer::Queue,
     /// When the fleet is to be told the time.
     pub(super) fleet_at: Option<Time>,
@@ -126,7 +126,7 @@
             freed: BTreeSet::new(),
             callable: BTreeMap::new(),
             back_offs: BTreeMap::new(),
-            down: BTreeMap::new(),
+            outages: BTreeMap::new(),
             timers: timer::Queue::default(),
             fleet_at: None,
             fleet_changed: true,
@@ -193,11 +193,11 @@
         match event {
             Event::Request(request) => self.arrived(request, now),
             Event::Abandoned(id) => self.abandoned(id, now),
-            Event::Gathered(id, reply) => self.gathered(id, reply, now),
-            Event::NotGathered(id, begun) => self.not_gathered(id, begun, now),
+            Event::DelegatedReply(id, reply) => self.gathered(id, reply, now),
+            Event::DelegationFailed(id, begun) => self.not_gathered(id, begun, now),
             Event::Opened(connection) => self.opened(connection, now),
             Event::Closed(connection) => self.closed(connection, now),
-            Event::Unopened(connection, why) => self.unopened(connection, why, now),
+            Event::ConnectFailed(connection, why) => self.unopened(connection, why, now),
             Event::Reply(attempt, reply) => self.replied(attempt, reply, now),
             Event::Executed(attempt, value, report) => {
                 self.executed(attempt, value, &report, now);
@@ -255,20 +255,20 @@
         self.log_shortage(change);
         self.timers
             .set(request.deadline, Timer::Deadline(request.id));
-        match self.terms(&request).kind {
+        match self.params(&request).kind {
             Kind::Search => self.search(request, now),
             Kind::Execute => self.execute(request, now),
         }
     }
 
     /// Returns what holds for a request.
-    pub(super) fn terms(&self, request: &Request<C>) -> Terms {
-        request.terms.unwrap_or_else(|| Terms::from(&*self.route))
+    pub(super) fn params(&self, request: &Request<C>) -> Params {
+        request.params.unwrap_or_else(|| Params::from(&*self.route))
     }
 
     /// Returns how many groups an answer to a request can do without, as they weigh alike.
     pub(super) fn dispensable(&self, request: &Request<C>) -> usize {
-        let least = self.terms(request).least_coverage;
+        let least = self.params(request).min_coverage;
         let groups = match &request.scope.only {
             Some(only) => only.weight(&self.route.groups),
             None => self.route.groups.len() as f64,
@@ -345,10 +345,10 @@
 
     /// Returns what admission has to know of a request whose rank is known.
     fn ranked(&self, request: &Request<C>, now: Time) -> Option<Ranked> {
-        let terms = self.terms(request);
+        let params = self.params(request);
         Some(Ranked {
-            work: terms.work,
-            urgency: terms.urgency?,
+            work: params.work,
+            urgency: params.urgency?,
             dispensable: self.dispensable(request),
             waits: self.waits(now),
         })
@@ -376,9 +376,9 @@
     /// Tells whether a request keeps out of the servers' queues. Parts that were sent can't be overtaken any more, so that its parts are
     /// held here until a slot is free.
     pub(super) fn yields(&self, request: &Request<C>, now: Time) -> bool {
-        let terms = self.terms(request);
-        let yields = |urgency| self.gate.yields(terms.work, urgency, now);
-        terms.urgency.is_some_and(yields)
+        let params = self.params(request);
+        let yields = |urgency| self.gate.yields(params.work, urgency, now);
+        params.urgency.is_some_and(yields)
     }
 
     fn abandoned(&mut self, id: RequestId, now: Time) {
@@ -415,7 +415,7 @@
         let took = now.saturating_sub(began);
         self.gate.finished(request.class, took, now);
         if matches!(outcome, Outcome::Answered(_)) {
-            self.gate.answered(self.terms(request).work, now);
+            self.gate.answered(self.params(request).work, now);
         }
         self.actions.push(Action::Finish(request.id, outcome));
     }
--- a/crates/decision/src/home/alarm.rs
+++ b/crates/decision/src/home/wakeup.rs
@@ -10,16 +10,16 @@
 
 /// The earliest wake-up that a home was promised.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Alarm(Option<Time>);
+pub struct Wakeup(Option<Time>);
 
-impl Alarm {
+impl Wakeup {
     /// Takes in that the home wants to be woken, by [`Action::Wake`](super::Action::Wake).
-    pub fn ask(&mut self, at: Time) {
+    pub fn schedule(&mut self, at: Time) {
         self.0 = Some(self.0.map_or(at, |promised| promised.min(at)));
     }
 
     /// Takes in that an event, of whatever kind, is about to be fed at `now`.
-    pub fn feed(&mut self, now: Time) {
+    pub fn on_event(&mut self, now: Time) {
         self.0 = self.0.filter(|promised| *promised > now);
     }
 
--- a/crates/decision/src/query/run.rs
+++ b/crates/decision/src/query/run.rs
@@ -170,7 +170,7 @@
             next_part: 0,
             retry_after: None,
         };
-        run.elsewhere = run.request.scope.elsewhere.clone();
+        run.elsewhere = run.request.scope.delegated.clone();
         let here = run.wanted(route).difference(&run.elsewhere);
         run.deal(&here, route, &Part::default());
         run
--- a/crates/decision/tests/home_alarm.rs
+++ b/crates/decision/tests/home_alarm.rs
@@ -3,7 +3,7 @@
 mod session;
 
 use monsoonring_decision::Time;
-use monsoonring_decision::home::{Action, Alarm, Event, Home};
+use monsoonring_decision::home::{Action, Event, Home, Wakeup};
 use proptest::prelude::*;
 use session::{VERSION, ms, report, request, route, server};
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 /// A home that is fed nothing but what its alarm asks for, and some other events.
 struct Driver {
     home: Home,
-    alarm: Alarm,
+    alarm: Wakeup,
     finished: Option<Time>,
 }
 
 impl Driver {
     fn feed(&mut self, event: Event, now: Time) {
-        self.alarm.feed(now);
+        self.alarm.on_event(now);
         let actions = self.home.on(event, now);
         self.carry_out(actions, now);
     }
@@ -30,7 +30,7 @@
     fn carry_out(&mut self, actions: Vec<Action>, now: Time) {
         for action in actions {
             match action {
-                Action::Wake(at) => self.alarm.ask(at),
+                Action::Wake(at) => self.alarm.schedule(at),
                 Action::Open(id, _) => self.feed(Event::Opened(id), now),
                 Action::Finish(..) => self.finished = Some(now),
                 _ => {}
@@ -51,7 +51,7 @@
         late in 0..LATE_AT_MOST,
     ) {
         let (home, actions) = Home::new(Arc::new(route(2, 2)), 1, 7, Time::ZERO);
-        let mut driver = Driver { home, alarm: Alarm::default(), finished: None };
+        let mut driver = Driver { home, alarm: Wakeup::default(), finished: None };
         driver.carry_out(actions, Time::ZERO);
         driver.feed(Event::Request(request(1, Time::ZERO)), Time::ZERO);
         let mut others = gaps.iter().scan(0, |at, gap| { *at += gap; Some(ms(*at)) }).peekable();
--- a/crates/decision/tests/home_elsewhere.rs
+++ b/crates/decision/tests/home_elsewhere.rs
@@ -4,9 +4,9 @@
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::{Kind, SoftDeadline};
-use monsoonring_decision::home::Terms;
+use monsoonring_decision::home::Params;
 use monsoonring_decision::home::action::Send;
-use monsoonring_decision::home::event::{Begun, Event, Request, Scope};
+use monsoonring_decision::home::event::{Event, Progress, Request, Scope};
 use monsoonring_decision::outcome::{Outcome, Reason};
 use monsoonring_decision::query::coverage::Set;
 use rand::seq::SliceRandom;
@@ -36,15 +36,15 @@
     (GROUPS - ELSEWHERE..GROUPS).collect()
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Params {
+    Params {
         kind: Kind::Search,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: Some(SoftDeadline {
             after_ms: SOFT,
             coverage: LEAST,
         }),
-        least_coverage: LEAST,
+        min_coverage: LEAST,
         work: 0,
         urgency: None,
     }
@@ -53,10 +53,10 @@
 /// Begins a search of which the other home looks through its groups.
 fn begin(session: &mut Session) {
     let request = Request {
-        terms: Some(terms()),
+        params: Some(terms()),
         scope: Scope {
             only: None,
-            elsewhere: keys_of(&elsewhere()),
+            delegated: keys_of(&elsewhere()),
         },
         ..request(1, session.now)
     };
@@ -67,7 +67,7 @@
 fn gathered(session: &mut Session, groups: &[usize]) {
     let covered = keys_of(groups);
     let reply = reply(covered.ranges(), VERSION);
-    session.on(Event::Gathered(1, reply));
+    session.on(Event::DelegatedReply(1, reply));
 }
 
 /// Returns the groups that servers here were asked for.
@@ -128,7 +128,7 @@
 fn not_gathered_begun_is_not_asked_here() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     begin(&mut session);
-    session.on(Event::NotGathered(1, Begun::Maybe));
+    session.on(Event::DelegationFailed(1, Progress::MaybeStarted));
     session.pass(ms(1));
     assert_eq!(asked(&session), (0..GROUPS - ELSEWHERE).collect::<Vec<_>>());
     let Outcome::Failed { reason, .. } = session.outcome(1) else {
@@ -141,7 +141,7 @@
 fn not_gathered_declined_is_asked_here() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     begin(&mut session);
-    session.on(Event::NotGathered(1, Begun::No));
+    session.on(Event::DelegationFailed(1, Progress::NotStarted));
     assert_eq!(asked(&session), (0..GROUPS).collect::<Vec<_>>());
     session.answer_from(0);
     assert_eq!(session.answered(1).coverage, 1.0);
@@ -220,14 +220,14 @@
         coverage: 0.5,
     });
     let request = Request {
-        terms: Some(Terms {
+        params: Some(Params {
             soft_deadline,
-            least_coverage: 0.5,
+            min_coverage: 0.5,
             ..terms()
         }),
         scope: Scope {
             only: None,
-            elsewhere: keys_of(&elsewhere()),
+            delegated: keys_of(&elsewhere()),
         },
         ..request(1, session.now)
     };
@@ -258,10 +258,10 @@
 fn only_is_all_that_is_asked_for() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     let request = Request {
-        terms: Some(terms().of_part(ELSEWHERE as u64, GROUPS)),
+        params: Some(terms().for_groups(ELSEWHERE as u64, GROUPS)),
         scope: Scope {
             only: Some(keys_of(&elsewhere())),
-            elsewhere: Set::default(),
+            delegated: Set::default(),
         },
         ..request(1, session.now)
     };
@@ -280,11 +280,11 @@
 #[test_case(0.5, 4, 10, 0.0; "all_of_it")]
 #[test_case(1.0, 4, 10, 1.0; "none")]
 fn of_part_lacks_as_many_groups(least: f64, part: u64, of: usize, expected: f64) {
-    let terms = Terms {
-        least_coverage: least,
+    let terms = Params {
+        min_coverage: least,
         ..terms()
     };
-    let found = terms.of_part(part, of).least_coverage;
+    let found = terms.for_groups(part, of).min_coverage;
     assert!((found - expected).abs() < 1e-9, "{found}");
 }
 
@@ -310,10 +310,10 @@
             if step == tell_after {
                 match told {
                     0 => gathered(&mut session, &covered),
-                    1 => session.on(Event::NotGathered(1, Begun::Maybe)),
+                    1 => session.on(Event::DelegationFailed(1, Progress::MaybeStarted)),
                     2 => {
                         declined = !session.is_finished(1);
-                        session.on(Event::NotGathered(1, Begun::No));
+                        session.on(Event::DelegationFailed(1, Progress::NotStarted));
                     }
                     _ => {}
                 }
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_everyone.rs
@@ -6,7 +6,7 @@
 use monsoonring_decision::attempt::{Failure, Refusal, Unopened};
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::Request;
-use monsoonring_decision::home::{Event, Terms};
+use monsoonring_decision::home::{Event, Params};
 use monsoonring_decision::outcome::{Outcome, Reason};
 use monsoonring_decision::placement::Division;
 use session::{Session, VERSION, ms, refused, report, request, route, server};
@@ -14,30 +14,30 @@
 
 const HOSTS: usize = 9;
 
-/// Terms of a search over many shards: two servers may run a part, most shards are enough.
-fn search(least_coverage: f64) -> Terms {
-    Terms {
+/// Params of a search over many shards: two servers may run a part, most shards are enough.
+fn search(min_coverage: f64) -> Params {
+    Params {
         kind: Kind::Search,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: Some(SoftDeadline {
             after_ms: 100,
-            coverage: least_coverage,
+            coverage: min_coverage,
         }),
-        least_coverage,
+        min_coverage,
         work: 0,
         urgency: None,
     }
 }
 
-fn asked(session: &Session, id: u128, terms: Terms) -> Request {
+fn asked(session: &Session, id: u128, terms: Params) -> Request {
     Request {
-        terms: Some(terms),
+        params: Some(terms),
         ..request(id, session.now)
     }
 }
 
 /// Feeds a request on these terms.
-fn begin(session: &mut Session, id: u128, terms: Terms) {
+fn begin(session: &mut Session, id: u128, terms: Params) {
     let request = asked(session, id, terms);
     session.on(Event::Request(request));
 }
@@ -48,13 +48,13 @@
     session.fail(send.attempt, Failure::Ran { report });
 }
 
-/// Terms of a request that may run once.
-fn once() -> Terms {
-    Terms {
+/// Params of a request that may run once.
+fn once() -> Params {
+    Params {
         kind: Kind::Execute,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: None,
-        least_coverage: 0.0,
+        min_coverage: 0.0,
         work: 0,
         urgency: None,
     }
@@ -135,7 +135,7 @@
     begin(&mut session, 2, search(1.0));
     let opened = session.opens.len();
     let (connection, _) = *session.opens.last().expect("one more is wanted");
-    session.on(Event::Unopened(connection, Unopened::Ended));
+    session.on(Event::ConnectFailed(connection, Unopened::Ended));
     session.pass(ms(50));
     assert_eq!(session.opens.len(), opened, "the server is left alone");
     session.pass(ms(1_500));
@@ -447,7 +447,7 @@
     session.on(Event::Closed(1));
     for _ in 0..10 {
         let (connection, _) = *session.opens.last().expect("it was opened");
-        session.on(Event::Unopened(connection, Unopened::Ended));
+        session.on(Event::ConnectFailed(connection, Unopened::Ended));
         let opened = session.opens.len();
         session.pass(ms(450));
         assert!(session.opens.len() > opened, "{}", session.transcript);
--- a/crates/decision/tests/home_failures.rs
+++ b/crates/decision/tests/home_failures.rs
@@ -240,7 +240,7 @@
     let mut last = reply(&first.ranges, VERSION);
     last.report.draining = true;
     session.on(Event::Reply(first.attempt, last));
-    let tell = Action::TellLeaving(first.backend_server, Some(1));
+    let tell = Action::AnnounceLeaving(first.backend_server, Some(1));
     assert_eq!(session.others, [tell], "the other homes are told once");
     for id in 2..20 {
         session.ask(id);
@@ -276,7 +276,7 @@
     session.pass(ms(600));
     session.fail(session.sends[1].attempt, Failure::Lost);
     assert_eq!(session.sends.len(), 2, "no third server");
-    let told = |action: &Action| matches!(action, Action::TellSuspect(1, _));
+    let told = |action: &Action| matches!(action, Action::AnnounceSuspect(1, _));
     assert!(session.others.iter().any(told));
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
     let mut same = session::request(2, session.now);
--- a/crates/decision/tests/home_leave_out.rs
+++ b/crates/decision/tests/home_leave_out.rs
@@ -5,7 +5,7 @@
 use monsoonring_configuration::document::{Kind, SoftDeadline};
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::attempt::Failure;
-use monsoonring_decision::home::Terms;
+use monsoonring_decision::home::Params;
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::{Event, Request};
 use monsoonring_decision::outcome::Outcome;
@@ -136,20 +136,20 @@
     for now in 0..SEARCHES * every + 4 * SOFT {
         let id = u128::from(now / every) + 1;
         if now % every == 0 && id <= u128::from(SEARCHES) {
-            let terms = Terms {
+            let terms = Params {
                 kind: Kind::Search,
-                runs_at_most: 2,
+                max_runs: 2,
                 soft_deadline: Some(SoftDeadline {
                     after_ms: SOFT,
                     coverage: 0.9,
                 }),
-                least_coverage: 0.9,
+                min_coverage: 0.9,
                 work: 1,
                 urgency: None,
             };
             played.began.insert(id, now);
             let asked = Request {
-                terms: Some(terms),
+                params: Some(terms),
                 ..request(id, played.session.now)
             };
             played.session.on(Event::Request(asked));
--- a/crates/decision/tests/home_ranks.rs
+++ b/crates/decision/tests/home_ranks.rs
@@ -8,7 +8,7 @@
 use monsoonring_decision::RequestId;
 use monsoonring_decision::admission::{Rank, Urgency};
 use monsoonring_decision::attempt::Failure;
-use monsoonring_decision::home::Terms;
+use monsoonring_decision::home::Params;
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::{Event, Request};
 use monsoonring_decision::outcome::{Outcome, Reason};
@@ -67,15 +67,15 @@
         self.load * (REPLICAS * SLOTS) as f64 / self.work as f64
     }
 
-    fn terms(&self) -> Terms {
-        Terms {
+    fn terms(&self) -> Params {
+        Params {
             kind: Kind::Search,
-            runs_at_most: 2,
+            max_runs: 2,
             soft_deadline: Some(SoftDeadline {
                 after_ms: self.objective,
                 coverage: 0.85,
             }),
-            least_coverage: 0.85,
+            min_coverage: 0.85,
             work: u64::from(self.rank),
             urgency: Some(Urgency {
                 rank: self.rank,
@@ -198,7 +198,7 @@
         );
         session.on(Event::Request(Request {
             deadline: session.now + ms(DEADLINE),
-            terms: Some(asked.terms()),
+            params: Some(asked.terms()),
             ..request(id, session.now)
         }));
     }
--- a/crates/decision/tests/home_rescue.rs
+++ b/crates/decision/tests/home_rescue.rs
@@ -6,7 +6,7 @@
 use monsoonring_decision::attempt::Failure;
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::Request;
-use monsoonring_decision::home::{Event, Terms};
+use monsoonring_decision::home::{Event, Params};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_decision::placement::Division;
 use monsoonring_decision::reply::Report;
@@ -28,15 +28,15 @@
 const SOFT: u64 = 100;
 const WAIT: u64 = 35;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Params {
+    Params {
         kind: Kind::Search,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: Some(SoftDeadline {
             after_ms: SOFT,
             coverage: LEAST,
         }),
-        least_coverage: LEAST,
+        min_coverage: LEAST,
         work: 0,
         urgency: None,
     }
@@ -46,7 +46,7 @@
 fn begin(session: &mut Session, id: u128) -> Vec<Send> {
     let from = session.sends.len();
     let request = Request {
-        terms: Some(terms()),
+        params: Some(terms()),
         ..request(id, session.now)
     };
     session.on(Event::Request(request));
@@ -114,12 +114,12 @@
 fn fail_two_parts_of_ten_needs_one() {
     let mut session = scarce();
     let from = session.sends.len();
-    let terms = Terms {
-        least_coverage: 0.9,
+    let terms = Params {
+        min_coverage: 0.9,
         ..terms()
     };
     session.on(Event::Request(Request {
-        terms: Some(terms),
+        params: Some(terms),
         ..request(1_000, session.now)
     }));
     let sends = session.sends[from..].to_vec();
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -105,7 +105,7 @@
         fingerprint: id as u64,
         body: "{}".into(),
         execute_key: None,
-        terms: None,
+        params: None,
         scope: Scope::default(),
     }
 }
@@ -263,7 +263,7 @@
                         continue;
                     }
                     let event = match self.refusing.contains(&server) {
-                        true => Event::Unopened(connection, Unopened::Refused),
+                        true => Event::ConnectFailed(connection, Unopened::Refused),
                         false => Event::Opened(connection),
                     };
                     self.write("<-", &describe(&event));
--- a/crates/decision/tests/way.rs
+++ b/crates/decision/tests/way.rs
@@ -48,7 +48,7 @@
     session.pass(arrived);
     let asked = request(1, session.now);
     let asked = Request {
-        terms: Some(search(objective).terms(on_the_way)),
+        params: Some(search(objective).terms(on_the_way)),
         ..asked
     };
     session.on(Event::Request(asked));
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -6,7 +6,7 @@
 use monsoonring_decision::attempt::{AttemptId, ConnectionId, Failure};
 use monsoonring_decision::content::Content;
 use monsoonring_decision::gateway::{Registry, Table, shards};
-use monsoonring_decision::home::{Action, Alarm, Event, Home};
+use monsoonring_decision::home::{Action, Event, Home, Wakeup};
 use monsoonring_decision::placement::{Division, Part};
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::reply::{Item, Load, Reply, Report};
@@ -33,7 +33,7 @@
 /// One home and its connections.
 pub struct Driver {
     home: Home<Blank>,
-    alarm: Alarm,
+    alarm: Wakeup,
     /// Server at the other end of each connection.
     pub connections: HashMap<ConnectionId, BackendServerId>,
     /// Connection that each attempt is on.
@@ -59,7 +59,7 @@
         let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
         let mut driver = Self {
             home,
-            alarm: Alarm::default(),
+            alarm: Wakeup::default(),
             connections: HashMap::new(),
             attempts: HashMap::new(),
         };
@@ -70,7 +70,7 @@
     /// Feeds an event. Returns what is to be done.
     pub fn on(&mut self, event: Event<Blank>, now: Time) -> Vec<Action<Blank>> {
         match &event {
-            Event::Closed(connection) | Event::Unopened(connection, _) => {
+            Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
                 self.connections.remove(connection);
             }
             Event::Reply(attempt, _) | Event::Failed(attempt, _) => {
@@ -78,7 +78,7 @@
             }
             _ => {}
         }
-        self.alarm.feed(now);
+        self.alarm.on_event(now);
         let actions = self.home.on(event, now);
         self.note(&actions);
         actions
@@ -108,7 +108,7 @@
                 Action::Send(send) => {
                     self.attempts.insert(send.attempt, send.connection);
                 }
-                Action::Wake(at) => self.alarm.ask(*at),
+                Action::Wake(at) => self.alarm.schedule(*at),
                 _ => {}
             }
         }
--- a/crates/experiment/src/simulation/world/callers.rs
+++ b/crates/experiment/src/simulation/world/callers.rs
@@ -52,7 +52,7 @@
             fingerprint: caller.id as u64,
             body: (),
             execute_key: None,
-            terms: Some(self.routes[caller.kind].terms(way::time(STRENGTH))),
+            params: Some(self.routes[caller.kind].terms(way::time(STRENGTH))),
             scope: Scope::default(),
         };
         self.heard(host, kind.pool, Event::Request(request));
--- a/crates/experiment/src/simulation/world/mod.rs
+++ b/crates/experiment/src/simulation/world/mod.rs
@@ -228,7 +228,7 @@
                 Action::Wake(at) => {
                     self.timeline.add(at, Next::Heard(host, pool, Event::Tick));
                 }
-                Action::TellLeaving(..) | Action::TellSuspect(..) | Action::Log(_) => {}
+                Action::AnnounceLeaving(..) | Action::AnnounceSuspect(..) | Action::Log(_) => {}
             }
         }
     }
--- a/crates/experiment/src/simulation/world/servers.rs
+++ b/crates/experiment/src/simulation/world/servers.rs
@@ -20,7 +20,7 @@
                     false => Unopened::Ended,
                 };
                 self.tally.unopened += u64::from(why == Unopened::Ended);
-                self.tell(line, server, Event::Unopened(line.connection, why));
+                self.tell(line, server, Event::ConnectFailed(line.connection, why));
             }
         }
     }
