--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -70,7 +70,7 @@
             lost_at: task.request.deadline + ANSWER_GRACE,
         };
         self.timers.set(flight.next(), Timer::Attempt(id));
-        let work = self.terms(task.request).work;
+        let work = self.params(task.request).work;
         self.fleet.sent_for(work, server, id, now);
         self.flights.queue(flight);
         *self.callable.entry(server).or_default() += 1;
@@ -82,7 +82,7 @@
         let may = hedge.budget_percent > 0.0
             && !task.cause.is_second()
             && matches!(task.owner, Owner::Part(..));
-        let work = self.terms(task.request).work;
+        let work = self.params(task.request).work;
         may.then(|| {
             self.fleet
                 .hedge_delay_of(work, task.server, hedge.quantile, now)
@@ -163,7 +163,7 @@
             return;
         };
         let planned = flight.next();
-        let patience = self.fleet.patience(flight.server, now);
+        let patience = self.fleet.silence_timeout(flight.server, now);
         flight.check_at = Some(now + patience.min(LOOK_AT_MOST));
         let flight = flight.clone();
         self.timers.clear(planned, Timer::Attempt(id));
@@ -171,7 +171,7 @@
         let Some(request) = self.depart(&flight) else {
             return;
         };
-        self.fleet.left(id, now);
+        self.fleet.transmitted(id, now);
         self.fleet_changed |= self.fleet.is_cold(flight.server);
         self.suspects
             .sent(id, flight.fingerprint, flight.server, now);
@@ -306,7 +306,7 @@
 
     /// Carries out what the pool wants.
     pub(super) fn command(&mut self, now: Time) {
-        for command in self.pool.want(now) {
+        for command in self.pool.reconcile(now) {
             self.actions.push(match command {
                 Command::Open(id, server) => Action::Open(id, server),
                 Command::Close(id) => Action::Close(id),
--- a/crates/decision/src/home/server.rs
+++ b/crates/decision/src/home/server.rs
@@ -1,12 +1,12 @@
 //! What is learned of backend servers and of the route.
 
 use super::action::Action;
-use super::down::Down;
 use super::flight::Owner;
+use super::outage::Outage;
 use super::state::Home;
 use crate::attempt::{ConnectionId, Failure, Unopened};
-use crate::backend::pool::Ending;
-use crate::backend::{Cold, News};
+use crate::backend::pool::Disconnect;
+use crate::backend::{ColdLimit, StatusChange};
 use crate::content::Content;
 use crate::query::pin;
 use crate::query::run::{Cause, Part, PartId};
@@ -45,7 +45,7 @@
         now: Time,
     ) -> bool {
         let until = self.back_offs.get(&server).copied().unwrap_or_default();
-        let until = until.max(self.fleet.shut_until(server, now).unwrap_or_default());
+        let until = until.max(self.fleet.excluded_until(server, now).unwrap_or_default());
         self.is_usable(server) && !self.lacks(server, version) && until < deadline
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Acts on what is new about a server.
-    pub(super) fn heed(&mut self, server: BackendServerId, news: News, now: Time) {
+    pub(super) fn heed(&mut self, server: BackendServerId, news: StatusChange, now: Time) {
         if news.survived {
             self.suspects.survived(server, now);
         }
@@ -101,7 +101,7 @@
         }
         if news.leaving {
             let start = self.fleet.start(server);
-            self.actions.push(Action::TellLeaving(server, start));
+            self.actions.push(Action::AnnounceLeaving(server, start));
             self.leave(server, now);
         }
     }
@@ -113,7 +113,7 @@
         start: Option<Incarnation>,
         now: Time,
     ) {
-        if self.fleet.leave(server, start, now) {
+        if self.fleet.mark_leaving(server, start, now) {
             self.leave(server, now);
         }
     }
@@ -133,12 +133,12 @@
     }
 
     /// Takes over which servers are cold. Those that are so no more take any number again.
-    pub(super) fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, Cold>, now: Time) {
+    pub(super) fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, ColdLimit>, now: Time) {
         self.fleet.set_cold(cold, now);
         self.fleet_changed = true;
         for (&server, cold) in cold {
             if self.placement.servers().contains(&server) {
-                let why = format!("bears {} a second until {:?}", cold.bears, cold.until);
+                let why = format!("bears {} a second until {:?}", cold.max_rate, cold.until);
                 self.log(None, "cold", Some(server), why);
                 self.changed(server);
             }
@@ -188,7 +188,7 @@
             return;
         };
         self.fleet.set_reachable(server, true, now);
-        self.down.remove(&server);
+        self.outages.remove(&server);
         self.learn(server);
         *self.callable.entry(server).or_default() += 1;
         self.touch(server);
@@ -207,7 +207,7 @@
     /// the server's health.
     pub(super) fn unopened(&mut self, connection: ConnectionId, why: Unopened, now: Time) {
         let ending = match why {
-            Unopened::Ended => self.pool.ended_at_once(connection, now),
+            Unopened::Ended => self.pool.rejected(connection, now),
             Unopened::Refused | Unopened::Silent => self.pool.closed(connection, now),
         };
         let Some(ending) = ending else {
@@ -218,7 +218,7 @@
         if why != Unopened::Ended {
             self.prove(ending.server, now);
         }
-        self.lose(ending, Down::Unopened(why), now);
+        self.lose(ending, Outage::ConnectFailed(why), now);
     }
 
     /// Takes a connection that has ended off the books. If it was the last sign that the server can
@@ -227,18 +227,18 @@
         let Some(ending) = self.pool.closed(connection, now) else {
             return;
         };
-        self.lose(ending, Down::Lost, now);
+        self.lose(ending, Outage::ConnectionLost, now);
     }
 
-    fn lose(&mut self, ending: Ending, down: Down, now: Time) {
+    fn lose(&mut self, ending: Disconnect, outage: Outage, now: Time) {
         self.touch(ending.server);
-        if !ending.down {
+        if !ending.became_unreachable {
             *self.callable.entry(ending.server).or_default() += 1;
             return;
         }
         let server = ending.server;
-        self.log(None, "unreachable", Some(server), down.to_string());
-        self.down.insert(server, down);
+        self.log(None, "unreachable", Some(server), outage.to_string());
+        self.outages.insert(server, outage);
         self.fleet.set_reachable(server, false, now);
         self.evacuate(server, now);
         self.learn(server);
@@ -262,7 +262,8 @@
     ) {
         let why = format!("fingerprint {fingerprint:016x} for {period:?}");
         self.log(None, "suspect", Some(server), why);
-        self.actions.push(Action::TellSuspect(fingerprint, period));
+        self.actions
+            .push(Action::AnnounceSuspect(fingerprint, period));
         self.condemn(fingerprint, now);
     }
 
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -64,7 +64,7 @@
 const STRONG_CONNECTIONS: f64 = 0.5;
 const STRONG_SLACK: f64 = 0.75;
 
-/// Views of the members that may be acted on at the same time without exceeding what a cold server bears.
+/// Views of the members that may be acted on at the same time without exceeding what a cold server max_rate.
 const COLD_VIEWS: f64 = 2.0;
 
 /// Time for which a connection without need is held at most.
@@ -242,13 +242,13 @@
     }
 
     /// Returns the requests that a home may send in any second to a cold backend server in its own data centre, which
-    /// `bears` so many from all homes.
+    /// `max_rate` so many from all homes.
     ///
     /// The homes of the server's data centre divide half of it, so that two views of the members that have nothing in
     /// common still fit. Those that fan out for others have the larger part. Where there are more homes than
     /// requests, some of them may send one each: others for each server, so that all servers of a home are not shut
     /// at once.
-    pub fn cold_quota(&self, bears: f64, server: BackendServerId) -> usize {
+    pub fn cold_quota(&self, max_rate: f64, server: BackendServerId) -> usize {
         if self.min_idle == 0 {
             // Another home here has the same servers, and all of this.
             return 0;
@@ -260,7 +260,7 @@
             Role::Weak => (1.0 - STRONG_SLACK, near.saturating_sub(strong)),
         };
         let homes = homes.max(1);
-        let all = (bears * part / COLD_VIEWS) as usize;
+        let all = (max_rate * part / COLD_VIEWS) as usize;
         let turn = xxh3_64(server.to_string().as_bytes()) as usize;
         let place = turn.wrapping_add(self.homes.rank) % homes;
         all / homes + usize::from(place < all % homes)
