--- a/crates/decision/src/admission/limit.rs
+++ b/crates/decision/src/admission/limit.rs
@@ -1,49 +1,47 @@
-//! Adaptive limit on the requests in flight.
+//! Adaptive limit on the requests in flight (additive increase, multiplicative decrease).
 //!
-//! Until the first request is late the limit grows by one with each that ends in time. From then on
-//! it grows by one per round of requests that end in time and shrinks by a quarter when one
-//! takes more than its share of the deadline while backend servers have work waiting. Additive
-//! increase with multiplicative decrease was chosen over a gradient on latency for two reasons. A
-//! gradient needs the latency without load as its base, and in an overload that lasts it forgets
-//! it. And several homes share the servers without talking about it: this rule brings their limits
-//! to equal shares, a gradient keeps whatever shares it started from.
+//! As in TCP slow start, the limit grows by one with each request that meets the target latency until
+//! the first one misses it. From then on it grows by one per window of such requests, and shrinks
+//! when a request misses the target while requests are queued at the backend servers.
 //!
-//! Slow requests while servers have free slots shrink nothing. They come from a straggler, which
-//! fewer requests would not make faster: seen as refusals on a half idle fleet.
+//! AIMD is preferred to a latency gradient for two reasons. A gradient needs the latency without load
+//! as its baseline and loses it in a long overload. And AIMD makes the limits of homes that share
+//! backend servers converge to equal shares without coordination.
+//!
+//! Slow requests don't shrink the limit while servers have free slots: these come from a straggler,
+//! which fewer requests would not speed up.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Limit to start with.
-const INITIAL: f64 = 16.0;
+/// Limit at the start.
+const INITIAL_LIMIT: f64 = 16.0;
 
-/// Bounds of the limit. The lower one leaves a place that only the urgent may take.
-const AT_LEAST: f64 = 2.0;
-const AT_MOST: f64 = 10_000.0;
+/// Bounds of the limit. The lower bound leaves one slot that only the urgent class may fill.
+const MIN_LIMIT: f64 = 2.0;
+const MAX_LIMIT: f64 = 10_000.0;
 
-/// What the limit is multiplied by when a request is late. A tenth less each time left servers that
-/// were asked for a fifth more than they can do with so much waiting that half of the answers were late:
-/// worth of the two worst windows of such a surge 0.33 in place of 0.46 (modelled, eight seeds). At half,
-/// servers that could have answered more are left idle where all that counts is whether there is an
-/// answer.
-const SHRINK: f64 = 0.75;
+/// Factor applied to the limit when a request is late. A value closer to 1 leaves long queues at the
+/// servers during a surge, a smaller one leaves servers idle.
+const DECREASE_FACTOR: f64 = 0.75;
 
-/// The limit grows only while at least this share of it is used: an unused one proves nothing. It is
-/// half of what the lowest class may fill, or that class would be refused while servers have room.
-const USED: f64 = 0.2;
+/// Share of the limit that must be in use for it to grow, because latency below that says nothing about
+/// the limit. Half of what the background class may fill, or that class would be refused while servers
+/// have capacity.
+const MIN_UTILIZATION: f64 = 0.2;
 
 /// Adaptive limit on the requests in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Limit {
     limit: f64,
-    shrunk: Option<Time>,
+    last_decrease: Option<Time>,
 }
 
 impl Limit {
     pub(super) fn new() -> Self {
         Self {
-            limit: INITIAL,
-            shrunk: None,
+            limit: INITIAL_LIMIT,
+            last_decrease: None,
         }
     }
 
@@ -51,29 +49,29 @@
         self.limit
     }
 
-    /// Records a request that ended within its share of the deadline, when `in_flight` were.
-    pub(super) fn in_time(&mut self, in_flight: usize) {
-        if (in_flight as f64) < self.limit * USED {
+    /// Raises the limit after a request that met the target latency; `in_flight` includes it.
+    pub(super) fn increase(&mut self, in_flight: usize) {
+        if (in_flight as f64) < self.limit * MIN_UTILIZATION {
             return;
         }
-        let step = match self.shrunk {
+        let step = match self.last_decrease {
             None => 1.0,
             Some(_) => 1.0 / self.limit,
         };
-        self.limit = (self.limit + step).min(AT_MOST);
+        self.limit = (self.limit + step).min(MAX_LIMIT);
     }
 
-    /// Records a request that was late after `took`.
+    /// Lowers the limit after a request that took `took` and missed the target latency.
     ///
-    /// The cut is taken from the limit and not from what is in flight: now and then a single request
-    /// takes long by itself, and must not cost half of the limit on a quiet day.
-    pub(super) fn late(&mut self, took: Duration, now: Time) {
-        // Requests admitted before the last decrease were slowed by what it has already cut.
-        let sent = now.saturating_sub(took);
-        if self.shrunk.is_some_and(|shrunk| sent < shrunk) {
+    /// The decrease applies to the limit and not to the requests in flight: otherwise a single slow
+    /// request would cut the limit to almost nothing under low load.
+    pub(super) fn decrease(&mut self, took: Duration, now: Time) {
+        // Requests admitted before the last decrease were delayed by load that it already removed.
+        let admitted = now.saturating_sub(took);
+        if self.last_decrease.is_some_and(|last| admitted < last) {
             return;
         }
-        self.limit = (self.limit * SHRINK).max(AT_LEAST);
-        self.shrunk = Some(now);
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
+        self.last_decrease = Some(now);
     }
 }
--- a/crates/decision/src/admission/mod.rs
+++ b/crates/decision/src/admission/mod.rs
@@ -1,13 +1,12 @@
-//! Admission: whether a request is taken on at all.
+//! Admission control: decides whether a new request is accepted.
 //!
-//! Three questions are asked of a new request, in this order. Can it be answered by its deadline,
-//! behind what already waits at the backend servers? Is there room for its class within the limit
-//! on requests in flight, which [`limit`] learns from how long requests take? If not, when does it
-//! make sense to come back? A refusal here costs nothing at the backend servers, so that what they
-//! finish per second stays the same however many ask.
+//! A request is admitted if it can meet its deadline behind the work already queued at the backend
+//! servers, if its class still fits within the limit on requests in flight ([`limit`]), and if it
+//! exceeds no queueing delay budget ([`rank`]). Otherwise it is refused with the time after which to
+//! retry ([`pace`]). Refusals cost the backend servers nothing, so their throughput stays
+//! the same in an overload.
 //!
-//! Nothing is queued here: a queue in front of the servers' own queues would only add waiting that
-//! the deadline has to pay for. A caller that was refused comes back when it is told to.
+//! Requests are never queued here: a queue in front of the servers' own queues would only add delay.
 
 mod limit;
 pub mod overload;
@@ -25,201 +24,204 @@
 pub use rank::{Rank, Urgency};
 use std::time::Duration;
 
-/// Share of the route's deadline within which requests are to be answered. The rest is for what
-/// varies.
-const TARGET: f64 = 0.5;
+/// Share of the route's deadline that is the target latency. The rest absorbs variance.
+const TARGET_SHARE: f64 = 0.5;
 
-/// Share of the limit that each class may fill. What is above it stays for the classes before it.
+/// Share of the limit that each class may fill. The remainder is reserved for more urgent classes.
 const URGENT_SHARE: f64 = 1.0;
 const NORMAL_SHARE: f64 = 0.8;
 const BACKGROUND_SHARE: f64 = 0.4;
 
-/// Share of the limit that a rank may fill of what the next more urgent one may.
+/// Share of the limit for a rank, relative to the next more urgent rank.
 const RANK_SHARE: f64 = 0.8;
 
-/// A request whose rank is known, as admission sees it.
+/// A request that has a rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankedRequest {
-    /// What it asks of the backend servers; requests that ask for the same are of one kind.
+    /// Kind of work that it causes at the backend servers.
     pub work: Work,
-    /// How urgent it is.
+    /// Rank and latency objective.
     pub urgency: Urgency,
-    /// How many groups its answer can do without.
+    /// Number of groups that may be missing from its answer.
     pub dispensable: usize,
-    /// The queueing delays now.
+    /// Current queueing delays.
     pub waits: Waits,
 }
 
-/// Queueing delays in each group.
+/// Expected queueing delays in each group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waits {
-    /// At the backend servers, by what these report.
+    /// Delay at the backend servers, from their load reports.
     pub at_servers: backend::Waits,
-    /// Here and at the backend servers, for requests that keep out of the servers' queues.
+    /// Delay in this home plus delay at the backend servers, for requests that yield
+    /// ([`Gate::yields`]).
     pub total: backend::Waits,
-    /// Whether most backend servers have reported their load recently.
+    /// Whether most backend servers reported their load recently.
     pub has_load_reports: bool,
 }
 
-/// What is done with a new request.
+/// Decision about a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is taken on.
+    /// The request is accepted.
     Admit,
-    /// It is refused and has not run.
+    /// The request is refused; no attempt was sent.
     Refuse {
-        /// Why.
+        /// Reason returned to the caller.
         reason: Reason,
-        /// When it is worth coming back; `None` where it is not.
+        /// Time after which to retry; `None` if a retry would fail as well.
         retry_after: Option<Duration>,
     },
 }
 
-/// Decides which requests are taken on.
+/// Admission control of one route.
 #[derive(Clone, Debug)]
 pub struct Gate {
     limit: Limit,
     pace: Pace,
     ranks: Ranks,
-    target: Duration,
+    target_latency: Duration,
     in_flight: usize,
-    /// Whether work was waiting at the backend servers when last looked at.
-    waiting: bool,
+    /// Whether requests were queued at the backend servers at the last admission decision.
+    has_queue: bool,
 }
 
 impl Gate {
-    /// Makes the gate of a route.
+    /// Creates the admission control for a route.
     pub fn new(route: &Route) -> Self {
         Self {
             limit: Limit::new(),
             pace: Pace::default(),
             ranks: Ranks::default(),
-            target: target(route),
+            target_latency: target_latency(route),
             in_flight: 0,
-            waiting: false,
+            has_queue: false,
         }
     }
 
-    /// Takes over a new configuration.
+    /// Applies a new configuration.
     pub fn reconfigure(&mut self, route: &Route) {
-        self.target = target(route);
+        self.target_latency = target_latency(route);
     }
 
-    /// Decides about a request that has to be answered by `deadline`. One that is admitted counts
-    /// as in flight until [`Self::finished`].
+    /// Decides about a request that must be answered by `deadline`. An admitted request counts as in
+    /// flight until [`Self::finished`].
     pub fn admit(
         &mut self,
         class: Class,
         deadline: Time,
-        room: &GroupLoad,
+        load: &GroupLoad,
         now: Time,
     ) -> Admission {
-        self.admit_ranked(class, None, deadline, room, now)
+        self.admit_ranked(class, None, deadline, load, now)
     }
 
-    /// Decides about a request as [`Self::admit`] does. If its rank is known, its queueing delay has to be within its own budget and those
-    /// of more urgent requests.
+    /// Like [`Self::admit`], and if the request has a rank, also checks its queueing delay against its
+    /// own delay budget and those of more urgent requests.
     pub fn admit_ranked(
         &mut self,
         class: Class,
         ranked: Option<&RankedRequest>,
         deadline: Time,
-        room: &GroupLoad,
+        load: &GroupLoad,
         now: Time,
     ) -> Admission {
-        self.waiting = !room.wait.is_zero();
+        self.has_queue = !load.wait.is_zero();
         if let Some(ranked) = ranked {
-            self.ranks.asked(ranked, now);
+            self.ranks.record_request(ranked, now);
         }
         let remaining = deadline.saturating_sub(now);
-        if remaining <= room.service_time {
-            // Coming back with as little time left would be as useless.
+        if remaining <= load.service_time {
+            // A retry would have even less time left.
             return Admission::Refuse {
                 reason: Reason::Deadline,
                 retry_after: None,
             };
         }
-        let in_time = room.wait + room.service_time < remaining;
+        let can_meet_deadline = load.wait + load.service_time < remaining;
         let allowed = self.allowed(class, ranked, now);
-        // Reports of all hosts' load replace the limit, which is learned from this host's requests alone.
+        // Load reports cover the requests of all hosts. The adaptive limit only sees those of this
+        // host, so it is ignored while there are reports.
         let is_reported = ranked.is_some_and(|ranked| ranked.waits.has_load_reports);
         let fits = is_reported || self.in_flight as f64 + 1.0 <= allowed;
-        if in_time && fits && self.is_in_budget(ranked, now) {
+        if can_meet_deadline && fits && self.is_in_budget(ranked, now) {
             self.in_flight += 1;
             return Admission::Admit;
         }
         let excess = self.in_flight as f64 + 1.0 - allowed;
-        let turn = self.pace.refused(excess.max(1.0), now);
+        let delay = self.pace.next_slot(excess.max(1.0), now);
         Admission::Refuse {
             reason: Reason::Overload,
-            retry_after: Some(turn.max(room.wait)),
+            retry_after: Some(delay.max(load.wait)),
         }
     }
 
-    /// Describes which delay budget a request exceeds, for the log.
+    /// Describes the rank of a request and the delay budget that it exceeds, for the log.
     pub fn describe(&self, ranked: &RankedRequest, now: Time) -> String {
-        match self.ranks.excess(ranked, now) {
-            Some(excess) => format!("rank={} {excess}", ranked.urgency.rank),
+        match self.ranks.exceeded_budget(ranked, now) {
+            Some(exceeded) => format!("rank={} {exceeded}", ranked.urgency.rank),
             None => format!("rank={}", ranked.urgency.rank),
         }
     }
 
-    /// Tells whether requests of a kind keep out of the servers' queues, for others with shorter objectives.
+    /// Returns whether requests of this kind yield: they wait in the home rather than in the servers'
+    /// queues, so that they don't delay requests with shorter objectives.
     pub fn yields(&self, work: Work, urgency: Urgency, now: Time) -> bool {
         self.ranks.yields(work, urgency.objective, now)
     }
 
-    /// Tells whether a request exceeds no delay budget. With nothing in flight one is let in all the same: its answers tell the servers'
-    /// load.
+    /// Returns whether a request exceeds no delay budget. With nothing in flight a request is admitted
+    /// regardless, because its replies carry the servers' load.
     fn is_in_budget(&self, ranked: Option<&RankedRequest>, now: Time) -> bool {
         let Some(ranked) = ranked else {
             return true;
         };
-        self.in_flight == 0 || self.ranks.excess(ranked, now).is_none()
+        self.in_flight == 0 || self.ranks.exceeded_budget(ranked, now).is_none()
     }
 
-    /// Records that an admitted request has ended, after `took`, whatever its outcome.
+    /// Records that an admitted request ended after `took`, with any outcome.
     pub fn finished(&mut self, _class: Class, took: Duration, now: Time) {
         let in_flight = self.in_flight;
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.pace.finished(now);
-        if took <= self.target {
-            self.limit.in_time(in_flight);
-        } else if self.waiting {
-            self.limit.late(took, now);
+        self.pace.record_completion(now);
+        if took <= self.target_latency {
+            self.limit.increase(in_flight);
+        } else if self.has_queue {
+            self.limit.decrease(took, now);
         }
     }
 
-    /// Records that a request of a kind was answered, by which starvation is noticed.
+    /// Records that a request of this kind was answered, for starvation detection.
     pub fn answered(&mut self, work: Work, now: Time) {
-        self.ranks.answered(work, now);
+        self.ranks.record_answer(work, now);
     }
 
-    /// Returns how many requests may be in flight at once.
+    /// Returns the current limit on requests in flight.
     pub fn limit(&self) -> f64 {
         self.limit.get()
     }
 
-    /// Returns how many admitted requests are in flight.
+    /// Returns the number of admitted requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Returns how many requests may be in flight for one of `class` to be admitted. At least one:
-    /// with nothing in flight there is room for anybody.
+    /// Returns the limit on requests in flight for this class and rank, at least 1 so that an idle
+    /// route admits any request.
     fn allowed(&self, class: Class, ranked: Option<&RankedRequest>, now: Time) -> f64 {
         let of_class = match class {
             Class::Urgent => URGENT_SHARE,
             Class::Normal => NORMAL_SHARE,
             Class::Background => BACKGROUND_SHARE,
         };
-        let before = ranked.map_or(0, |ranked| self.ranks.before(ranked.urgency.rank, now));
-        let of_rank = RANK_SHARE.powi(before as i32);
+        let more_urgent =
+            ranked.map_or(0, |ranked| self.ranks.more_urgent(ranked.urgency.rank, now));
+        let of_rank = RANK_SHARE.powi(more_urgent as i32);
         let share = f64::min(of_class, of_rank);
         (self.limit.get() * share).max(1.0)
     }
 }
 
-fn target(route: &Route) -> Duration {
-    Duration::from_millis(route.deadline_ms).mul_f64(TARGET)
+fn target_latency(route: &Route) -> Duration {
+    Duration::from_millis(route.deadline_ms).mul_f64(TARGET_SHARE)
 }
--- a/crates/decision/src/admission/overload.rs
+++ b/crates/decision/src/admission/overload.rs
@@ -1,55 +1,57 @@
-//! Periods in which requests are refused for overload, for the log: one line at the start of a period, one at its end.
+//! Detects the start and end of overload periods, so that each is logged once rather than with every
+//! refusal.
 
 use crate::Time;
 use derive_more::Display;
 use std::time::Duration;
 
-/// Time without a refusal that ends a period. In an overload refusals and admissions alternate many times a second.
-const OVER_AFTER: Duration = Duration::from_secs(1);
+/// Time without a refusal that ends an overload period. During an overload, refusals and admissions
+/// alternate many times per second.
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
 
-/// What changed.
+/// Start or end of an overload period.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Change {
-    /// The first refusal.
+    /// A request was refused for the first time in the period.
     #[display("overload began")]
     Began,
-    /// No refusal for [`OVER_AFTER`].
+    /// No request was refused for [`QUIET_PERIOD`].
     #[display("overload over, {refused} refused in {lasted:.1?}")]
     Ended {
-        /// Requests that were refused meanwhile.
+        /// Number of requests refused.
         refused: u64,
-        /// From the first refusal to the last one.
+        /// Time from the first refusal to the last.
         lasted: Duration,
     },
 }
 
-/// Tracks whether requests are being refused for overload.
+/// Tracks the current overload period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overload {
     began: Option<Time>,
-    last: Time,
+    last_refusal: Time,
     refused: u64,
 }
 
 impl Overload {
-    /// Records that a request was refused for overload.
+    /// Records that a request was refused for overload. Returns the change if a period begins.
     pub fn refused(&mut self, now: Time) -> Option<Change> {
-        self.last = now;
+        self.last_refusal = now;
         self.refused += 1;
         let is_new = self.began.is_none();
         self.began.get_or_insert(now);
         is_new.then_some(Change::Began)
     }
 
-    /// Records that a request was admitted.
+    /// Records that a request was admitted. Returns the change if a period ends.
     pub fn admitted(&mut self, now: Time) -> Option<Change> {
         let began = self.began?;
-        if now < self.last + OVER_AFTER {
+        if now < self.last_refusal + QUIET_PERIOD {
             return None;
         }
         let ended = Change::Ended {
             refused: self.refused,
-            lasted: self.last.saturating_sub(began),
+            lasted: self.last_refusal.saturating_sub(began),
         };
         *self = Self::default();
         Some(ended)
--- a/crates/decision/src/admission/pace.rs
+++ b/crates/decision/src/admission/pace.rs
@@ -1,48 +1,54 @@
-//! When a refused request is worth sending again.
+//! Chooses when refused requests should be retried.
 //!
-//! Callers that are all told the same time come back all at once, and all but a few are refused
-//! again. Each refusal is therefore given its own turn: as many completions later as there are
-//! refusals before it, at the measured pace of completions.
+//! If all refused callers were given the same delay they would return together and most would be
+//! refused again. Each refusal therefore gets its own slot: slots are spaced by the measured interval
+//! between completions.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Weight of a new interval between completions in the mean.
-const GAIN: f64 = 0.05;
+/// Weight of a new interval in the moving average.
+const EWMA_WEIGHT: f64 = 0.05;
 
-/// Bounds of what callers are told.
-const AT_LEAST: Duration = Duration::from_millis(20);
-const AT_MOST: Duration = Duration::from_secs(10);
+/// Bounds of the delay returned to callers.
+const MIN_DELAY: Duration = Duration::from_millis(20);
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
-/// Pace to go by before two requests have ended.
-const UNKNOWN: Duration = Duration::from_millis(20);
+/// Interval between completions assumed until two requests have ended.
+const DEFAULT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pace of completions, and the turns given out.
+/// Pace of completions, and the last retry slot assigned.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pace {
     /// Mean interval between completions, in seconds.
     interval: Option<f64>,
-    last: Option<Time>,
-    /// Turn that was given out last.
-    turn: Time,
+    last_completion: Option<Time>,
+    last_slot: Time,
 }
 
 impl Pace {
-    pub(super) fn finished(&mut self, now: Time) {
-        if let Some(last) = self.last {
-            // A long pause in which nobody asked is no slow completion.
-            let interval = now.saturating_sub(last).min(AT_MOST).as_secs_f64();
+    pub(super) fn record_completion(&mut self, now: Time) {
+        if let Some(last) = self.last_completion {
+            // Bounded, because a pause without requests is not a slow completion.
+            let interval = now.saturating_sub(last).min(MAX_DELAY).as_secs_f64();
             let mean = self.interval.unwrap_or(interval);
-            self.interval = Some(mean + GAIN * (interval - mean));
+            self.interval = Some(mean + EWMA_WEIGHT * (interval - mean));
         }
-        self.last = Some(now);
+        self.last_completion = Some(now);
     }
 
-    /// Gives out the next turn to a refused request that `excess` completions have to come before.
-    pub(super) fn refused(&mut self, excess: f64, now: Time) -> Duration {
-        let interval = self.interval.map_or(UNKNOWN, Duration::from_secs_f64);
-        let first = now + interval.mul_f64(excess);
-        self.turn = (self.turn + interval).max(first).min(now + AT_MOST);
-        self.turn.saturating_sub(now).clamp(AT_LEAST, AT_MOST)
+    /// Assigns the next slot to a refused request, at least `excess` completions from now, and returns
+    /// the delay until then.
+    pub(super) fn next_slot(&mut self, excess: f64, now: Time) -> Duration {
+        let interval = self
+            .interval
+            .map_or(DEFAULT_INTERVAL, Duration::from_secs_f64);
+        let earliest = now + interval.mul_f64(excess);
+        self.last_slot = (self.last_slot + interval)
+            .max(earliest)
+            .min(now + MAX_DELAY);
+        self.last_slot
+            .saturating_sub(now)
+            .clamp(MIN_DELAY, MAX_DELAY)
     }
 }
--- a/crates/decision/src/admission/rank.rs
+++ b/crates/decision/src/admission/rank.rs
@@ -1,11 +1,12 @@
-//! Delay budgets of the kinds of request that share backend servers.
+//! Queueing delay budgets for kinds of requests that share backend servers.
 //!
-//! The load: more is asked of a set of servers than they can do, by kinds of request with different ranks and objectives.
-//! Servers work first in, first out, so that a request can't overtake what was sent before it. Where one kind can afford to queue for
-//! 100 ms, a more urgent one that can afford 20 ms is late. So the queueing delay that is expected at the servers is compared with
-//! the budget of the kind itself and with those of all more urgent kinds that were requested recently.
+//! Backend servers process requests first in, first out, so an urgent request can't overtake those
+//! queued before it: if a less urgent kind may fill the queue up to 100 ms, a kind with a 20 ms budget
+//! is always late. A request is therefore admitted only if the expected queueing delay is within its
+//! own budget and within the budgets of all more urgent kinds requested recently.
 //!
-//! Starvation is prevented: a kind that is answered far less often than all together has only its own budget to keep.
+//! To prevent starvation, the budgets of more urgent kinds are relaxed for a kind that is answered far
+//! less often than the average.
 
 use super::{RankedRequest, Waits};
 use crate::backend::Wait;
@@ -14,56 +15,58 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Rank of a kind of request; 0 is the most urgent.
+/// Rank of a request; 0 is the most urgent.
 pub type Rank = u32;
 
-/// Kinds that are told apart.
-const KINDS_AT_MOST: usize = 32;
+/// Maximum number of kinds tracked.
+const MAX_KINDS: usize = 32;
 
-/// Delay budget of a kind for its own requests, as a share of its objective. The rest is for the work at the slowest of many shards, two
-/// to three times the mean, and for the network.
-const OWN_BUDGET: f64 = 0.42;
+/// Delay budget of a kind for its own requests, as a share of its objective. The rest is left for the
+/// network and for processing at the slowest of many shards, two to three times the mean.
+const OWN_BUDGET_SHARE: f64 = 0.42;
 
-/// Delay budget of a kind against less urgent requests, as a share of its objective.
-const OTHERS_BUDGET: f64 = 0.4;
+/// Delay budget of a kind that applies to less urgent requests, as a share of its objective.
+const LESS_URGENT_BUDGET_SHARE: f64 = 0.4;
 
-/// Factor on that budget for each kind with a rank between the two, so that the lowest of many ranks is refused first.
-const BUDGET_PER_RANK: f64 = 0.85;
+/// Factor on that budget for each kind with a rank between the two, so that the least urgent of many
+/// ranks is refused first.
+const BUDGET_RANK_FACTOR: f64 = 0.85;
 
-/// Time after its last request for which a kind counts.
-const RECENT: Duration = Duration::from_secs(5);
+/// Time after its last request during which a kind counts as recent.
+const RECENT_WINDOW: Duration = Duration::from_secs(5);
 
-/// Time after which what was counted has halved.
+/// Half-life of the counts of requests and answers.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Divides the groups that a more urgent answer can lack: so many may exceed its budget. The others are kept for failures.
+/// Divisor of the groups that may be missing from a more urgent answer: this fraction of them may
+/// exceed the budget, the rest is reserved for failures.
 const DISPENSABLE_DIVISOR: usize = 2;
 
-/// Share of an objective below which another one counts as shorter.
-const SHORTER: f64 = 0.75;
+/// An objective counts as shorter than another if it is below this share of it.
+const SHORTER_OBJECTIVE_SHARE: f64 = 0.75;
 
-/// Share of the overall answer rate below which a kind starves.
-const STARVATION: f64 = 0.34;
+/// Share of the overall answer rate below which a kind counts as starved.
+const STARVATION_SHARE: f64 = 0.34;
 
-/// How urgent a request is.
+/// Urgency of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    /// Its rank.
+    /// Rank; 0 is the most urgent.
     pub rank: Rank,
-    /// Time from its arrival within which an answer is worth most.
+    /// Latency objective, measured from the arrival of the request.
     pub objective: Duration,
 }
 
-/// A delay budget that is exceeded.
+/// A delay budget, compared with the expected queueing delay.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("rank {rank} would wait {:.1?} at group {}, budget {budget:.1?}", wait.time, wait.group)]
-pub(super) struct Excess {
+pub(super) struct BudgetCheck {
     rank: Rank,
     wait: Wait,
     budget: Duration,
 }
 
-/// A count that halves with time.
+/// An exponentially decaying count.
 #[derive(Clone, Copy, Debug, Default)]
 struct Decaying {
     count: f64,
@@ -82,34 +85,35 @@
     }
 }
 
-/// What is known of one kind of request.
+/// State of one kind of request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Kind {
     rank: Rank,
-    /// The shortest objective of its recent requests.
+    /// Shortest objective of its recent requests.
     objective: Duration,
-    /// The groups that their answers can do without.
+    /// Number of groups that may be missing from an answer.
     dispensable: usize,
-    asked: Decaying,
+    requested: Decaying,
     answered: Decaying,
-    last: Option<Time>,
+    last_request: Option<Time>,
 }
 
 impl Kind {
     fn is_recent(&self, now: Time) -> bool {
-        self.last.is_some_and(|last| last + RECENT > now)
+        self.last_request
+            .is_some_and(|last| last + RECENT_WINDOW > now)
     }
 }
 
-/// The kinds of request that share a set of servers.
+/// The kinds of requests that share a set of backend servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ranks {
     kinds: BTreeMap<Work, Kind>,
 }
 
 impl Ranks {
-    /// Records that a request is asked for.
-    pub(super) fn asked(&mut self, ranked: &RankedRequest, now: Time) {
+    /// Records a new request.
+    pub(super) fn record_request(&mut self, ranked: &RankedRequest, now: Time) {
         self.make_room(ranked.work);
         let Urgency { rank, objective } = ranked.urgency;
         let kind = self.kinds.entry(ranked.work).or_default();
@@ -120,21 +124,21 @@
             false => kind.objective.min(objective),
         };
         kind.dispensable = ranked.dispensable;
-        kind.last = Some(now);
-        kind.asked.add(now);
+        kind.last_request = Some(now);
+        kind.requested.add(now);
     }
 
-    /// Records that a request of a kind was answered.
-    pub(super) fn answered(&mut self, work: Work, now: Time) {
+    /// Records that a request of this kind was answered.
+    pub(super) fn record_answer(&mut self, work: Work, now: Time) {
         if let Some(kind) = self.kinds.get_mut(&work) {
             kind.answered.add(now);
         }
     }
 
-    /// Returns the first delay budget that is exceeded for a request, more urgent kinds' first.
-    pub(super) fn excess(&self, ranked: &RankedRequest, now: Time) -> Option<Excess> {
+    /// Returns the first delay budget that a request exceeds, checking those of more urgent kinds first.
+    pub(super) fn exceeded_budget(&self, ranked: &RankedRequest, now: Time) -> Option<BudgetCheck> {
         let Urgency { rank, objective } = ranked.urgency;
-        let own = Excess {
+        let own = BudgetCheck {
             rank,
             wait: self.wait(
                 ranked.work,
@@ -143,45 +147,45 @@
                 ranked.dispensable,
                 now,
             ),
-            budget: objective.mul_f64(OWN_BUDGET),
+            budget: objective.mul_f64(OWN_BUDGET_SHARE),
         };
         let share = match self.is_starved(ranked.work, now) {
-            true => OWN_BUDGET,
-            false => OTHERS_BUDGET,
+            true => OWN_BUDGET_SHARE,
+            false => LESS_URGENT_BUDGET_SHARE,
         };
-        let before = self.kinds.iter();
-        let before = before.filter(|(_, kind)| kind.is_recent(now) && kind.rank < rank);
-        let before = before.map(|(work, kind)| {
-            // It adds no load to the groups that it leaves out itself.
+        let more_urgent = self.kinds.iter();
+        let more_urgent = more_urgent.filter(|(_, kind)| kind.is_recent(now) && kind.rank < rank);
+        let more_urgent = more_urgent.map(|(work, kind)| {
+            // The request adds no load to the groups that it can leave out.
             let dispensable = (kind.dispensable / DISPENSABLE_DIVISOR).max(ranked.dispensable);
             let between = self.between(kind.rank, rank, now);
-            Excess {
+            BudgetCheck {
                 rank: kind.rank,
                 wait: self.wait(*work, kind.objective, &ranked.waits, dispensable, now),
                 budget: kind
                     .objective
-                    .mul_f64(share * BUDGET_PER_RANK.powi(between as i32)),
+                    .mul_f64(share * BUDGET_RANK_FACTOR.powi(between as i32)),
             }
         });
-        let mut all = before.chain([own]);
-        all.find(|one| one.wait.time > one.budget)
+        let mut all = more_urgent.chain([own]);
+        all.find(|checked| checked.wait.time > checked.budget)
     }
 
-    /// Tells whether a kind keeps out of the servers' queues: one with a shorter objective was requested recently, and this one does not
-    /// starve behind it.
+    /// Returns whether requests of this kind wait in the home rather than in the servers' queues: a kind
+    /// with a shorter objective was requested recently, and this kind is not starved.
     pub(super) fn yields(&self, work: Work, objective: Duration, now: Time) -> bool {
-        let most = objective.mul_f64(SHORTER);
-        self.recent(now).any(|kind| kind.objective < most) && !self.is_starved(work, now)
+        let limit = objective.mul_f64(SHORTER_OBJECTIVE_SHARE);
+        self.recent(now).any(|kind| kind.objective < limit) && !self.is_starved(work, now)
     }
 
-    /// Returns how many kinds with ranks between two were requested recently.
+    /// Returns the number of recent kinds with a rank strictly between two ranks.
     fn between(&self, first: Rank, last: Rank, now: Time) -> usize {
         let between = |kind: &&Kind| (first + 1..last).contains(&kind.rank);
         self.recent(now).filter(between).count()
     }
 
-    /// Returns how many more urgent kinds were requested recently.
-    pub(super) fn before(&self, rank: Rank, now: Time) -> usize {
+    /// Returns the number of recent kinds that are more urgent than `rank`.
+    pub(super) fn more_urgent(&self, rank: Rank, now: Time) -> usize {
         self.recent(now).filter(|kind| kind.rank < rank).count()
     }
 
@@ -189,7 +193,7 @@
         self.kinds.values().filter(move |kind| kind.is_recent(now))
     }
 
-    /// Returns the queueing delay of a kind with this objective.
+    /// Returns the expected queueing delay of a kind with this objective.
     fn wait(
         &self,
         work: Work,
@@ -204,12 +208,12 @@
         }
     }
 
-    /// Forgets the kind that was requested the longest ago if there is no room for another.
+    /// Drops the least recently requested kind if `work` is a new kind and the table is full.
     fn make_room(&mut self, work: Work) {
-        if self.kinds.len() < KINDS_AT_MOST || self.kinds.contains_key(&work) {
+        if self.kinds.len() < MAX_KINDS || self.kinds.contains_key(&work) {
             return;
         }
-        let oldest = self.kinds.iter().min_by_key(|(_, kind)| kind.last);
+        let oldest = self.kinds.iter().min_by_key(|(_, kind)| kind.last_request);
         if let Some(oldest) = oldest.map(|(work, _)| *work) {
             self.kinds.remove(&oldest);
         }
@@ -222,8 +226,8 @@
         let all = |of: fn(&Kind) -> Decaying| -> f64 {
             self.kinds.values().map(|kind| of(kind).get(now)).sum()
         };
-        let served = |answered: f64, asked: f64| answered / asked.max(1.0);
-        let own = served(kind.answered.get(now), kind.asked.get(now));
-        own < STARVATION * served(all(|kind| kind.answered), all(|kind| kind.asked))
+        let served = |answered: f64, requested: f64| answered / requested.max(1.0);
+        let own = served(kind.answered.get(now), kind.requested.get(now));
+        own < STARVATION_SHARE * served(all(|kind| kind.answered), all(|kind| kind.requested))
     }
 }
