--- a/crates/decision/src/budget/mod.rs
+++ b/crates/decision/src/budget/mod.rs
@@ -1,13 +1,15 @@
-//! Budgets for extra attempts, in per cent of the first ones.
+//! Budgets for extra attempts (hedges and retries), as a percentage of first attempts.
 //!
-//! Each first attempt puts a fraction of a token into a bucket, each hedge or retry takes a whole
-//! one out, so that extra load stays in proportion whatever fails. While attempts fail the fraction
-//! shrinks by a factor and while they succeed it grows by a step: retries help against a single
-//! server's trouble and add to everybody's, and what tells the two apart is how many fail. With one
-//! failure in ten attempts the budget stays whole, with one in two it falls to a tenth.
+//! A budget is a token bucket: each first attempt deposits a fraction of a token, each extra attempt
+//! takes a whole one, which bounds the additional load. The fraction decreases by a factor with each
+//! failure and increases by a step with each success: retries help when a few attempts fail, but add
+//! load to an outage when many do.
 //!
-//! Invariant: at any time the extra attempts taken are at most [`Budget::INITIAL`] plus `percent`
-//! in a hundred of the first attempts.
+//! Invariant: the extra attempts taken never exceed [`Budget::INITIAL`] plus `percent` per hundred
+//! first attempts.
+//!
+//! Where the owners of the backend servers bound extra attempts per time window, a [`Window`] for each
+//! group replaces the buckets.
 
 mod window;
 
@@ -18,56 +20,53 @@
 use monsoonring_configuration::document::Route;
 use std::time::Duration;
 
-/// What the fraction is multiplied by at each failure.
-const SHRINK: f64 = 0.9;
+/// Factor applied to the deposited fraction with each failure.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// What is added to it at each success.
-const GROW: f64 = 0.01;
+/// Amount added to that factor with each success.
+const INCREASE_STEP: f64 = 0.01;
 
-/// The factor never falls below this, so that successes are still found out.
-const FACTOR_AT_LEAST: f64 = 0.01;
+/// Lower bound of the factor, so that a few retries are still sent and can succeed.
+const MIN_FACTOR: f64 = 0.01;
 
-/// First attempts whose tokens are kept: a long calm may not pay for a storm.
-const KEPT: f64 = 1_000.0;
+/// Number of first attempts whose tokens the bucket can hold. Bounds the burst of extra attempts after a
+/// long period without failures.
+const MAX_SAVED_ATTEMPTS: f64 = 1_000.0;
 
-/// Share of each token that is put aside for extra attempts that can't wait, and the share of what
-/// may be saved at which that ends.
-const PUT_ASIDE: f64 = 0.2;
-const RESERVE: f64 = 0.5;
+/// Share of each deposit that goes to the reserve for extra attempts that can't be deferred, and the
+/// largest share of the bucket that the reserve may take.
+const RESERVE_DEPOSIT_SHARE: f64 = 0.2;
+const MAX_RESERVE_SHARE: f64 = 0.5;
 
-/// Share of what is allowed that retries may use without which there is an answer all the same. At
-/// half of it, days on which servers turn away much lost 0.05 of their worth, as a whole answer is
-/// worth a fifth more than one that lacks a shard of ten; at all of it, days on which servers fail
-/// much earn 0.01 less.
-const SPARE_SHARE: f64 = 0.85;
+/// Share of the window's bound available to optional retries ([`Importance::Optional`]).
+const OPTIONAL_SHARE: f64 = 0.85;
 
-/// Share of what is allowed above which it matters who gets the rest. Earlier, failed parts would wait
-/// for others although there is enough for all.
-const SCARCE_SHARE: f64 = 0.75;
+/// Share of the window's bound above which the budget counts as scarce, so that failed parts wait for
+/// each other before they are retried.
+const SCARCITY_THRESHOLD: f64 = 0.75;
 
-/// Retries that a search may need and still use all that is allowed, the part less that it may use
-/// for each further one, and the part that it may use at least. With four of ten attempts failing and
-/// a fifth more allowed, there is enough for searches that need up to three, and not for all of those.
-const FEW_RETRIES: u32 = 2;
-const SCARCER: f64 = 0.15;
-const LEAST_SHARE: f64 = 0.4;
+/// Retries of one request that may use the whole bound of the window, the reduction of its share with
+/// each further retry, and the minimum share. Searches that need few retries are preferred, as the same
+/// budget completes more of them.
+const FULL_SHARE_RETRIES: u32 = 2;
+const SHARE_STEP_PER_RETRY: f64 = 0.15;
+const MIN_REQUIRED_SHARE: f64 = 0.4;
 
-/// Token bucket that first attempts fill and extra attempts empty.
+/// Token bucket filled by first attempts and emptied by extra attempts.
 #[derive(Clone, Debug)]
 pub struct Budget {
     percent: f64,
     factor: f64,
     tokens: f64,
-    /// Part of the tokens that only [`Self::take`] may use.
+    /// Tokens available only to [`Self::take`].
     reserve: f64,
 }
 
 impl Budget {
-    /// Extra attempts that can be taken before any first one, where the percentage is not 0: a lone
-    /// request can still be sent again.
+    /// Tokens at the start unless the percentage is 0, so that even the first request can be retried.
     pub const INITIAL: f64 = 1.0;
 
-    /// Makes a budget of `percent` extra attempts per hundred first ones.
+    /// Creates a budget of `percent` extra attempts per hundred first attempts.
     pub fn new(percent: f64) -> Self {
         Self {
             percent,
@@ -77,21 +76,23 @@
         }
     }
 
-    /// Takes over a new percentage.
+    /// Sets the extra attempts allowed per hundred first attempts.
     pub fn set_percent(&mut self, percent: f64) {
         self.percent = percent;
-        self.tokens = self.tokens.min(self.most());
+        self.tokens = self.tokens.min(self.max_tokens());
     }
 
     /// Records a first attempt.
     pub fn deposit(&mut self, _now: Time) {
         let token = self.percent / 100.0 * self.factor;
-        self.tokens = (self.tokens + token).min(self.most());
-        let aside = self.reserve + token * PUT_ASIDE;
-        self.reserve = aside.min(self.most() * RESERVE).min(self.tokens);
+        self.tokens = (self.tokens + token).min(self.max_tokens());
+        let reserve = self.reserve + token * RESERVE_DEPOSIT_SHARE;
+        self.reserve = reserve
+            .min(self.max_tokens() * MAX_RESERVE_SHARE)
+            .min(self.tokens);
     }
 
-    /// Takes one extra attempt out of the budget. Returns whether there was one.
+    /// Takes an extra attempt. Returns whether one was available.
     pub fn take(&mut self, _now: Time) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
@@ -101,82 +102,84 @@
         enough
     }
 
-    /// Takes one extra attempt that can wait: it leaves what was put aside. Those that can't wait
-    /// would otherwise find the budget spent whenever the ordinary ones use it up, as a hedge at the
-    /// 95th percentile does with a budget of five per cent.
+    /// Takes an extra attempt that could be deferred, leaving the reserve. Returns whether one was
+    /// available.
+    ///
+    /// Without the reserve, deferrable hedges could use up the whole budget, for example hedges at the
+    /// 95th percentile with a budget of 5 %.
     pub fn take_deferrable(&mut self, now: Time) -> bool {
-        let spare = self.tokens - self.reserve >= 1.0;
-        spare && self.take(now)
+        let has_unreserved = self.tokens - self.reserve >= 1.0;
+        has_unreserved && self.take(now)
     }
 
-    /// Gives back an extra attempt that was taken and not sent.
+    /// Returns an extra attempt that was taken but not sent.
     pub fn give_back(&mut self) {
         self.tokens += 1.0;
     }
 
-    /// Records that an attempt succeeded, which lets a shrunken budget grow.
+    /// Records that an attempt succeeded, which raises a reduced budget.
     pub fn succeeded(&mut self, _now: Time) {
-        self.factor = (self.factor + GROW).min(1.0);
+        self.factor = (self.factor + INCREASE_STEP).min(1.0);
     }
 
-    /// Records that an attempt failed, which shrinks the budget.
+    /// Records that an attempt failed, which reduces the budget.
     pub fn failed(&mut self, _now: Time) {
-        self.factor = (self.factor * SHRINK).max(FACTOR_AT_LEAST);
-        self.tokens = self.tokens.min(self.most());
+        self.factor = (self.factor * DECREASE_FACTOR).max(MIN_FACTOR);
+        self.tokens = self.tokens.min(self.max_tokens());
         self.reserve = self.reserve.min(self.tokens);
     }
 
-    /// Returns the extra attempts that could be taken now.
+    /// Returns the number of extra attempts available.
     pub fn available(&self) -> f64 {
         self.tokens
     }
 
-    /// Returns the factor by which failures have shrunk the budget, from 0 to 1.
+    /// Returns the factor by which failures have reduced the budget, from 0 to 1.
     pub fn factor(&self) -> f64 {
         self.factor
     }
 
-    fn most(&self) -> f64 {
+    fn max_tokens(&self) -> f64 {
         if self.percent <= 0.0 {
             return 0.0;
         }
-        (self.percent / 100.0 * self.factor * KEPT).max(Self::INITIAL)
+        (self.percent / 100.0 * self.factor * MAX_SAVED_ATTEMPTS).max(Self::INITIAL)
     }
 }
 
-/// What rests on a further attempt after a failed one.
+/// Importance of a retry for the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Importance {
-    /// The answer is one without it, only not a whole one.
+    /// Without the retry the answer is partial.
     Optional,
-    /// There is no answer without it, and as many retries were made for the same request before.
+    /// Without the retry there is no answer. Holds the number of retries already made for the request.
     Required(u32),
 }
 
 impl Importance {
-    /// Returns the share of what is allowed that it may use.
+    /// Returns the share of the window's bound that such a retry may use.
     fn share(self) -> f64 {
         match self {
-            Self::Optional => SPARE_SHARE,
+            Self::Optional => OPTIONAL_SHARE,
             Self::Required(before) => {
-                let beyond = before.saturating_sub(FEW_RETRIES);
-                (1.0 - SCARCER * f64::from(beyond)).max(LEAST_SHARE)
+                let excess = before.saturating_sub(FULL_SHARE_RETRIES);
+                (1.0 - SHARE_STEP_PER_RETRY * f64::from(excess)).max(MIN_REQUIRED_SHARE)
             }
         }
     }
 }
 
-/// What may be sent beyond the first attempts, to one group of backend servers or to all of them.
+/// Budgets for hedges and retries to one group of backend servers, or to all groups of a route.
 #[derive(Clone, Debug)]
 pub enum Budgets {
-    /// A share of the first attempts for hedges, and another for retries.
+    /// Separate token buckets for hedges and retries.
     Buckets {
-        /// Second attempts beside a slow one.
+        /// Budget for additional attempts while another is slow.
         hedges: Budget,
-        /// Further attempts after a failed one.
+        /// Budget for attempts after a failed one.
         retries: Budget,
     },
-    /// One bound on all of them in a window of time.
+    /// A common bound on hedges and retries in a sliding window.
     Window(Window),
 }
 
@@ -208,36 +211,36 @@
                 hedges.deposit(now);
                 retries.deposit(now);
             }
-            Self::Window(window) => window.first(now),
+            Self::Window(window) => window.record_first(now),
         }
     }
 
-    /// Takes a further attempt after a failed one. Returns whether there was one.
+    /// Takes a retry. Returns whether one was available.
     pub fn take_retry(&mut self, importance: Importance, now: Time) -> bool {
         match self {
             Self::Buckets { retries, .. } => retries.take(now),
-            Self::Window(window) => window.take_of(importance.share(), now),
+            Self::Window(window) => window.take_within(importance.share(), now),
         }
     }
 
-    /// Tells whether there is a further attempt for such a need.
+    /// Returns whether a retry of this importance is available.
     pub fn has_retry(&mut self, importance: Importance, now: Time) -> bool {
         match self {
             Self::Buckets { retries, .. } => retries.available() >= 1.0,
-            Self::Window(window) => window.has_of(importance.share(), now),
+            Self::Window(window) => window.has_within(importance.share(), now),
         }
     }
 
-    /// Tells whether so much is used up that it matters who gets the rest. Buckets shrink with
+    /// Returns whether the window is nearly used up. Always false for buckets, which are reduced by
     /// failures instead.
     pub fn is_scarce(&mut self, now: Time) -> bool {
         match self {
             Self::Buckets { .. } => false,
-            Self::Window(window) => !window.has_of(SCARCE_SHARE, now),
+            Self::Window(window) => !window.has_within(SCARCITY_THRESHOLD, now),
         }
     }
 
-    /// Takes a hedge that can wait. Returns whether there was one.
+    /// Takes a hedge that could be deferred. Returns whether one was available.
     pub fn take_hedge(&mut self, now: Time) -> bool {
         match self {
             Self::Buckets { hedges, .. } => hedges.take_deferrable(now),
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Takes a hedge that can't wait. Returns whether there was one.
+    /// Takes a hedge that can't be deferred. Returns whether one was available.
     pub fn take_required_hedge(&mut self, now: Time) -> bool {
         match self {
             Self::Buckets { hedges, .. } => hedges.take(now),
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Gives back a hedge that was taken and not sent.
+    /// Returns a hedge that was taken but not sent.
     pub fn give_back_hedge(&mut self) {
         match self {
             Self::Buckets { hedges, .. } => hedges.give_back(),
@@ -261,7 +264,7 @@
         }
     }
 
-    /// Gives back a retry that was taken and not sent.
+    /// Returns a retry that was taken but not sent.
     pub fn give_back_retry(&mut self) {
         match self {
             Self::Buckets { retries, .. } => retries.give_back(),
@@ -279,9 +282,8 @@
 
     /// Records that an attempt failed.
     ///
-    /// It shrinks no window. The owners' bound holds whatever fails, so that staying further below it
-    /// would spare their servers little and cost answers: while servers turned away half of what they
-    /// got, budgets that shrink fell to a hundredth.
+    /// This does not reduce a window: the owners' bound already limits the load on their servers during
+    /// failures, and reducing it further would only cost answers.
     pub fn failed(&mut self, now: Time) {
         if let Self::Buckets { hedges, retries } = self {
             hedges.failed(now);
@@ -290,27 +292,26 @@
     }
 }
 
-/// Extra attempts of both kinds, in per cent of the first ones.
+/// Returns the hedges and retries together that are allowed per hundred first attempts.
 fn percent(route: &Route) -> f64 {
     route.hedge.budget_percent + route.retry.budget_percent
 }
 
-/// The budgets of a home: one for the whole route, or one for each group.
+/// The budgets of a route: one for the whole route, or one for each group.
 ///
-/// Where the owners of the backend servers bound the extra attempts at each group, a common budget
-/// would not do: one slow group out of ten would be sent what all ten have earned, as many extra
-/// attempts as it has first ones.
+/// Where the owners of the backend servers bound the extra attempts to each group, a common budget would
+/// exceed the bound: a single slow group could receive the extra attempts earned by all groups.
 #[derive(Clone, Debug)]
 pub struct RouteBudgets {
     budgets: Vec<Budgets>,
     slack: Option<f64>,
-    /// Time over which extra attempts are bounded.
+    /// Length of the window in which extra attempts are bounded.
     window: Duration,
 }
 
 impl RouteBudgets {
-    /// Makes the budgets of a route for a home that takes its part of the `division`: a window for
-    /// each group where extra attempts are bounded, common budgets otherwise.
+    /// Creates the budgets of a route: a window for each group if the `division` has a slack, common
+    /// token buckets otherwise.
     pub fn new(route: &Route, division: &Division) -> Self {
         let mut budgets = Self {
             budgets: Vec::new(),
@@ -321,7 +322,7 @@
         budgets
     }
 
-    /// Takes over another slack, where the extra attempts are bounded. Those that were made count on.
+    /// Sets the slack of the windows. Attempts already counted still count.
     pub fn set_slack(&mut self, slack: Option<f64>) {
         self.slack = slack;
         for budgets in &mut self.budgets {
@@ -331,7 +332,7 @@
         }
     }
 
-    /// Takes over a new configuration.
+    /// Applies a new configuration.
     pub fn reconfigure(&mut self, route: &Route) {
         let count = match self.slack {
             Some(_) => route.groups.len().max(1),
@@ -345,7 +346,7 @@
         }
     }
 
-    /// Returns the retries that could be made now at the group that has fewest left.
+    /// Returns the number of retries available for the group with the fewest.
     pub fn available(&mut self, now: Time) -> f64 {
         let available = self.budgets.iter_mut().map(|budgets| match budgets {
             Budgets::Buckets { retries, .. } => retries.available(),
@@ -354,11 +355,7 @@
         available.fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns the budgets for one group.
-    ///
-    /// # Panics
-    ///
-    /// Never: there is always one at least.
+    /// Returns the budgets for one group, the common ones if there are none per group.
     pub fn for_group(&mut self, group: usize) -> &mut Budgets {
         let last = self.budgets.len() - 1;
         &mut self.budgets[group.min(last)]
--- a/crates/decision/src/budget/window.rs
+++ b/crates/decision/src/budget/window.rs
@@ -1,29 +1,28 @@
-//! Extra attempts in a sliding window, where the owners of the backend servers count them so.
+//! Sliding-window bound on extra attempts, for backend servers whose owners limit them that way.
 //!
-//! They allow a share of the requests in any window of some seconds, and a few more. A token bucket that keeps
-//! to that can save up no more than the few: after a calm it has hardly more to give than in the
-//! midst of a storm, though the window would allow all that the calm left over. While servers lost
-//! 40 % of their answers for four seconds, that made the difference between one shard in three
-//! missing and one in six, which two attempts leave at best.
+//! The owners allow extra attempts up to a share of the requests in any window of a few seconds, plus a
+//! small slack. A token bucket that respects this bound could only save up the slack, so it would refuse
+//! retries at the start of an outage that the window still allows.
 //!
-//! Time is cut into slices. First attempts count for a little less than the window and extra ones
-//! for a little more, so that neither the slices nor the way to the servers can exceed the bound.
+//! The window is divided into slices. First attempts are counted for slightly less than the window and
+//! extra attempts for slightly more, so that neither the granularity of the slices nor network delay
+//! can cause the bound to be exceeded.
 
 use crate::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slices that the owners' window is cut into, those in which first attempts count, and those in which
-/// extra ones do.
+/// Number of slices in the window, number of slices for which first attempts count, and number for which
+/// extra attempts count.
 const SLICES: u32 = 20;
 const FIRST_SLICES: u64 = 19;
 const EXTRA_SLICES: u64 = 22;
 
-/// Share of what is allowed that hedges which can wait may use; the rest stays for retries, without
-/// which a shard is missing.
+/// Share of the allowed extra attempts available to deferrable hedges. The rest is reserved for
+/// retries, without which a shard would be missing from the answer.
 const HEDGE_SHARE: f64 = 0.55;
 
-/// Attempts in one slice of time.
+/// Attempts counted in one slice.
 #[derive(Clone, Copy, Debug)]
 struct Slice {
     number: u64,
@@ -31,7 +30,7 @@
     extras: u32,
 }
 
-/// What was sent to one group lately.
+/// Attempts recently sent to one group.
 #[derive(Clone, Debug)]
 pub struct Window {
     ratio: f64,
@@ -44,8 +43,8 @@
 }
 
 impl Window {
-    /// Makes a window of this length in which `percent` extra attempts per hundred first ones, and
-    /// `slack` more, are allowed.
+    /// Creates a window of this length that allows `percent` extra attempts per hundred first attempts,
+    /// plus `slack`.
     pub fn new(percent: f64, slack: f64, length: Duration) -> Self {
         Self {
             ratio: percent / 100.0,
@@ -57,33 +56,33 @@
         }
     }
 
-    /// Takes over a new percentage.
+    /// Sets the extra attempts allowed per hundred first attempts.
     pub fn set_percent(&mut self, percent: f64) {
         self.ratio = percent / 100.0;
     }
 
-    /// Takes over a new slack.
+    /// Sets the extra attempts allowed in addition to the percentage.
     pub fn set_slack(&mut self, slack: f64) {
         self.slack = slack;
     }
 
     /// Records a first attempt.
-    pub fn first(&mut self, now: Time) {
-        self.slice(now).firsts += 1;
+    pub fn record_first(&mut self, now: Time) {
+        self.current_slice(now).firsts += 1;
         self.firsts += 1;
     }
 
-    /// Takes an extra attempt that can wait. Returns whether there was one.
+    /// Takes an extra attempt that could be deferred. Returns whether one was available.
     pub fn take_deferrable(&mut self, now: Time) -> bool {
-        self.take_of(HEDGE_SHARE, now)
+        self.take_within(HEDGE_SHARE, now)
     }
 
-    /// Takes an extra attempt. Returns whether there was one.
+    /// Takes an extra attempt. Returns whether one was available.
     pub fn take(&mut self, now: Time) -> bool {
-        self.take_of(1.0, now)
+        self.take_within(1.0, now)
     }
 
-    /// Gives back an extra attempt that was taken and not sent.
+    /// Returns an extra attempt that was taken but not sent.
     pub fn give_back(&mut self) {
         if let Some(last) = self.slices.iter_mut().rev().find(|slice| slice.extras > 0) {
             last.extras -= 1;
@@ -91,35 +90,36 @@
         }
     }
 
-    /// Takes an extra attempt out of a share of what is allowed. Returns whether there was one.
-    pub(super) fn take_of(&mut self, share: f64, now: Time) -> bool {
-        let may = self.has_of(share, now);
-        if may {
-            self.slice(now).extras += 1;
+    /// Takes an extra attempt if those in the window stay within this share of the bound. Returns whether
+    /// one was available.
+    pub(super) fn take_within(&mut self, share: f64, now: Time) -> bool {
+        let is_allowed = self.has_within(share, now);
+        if is_allowed {
+            self.current_slice(now).extras += 1;
             self.extras += 1;
         }
-        may
+        is_allowed
     }
 
-    /// Returns the extra attempts that could be taken now.
+    /// Returns the number of extra attempts available.
     pub fn available(&mut self, now: Time) -> f64 {
-        self.slice(now);
+        self.current_slice(now);
         (self.allowed() - f64::from(self.extras)).max(0.0)
     }
 
-    /// Tells whether there is an extra attempt in a share of what is allowed.
-    pub(super) fn has_of(&mut self, share: f64, now: Time) -> bool {
-        self.slice(now);
+    /// Returns whether one more extra attempt stays within this share of the bound.
+    pub(super) fn has_within(&mut self, share: f64, now: Time) -> bool {
+        self.current_slice(now);
         f64::from(self.extras) + 1.0 <= self.allowed() * share
     }
 
-    /// Returns the extra attempts that are allowed in the window, those made included.
+    /// Returns the bound on extra attempts in the window.
     fn allowed(&self) -> f64 {
         self.ratio * f64::from(self.firsts) + self.slack
     }
 
-    /// Returns the slice of the present, and drops those that count no more.
-    fn slice(&mut self, now: Time) -> &mut Slice {
+    /// Expires old slices and returns the current one.
+    fn current_slice(&mut self, now: Time) -> &mut Slice {
         let number = (now.as_micros() / self.slice.as_micros()) as u64;
         while let Some(oldest) = self.slices.front() {
             if oldest.number + EXTRA_SLICES > number {
--- a/crates/decision/tests/budget.rs
+++ b/crates/decision/tests/budget.rs
@@ -29,7 +29,7 @@
 // Events:  every twentieth attempt is hedged as it is somewhat slow; then a server becomes slow.
 // Cause:   what is merely somewhat slow uses the whole budget up.
 #[test]
-fn take_deferrable_leaves_what_was_put_aside() {
+fn take_deferrable_leaves_the_reserve() {
     let mut budget = Budget::new(5.0);
     assert!(budget.take_deferrable(NOW), "a lone request can be hedged");
     for _ in 0..1_000 {
@@ -134,7 +134,7 @@
             now += Duration::from_millis(pause);
             let taken = match event {
                 0..4 => {
-                    window.first(now);
+                    window.record_first(now);
                     firsts.push(now);
                     false
                 }
@@ -166,7 +166,7 @@
     let mut answered = 0;
     for number in 0..1_000_u64 {
         let now = Duration::from_millis(number * 10);
-        window.first(now);
+        window.record_first(now);
         let fails = number >= 600 && number % 5 < 2;
         answered += u32::from(!fails || window.take(now));
     }
@@ -185,7 +185,7 @@
     let (mut firsts, mut extras) = (Vec::new(), Vec::new());
     for number in 0..6_000 {
         let now = Duration::from_millis(number * 10);
-        window.first(now);
+        window.record_first(now);
         firsts.push(now);
         if !window.take(now) {
             continue;
