--- a/crates/daemon/src/node/routes.rs
+++ b/crates/daemon/src/node/routes.rs
@@ -112,7 +112,7 @@
         let count = self.homes.map_or(count, |homes| homes.min(members));
         let kept = old.filter(|old| {
             let homes: Vec<MemberId> = old.homes.iter().map(|home| home.id).collect();
-            homes.len() == count && !difference.concerns(&route.name, &homes)
+            homes.len() == count && !difference.may_affect(&route.name, &homes)
         });
         if let Some(old) = kept {
             return old.homes.clone();
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -1,11 +1,11 @@
-//! Which members are the homes of a route, and what each may take of the backend servers.
+//! Selects the homes of a route and divides the backend servers' capacity among them.
 //!
-//! Every daemon computes this from its own view of the members, without a word to the others, so
-//! views may differ for a while. Rendezvous hashing keeps the difference small: a member that comes
-//! or goes moves few homes. The connection limit holds by construction: the homes of one view
-//! together take at most half of the limit ([`share`]), so that two views that have nothing in
-//! common, the two sides of a partition, still fit. Half is enough, because a backend server takes
-//! about ten connections for each request that it can work on.
+//! Every daemon computes this from its own view of the membership without coordination, so views may
+//! differ for a while. Rendezvous hashing keeps the difference small: a member that joins or leaves
+//! moves few homes. The connection limit of a backend server holds by construction: the homes of one
+//! view together use at most half of it ([`share`]), so two disjoint views, such as the two sides of a
+//! partition, still fit. Half is enough because a backend server accepts about ten connections for each
+//! request slot.
 
 mod difference;
 
@@ -19,96 +19,97 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Views of the members that may be acted on at the same time without exceeding the limit.
+/// Number of different membership views that daemons may act on at the same time without exceeding the
+/// connection limit.
 pub const CONCURRENT_VIEWS: u32 = 2;
 
-/// Connections of a home to each backend server beside those for attempts: the one that reports are
-/// read and attempts are cancelled over, which must not wait behind an attempt.
+/// Control connections of a home to each backend server. Load reports and cancellations use a separate
+/// connection so that they never wait behind an attempt.
 pub const CONTROL_CONNECTIONS: u32 = 1;
 
-/// Connections that a home keeps ready at each backend server beyond those lately in use at once.
+/// Idle connections that a home keeps to each backend server beyond its recent peak of concurrent use.
 pub const SPARE_CONNECTIONS: usize = 1;
 
-/// Groups that one home is meant to drive before a route gets more homes.
+/// Number of groups per home above which a route gets more homes.
 pub const GROUPS_PER_HOME: usize = 16;
 
-/// Most homes of a route, whatever its backend servers would take.
+/// Maximum number of homes of a route.
 pub const MAX_HOMES: usize = 32;
 
-/// Outstanding queries by which a home in another data centre counts as busier than it is.
+/// Outstanding queries added to the load of a home in another data centre when a home is chosen.
 pub const REMOTE_PENALTY: u32 = 4;
 
-/// Hosts in a data centre that are reckoned with until more are known, where every host is a home. The
-/// users' deployments have one to three in each.
-const ASSUMED_HOSTS: usize = 3;
+/// Number of hosts assumed in each data centre until more are discovered, where every host is a home.
+const ASSUMED_HOSTS_PER_DATA_CENTRE: usize = 3;
 
-/// Time over which owners bound extra attempts where they don't say.
-const WINDOW: Duration = Duration::from_secs(10);
+/// Default length of the window in which extra attempts are bounded.
+const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
 
-/// Returns the hosts that are reckoned with in so many data centres until more are known.
+/// Returns the hosts assumed in this number of data centres until more are discovered.
 pub fn assumed_hosts(data_centres: usize) -> Homes {
     Homes {
-        all: data_centres.max(1) * ASSUMED_HOSTS,
-        near: ASSUMED_HOSTS,
+        all: data_centres.max(1) * ASSUMED_HOSTS_PER_DATA_CENTRE,
+        near: ASSUMED_HOSTS_PER_DATA_CENTRE,
         ..Homes::from(0)
     }
 }
 
-/// Share of a server's connections that may be kept ready without need. After a loss of power of all
-/// homes a server counts those that they had until it finds them idle, and has to have room for as
-/// many again.
-const IDLE_SHARE: f64 = 0.45;
+/// Share of a server's connection limit that may be idle connections. After a power loss of all homes a
+/// server still counts their old connections until its idle timeout, and must have room for new ones.
+const IDLE_CONNECTION_SHARE: f64 = 0.45;
 
-/// Share of a server's connections, and of the extra attempts beyond the ratio, for the homes that fan out
-/// for others; the rest is for those that do so when none of them answers.
-const STRONG_CONNECTIONS: f64 = 0.5;
-const STRONG_SLACK: f64 = 0.75;
+/// Shares of a server's connections and of the slack for extra attempts that go to strong homes. The
+/// rest is for weak homes, which fan out themselves when no strong home answers.
+const STRONG_CONNECTION_SHARE: f64 = 0.5;
+const STRONG_SLACK_SHARE: f64 = 0.75;
 
-/// Views of the members that may be acted on at the same time without exceeding what a cold server max_rate.
+/// Number of different membership views that daemons may act on at the same time without exceeding the
+/// request rate of a cold server.
 const COLD_VIEWS: f64 = 2.0;
 
-/// Time for which a connection without need is held at most.
+/// Maximum time for which an idle connection is kept.
 pub(crate) const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// The homes that share backend servers.
+/// The homes that share backend servers, as seen by one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Homes {
-    /// All of them.
+    /// Number of homes in all data centres.
     pub all: usize,
-    /// Those in one's own data centre.
+    /// Number of homes in this home's data centre.
     pub near: usize,
-    /// Those of the near ones that fan out for others.
+    /// Number of strong homes in this home's data centre.
     pub strong: usize,
-    /// What this one does.
+    /// Role of this home.
     pub role: Role,
-    /// Its place among the near ones that do the same.
+    /// Position of this home among those with the same role in its data centre.
     pub rank: usize,
 }
 
-/// What a home does for others, or others for it.
+/// Whether a home fans out searches for other homes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// All homes do the same.
+    /// Every home fans out its own searches.
     #[default]
     Even,
-    /// It fans out for others.
+    /// The home also fans out searches for weak homes.
     Strong,
-    /// Others fan out for it; it does so itself only where none of them answers.
+    /// Strong homes fan out for this home; it fans out itself only if none of them answers.
     Weak,
 }
 
 impl Homes {
-    /// Returns the homes that fan out for others, here and elsewhere, if data centres are alike.
+    /// Returns the number of strong homes in all data centres, assuming the same ratio of strong homes
+    /// everywhere.
     ///
-    /// Where they are not, each overrates or underrates the others by as much as itself, so that the
-    /// parts still make up the whole: a data centre of `near` homes divides `near / all` of it.
-    fn all_strong(&self) -> f64 {
+    /// If the ratio differs, the shares still add up: the homes of a data centre together get
+    /// `near / all` of the total.
+    fn estimated_strong(&self) -> f64 {
         self.strong.max(1) as f64 * self.all as f64 / self.near.max(1) as f64
     }
 }
 
 impl From<usize> for Homes {
-    /// Takes all homes for near ones, and all for alike.
+    /// Treats all homes as being in the same data centre, with the same role.
     fn from(homes: usize) -> Self {
         Self {
             all: homes,
@@ -120,26 +121,26 @@
     }
 }
 
-/// How much of the backend servers one home may take beside the others.
+/// Division of the backend servers' capacity among homes, from which one home computes its share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
     /// Homes that share the backend servers.
     homes: Homes,
     views: u32,
     control: u32,
-    /// Connections kept ready at each backend server beyond those lately in use at once.
+    /// Idle connections kept to each backend server beyond the recent peak of concurrent use.
     pub spare: usize,
-    /// Connections kept ready at each backend server without any need.
+    /// Connections kept to each backend server even if unused.
     pub min_idle: usize,
-    /// Extra attempts that all homes together may make at each group beyond a share of the first
-    /// ones, where that is bounded.
+    /// Extra attempts that all homes together may make at each group in a window, in addition to a
+    /// share of the first attempts; `None` if these are not bounded.
     slack: Option<f64>,
-    /// Time over which they are counted.
+    /// Length of that window.
     window: Duration,
 }
 
 impl Division {
-    /// Divides among the homes of a route, which two views of the members may choose differently.
+    /// Divides among the homes of a route, leaving room for the homes of a second membership view.
     pub fn among(homes: usize) -> Self {
         Self {
             homes: homes.max(1).into(),
@@ -148,17 +149,17 @@
             spare: SPARE_CONNECTIONS,
             min_idle: 1,
             slack: None,
-            window: WINDOW,
+            window: DEFAULT_WINDOW,
         }
     }
 
-    /// Divides among all `hosts`, none of which makes calls beside its attempts. Views can't choose
-    /// different homes where everyone is one. `slack` is the number of extra attempts that all
-    /// hosts together may make at each group beyond a share of the first ones.
+    /// Divides among all `hosts`, where every host is a home. Membership views then can't select
+    /// different homes, and there are no control connections. `slack` is the number of extra attempts
+    /// that all hosts together may make at each group in a window, in addition to a share of the first
+    /// attempts.
     ///
-    /// Nothing is kept to spare. When hosts lose power, a server goes on counting the connections
-    /// that they had until it finds them idle, and they come back to a server that is half full:
-    /// with one to spare, 361 of 900 connects in the first second were ended at once.
+    /// No spare connections are kept: after a power loss a server still counts the old connections of
+    /// the hosts until its idle timeout, and would reject many of the new ones.
     pub fn among_all_hosts(hosts: impl Into<Homes>, slack: f64) -> Self {
         Self {
             homes: hosts.into(),
@@ -167,19 +168,18 @@
             spare: 0,
             min_idle: 1,
             slack: Some(slack),
-            window: WINDOW,
+            window: DEFAULT_WINDOW,
         }
     }
 
-    /// Bounds the extra attempts over this time.
+    /// Sets the length of the window in which extra attempts are bounded.
     #[must_use]
     pub fn with_window(self, window: Duration) -> Self {
         Self { window, ..self }
     }
 
-    /// Keeps no connection ready without need. Where another home here has the same backend servers,
-    /// both would hold some: servers that several routes lead to in different sets were left with
-    /// no room for hosts that came back after a loss of power, for eight seconds.
+    /// Keeps no idle connections. Used if another home in this process has the same backend servers:
+    /// if both kept some, the servers could lack room for hosts that return after a power loss.
     #[must_use]
     pub fn on_demand(self) -> Self {
         Self {
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Returns the connections that a home may hold to a backend server which takes `limit`.
+    /// Returns the maximum number of connections for attempts from this home to a backend server that
+    /// accepts `limit` connections.
     pub fn connections(&self, limit: u32) -> usize {
         let homes = u32::try_from(self.count()).unwrap_or(u32::MAX);
         let own = limit / self.views / homes;
@@ -196,32 +197,32 @@
         match self.homes.role {
             Role::Even | Role::Weak => even,
             Role::Strong => {
-                let most = f64::from(limit) * STRONG_CONNECTIONS;
-                even.max((most / self.homes.all_strong()) as usize)
+                let most = f64::from(limit) * STRONG_CONNECTION_SHARE;
+                even.max((most / self.homes.estimated_strong()) as usize)
             }
         }
     }
 
-    /// Returns the time for which a connection to a backend server that takes `limit` is held without
-    /// need: the longer, the fewer of the homes further away could hold one each beside those nearby.
+    /// Returns the time for which this home keeps an idle connection to a backend server that accepts
+    /// `limit` connections.
     ///
-    /// A server counts connections of homes that lost power until it finds them idle. Where 89 homes
-    /// held each for five seconds, servers that take 76 had no room for those that came back, and half
-    /// of the searches were refused for eight seconds.
+    /// The time is shorter the more remote homes compete for the idle connections that nearby homes
+    /// leave. After a power loss a server still counts the old connections until its idle timeout; too
+    /// many of them leave no room for the homes that return.
     pub fn idle_time(&self, limit: u32) -> Duration {
         let near = self.homes.near as f64;
         let far = self.count() as f64 - near;
         if far < 1.0 || self.homes.role == Role::Strong {
             return MAX_IDLE_TIME;
         }
-        let most = f64::from(limit) * IDLE_SHARE - near;
+        let most = f64::from(limit) * IDLE_CONNECTION_SHARE - near;
         MAX_IDLE_TIME.mul_f64((most / far).clamp(0.0, 1.0))
     }
 
-    /// Returns the share of the homes in a server's data centre that keep a connection to it ready
-    /// without need, from 0 to 1.
+    /// Returns the fraction of the homes in a server's data centre that keep an idle connection to it,
+    /// from 0 to 1, if it accepts `limit` connections.
     pub fn idle_share(&self, limit: u32) -> f64 {
-        let most = f64::from(limit) * IDLE_SHARE;
+        let most = f64::from(limit) * IDLE_CONNECTION_SHARE;
         match self.homes.role {
             Role::Even => (most / self.homes.near.max(1) as f64).min(1.0),
             Role::Strong => 1.0,
@@ -229,52 +230,53 @@
         }
     }
 
-    /// Returns the extra attempts that a home may make at one group beyond its share of the first
-    /// ones, where that is bounded.
+    /// Returns the extra attempts that this home may make at one group in a window, in addition to a
+    /// share of its first attempts; `None` if these are not bounded.
     pub fn slack(&self) -> Option<f64> {
-        let strong = self.homes.all_strong();
+        let strong = self.homes.estimated_strong();
         let part = match self.homes.role {
             Role::Even => 1.0 / self.count() as f64,
-            Role::Strong => STRONG_SLACK / strong,
-            Role::Weak => (1.0 - STRONG_SLACK) / (self.count() as f64 - strong).max(1.0),
+            Role::Strong => STRONG_SLACK_SHARE / strong,
+            Role::Weak => (1.0 - STRONG_SLACK_SHARE) / (self.count() as f64 - strong).max(1.0),
         };
         self.slack.map(|slack| slack * part)
     }
 
-    /// Returns the requests that a home may send in any second to a cold backend server in its own data centre, which
-    /// `max_rate` so many from all homes.
+    /// Returns the number of requests per second that this home may send to a cold backend server in its
+    /// data centre that accepts `max_rate` requests per second from all homes.
     ///
-    /// The homes of the server's data centre divide half of it, so that two views of the members that have nothing in
-    /// common still fit. Those that fan out for others have the larger part. Where there are more homes than
-    /// requests, some of them may send one each: others for each server, so that all servers of a home are not shut
-    /// at once.
+    /// The homes of the data centre share half of the rate, so that two disjoint membership views still
+    /// fit; strong homes get the larger part. If there are more homes than requests, some homes get one
+    /// request and the others none. Which homes these are differs by server, so that a home is not
+    /// excluded from all cold servers at the same time.
     pub fn cold_quota(&self, max_rate: f64, server: BackendServerId) -> usize {
         if self.min_idle == 0 {
-            // Another home here has the same servers, and all of this.
+            // Another home in this process has the same servers and uses the whole quota.
             return 0;
         }
         let Homes { near, strong, .. } = self.homes;
-        let (part, homes) = match self.homes.role {
+        let (part, count) = match self.homes.role {
             Role::Even => (1.0, near),
-            Role::Strong => (STRONG_SLACK, strong),
-            Role::Weak => (1.0 - STRONG_SLACK, near.saturating_sub(strong)),
+            Role::Strong => (STRONG_SLACK_SHARE, strong),
+            Role::Weak => (1.0 - STRONG_SLACK_SHARE, near.saturating_sub(strong)),
         };
-        let homes = homes.max(1);
+        let count = count.max(1);
         let all = (max_rate * part / COLD_VIEWS) as usize;
-        let turn = xxh3_64(server.to_string().as_bytes()) as usize;
-        let place = turn.wrapping_add(self.homes.rank) % homes;
-        all / homes + usize::from(place < all % homes)
+        let offset = xxh3_64(server.to_string().as_bytes()) as usize;
+        let position = offset.wrapping_add(self.homes.rank) % count;
+        all / count + usize::from(position < all % count)
     }
 
-    /// Returns how many homes are likely to ask a server as often as this one.
+    /// Returns the number of homes, this one included, that are likely to send a server as many requests
+    /// as this home.
     pub fn similar_homes(&self) -> f64 {
         match self.homes.role {
             Role::Even | Role::Weak => self.count() as f64,
-            Role::Strong => self.homes.all_strong(),
+            Role::Strong => self.homes.estimated_strong(),
         }
     }
 
-    /// Returns the number of homes that share the backend servers, this one included.
+    /// Returns the number of homes that share the backend servers, including this one.
     fn count(&self) -> usize {
         self.homes.all.max(1)
     }
@@ -284,12 +286,12 @@
         self.homes
     }
 
-    /// Returns the time over which extra attempts are bounded.
+    /// Returns the length of the window in which extra attempts are bounded.
     pub fn window(&self) -> Duration {
         self.window
     }
 
-    /// Divides the same among another number of homes.
+    /// Divides the same capacity among other homes.
     #[must_use]
     pub fn with_homes(self, homes: impl Into<Homes>) -> Self {
         Self {
@@ -299,12 +301,12 @@
     }
 }
 
-/// What a home takes, and where the backend servers are.
+/// Capacity allocated to a home, and which backend servers are remote.
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    /// Its part beside the other homes.
+    /// Division of the capacity among the homes.
     pub division: Division,
-    /// The backend servers in other data centres than its own.
+    /// Backend servers outside the home's data centre.
     pub far: BTreeSet<BackendServerId>,
 }
 
@@ -323,58 +325,57 @@
     }
 }
 
-/// A serving member, as far as placement is concerned.
+/// A serving member that may become a home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Peer address.
     pub id: MemberId,
-    /// Its data centre.
+    /// Data centre of the member.
     pub data_centre: DataCentreId,
 }
 
-/// What a daemon knows of a home that it could pass a query on to.
+/// Load and reachability of a home to which a daemon can forward a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomeLoad {
-    /// The home.
+    /// Peer address of the home.
     pub id: MemberId,
-    /// Whether it is in the daemon's own data centre.
+    /// Whether the home is in the daemon's data centre.
     pub near: bool,
-    /// Whether it is suspected of being dead.
+    /// Whether the failure detector suspects the home.
     pub suspect: bool,
-    /// Queries passed on to it and not yet answered.
+    /// Number of queries forwarded to the home by this daemon and not yet answered.
     pub outstanding: u32,
 }
 
 /// Returns the number of homes of a route.
 ///
-/// With room to spare each home can keep all slots of a backend server busy on its own, so that
-/// the slots are shared well whichever home the work lands on:
-/// `roomy = limit / CONCURRENT_VIEWS / (slots + CONTROL_CONNECTIONS)`. A route with many groups gets more homes, down to
-/// one connection for attempts each: `wanted = groups / GROUPS_PER_HOME`, at most
-/// `limit / CONCURRENT_VIEWS / (1 + CONTROL_CONNECTIONS)`. Never more than [`MAX_HOMES`] or the members; all members when
-/// they are few.
+/// Preferably each home has enough connections to use all slots of a backend server on its own, so that
+/// slots are well used however the load is spread over the homes:
+/// `preferred = limit / CONCURRENT_VIEWS / (slots + CONTROL_CONNECTIONS)`. A route with many groups gets
+/// more homes, each with at least one connection for attempts: `wanted = groups / GROUPS_PER_HOME`, at
+/// most `limit / CONCURRENT_VIEWS / (1 + CONTROL_CONNECTIONS)`. The result never exceeds [`MAX_HOMES`] or
+/// the number of members.
 pub fn homes(capacity: &Capacity, groups: usize, members: usize) -> usize {
     let usable = capacity.connections / CONCURRENT_VIEWS;
     let most = (usable / (1 + CONTROL_CONNECTIONS)).max(1) as usize;
-    let roomy = (usable / (capacity.slots.max(1) + CONTROL_CONNECTIONS)).max(1) as usize;
+    let preferred = (usable / (capacity.slots.max(1) + CONTROL_CONNECTIONS)).max(1) as usize;
     let wanted = groups.div_ceil(GROUPS_PER_HOME).min(most);
-    roomy.max(wanted).min(MAX_HOMES).min(members)
+    preferred.max(wanted).min(MAX_HOMES).min(members)
 }
 
-/// Returns the connections for attempts that each of `homes` may hold to one backend server, beside
-/// [`CONTROL_CONNECTIONS`] others.
+/// Returns the number of connections for attempts that each of `homes` may open to one backend server,
+/// in addition to [`CONTROL_CONNECTIONS`].
 ///
-/// Bound: homes of one view hold at most `limit / CONCURRENT_VIEWS` together; hence the sum over any two
-/// views, whatever they differ by, is at most `limit`. With more views at once, any set of
-/// `2 * homes` distinct daemons fits, so views that moved at most `homes` homes in all do. Only a
-/// limit below `CONCURRENT_VIEWS * (1 + CONTROL_CONNECTIONS)` can't be shared so: then the one home has one connection for
-/// attempts all the same.
+/// The homes of one view together open at most `limit / CONCURRENT_VIEWS` connections, so those of any two
+/// views open at most `limit`. With more than two views the bound holds as long as they contain at most
+/// `2 * homes` distinct daemons. A limit below `CONCURRENT_VIEWS * (1 + CONTROL_CONNECTIONS)` can't be
+/// divided this way; the single home then still gets one connection for attempts.
 pub fn share(limit: u32, homes: usize) -> u32 {
     Division::among(homes).connections(limit) as u32
 }
 
-/// Returns the homes of a route, best first: `count` members by rendezvous hashing, at most
-/// `count / data centres`, rounded up, in one data centre while there are enough elsewhere.
+/// Returns the homes of a route, best first: `count` members by rendezvous hashing, with at most
+/// `count / data centres` (rounded up) in one data centre as long as others have enough members.
 pub fn select(route: &str, members: &[Member], count: usize) -> Vec<MemberId> {
     let by_data_centre = best_by_data_centre(route, members, count);
     let cap = count.div_ceil(by_data_centre.len().max(1));
@@ -391,9 +392,10 @@
     chosen.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Returns the home that a query goes to: the daemon itself if it is one; else one that is not
-/// suspected, with the fewest outstanding queries, the near ones first. Ties are broken by the
-/// request, so that daemons without load don't all choose the same home.
+/// Returns the home to which a query is sent: the daemon itself if it is a home, otherwise the
+/// unsuspected home with the fewest outstanding queries, preferring homes in the same data centre
+/// ([`REMOTE_PENALTY`]). Ties are broken by a hash of the request id, so that idle daemons don't all
+/// choose the same home.
 pub fn choose(own: MemberId, request: RequestId, homes: &[HomeLoad]) -> Option<MemberId> {
     if homes.iter().any(|home| home.id == own) {
         return Some(own);
@@ -402,19 +404,19 @@
     homes
         .iter()
         .min_by_key(|home| {
-            let distance = if home.near { 0 } else { REMOTE_PENALTY };
-            let busy = home.outstanding.saturating_add(distance);
-            (home.suspect, busy, hash(seed, home.id))
+            let penalty = if home.near { 0 } else { REMOTE_PENALTY };
+            let load = home.outstanding.saturating_add(penalty);
+            (home.suspect, load, hash(seed, home.id))
         })
         .map(|home| home.id)
 }
 
-/// Rendezvous score of a member for a name; the highest comes first.
+/// Returns the rendezvous hashing score of a member for a name; the highest ranks first.
 pub(crate) fn score(name: &str, id: MemberId) -> u64 {
     hash(xxh3_64(name.as_bytes()), id)
 }
 
-/// Returns a number from 0 to 1 that is drawn for a home and a backend server, always the same.
+/// Returns a pseudo-random number from 0 to 1 that is fixed for a home and a backend server.
 pub(crate) fn uniform_hash(home: u64, server: BackendServerId) -> f64 {
     hash(home, server) as f64 / u64::MAX as f64
 }
@@ -431,7 +433,7 @@
 
 type Ranked = Vec<(u64, MemberId)>;
 
-/// The best `count` of each data centre, best first. One pass keeps the cost linear in the members.
+/// Returns the best `count` members of each data centre, best first, in time linear in the members.
 fn best_by_data_centre<'a>(
     route: &str,
     members: &'a [Member],
--- a/crates/decision/src/placement/difference.rs
+++ b/crates/decision/src/placement/difference.rs
@@ -1,50 +1,52 @@
-//! Which routes a change of members can concern.
+//! Determines which routes a membership change can affect.
 //!
-//! Choosing the homes of one route looks at every member. At 3,800 members and hundreds of routes
-//! that is tens of milliseconds, and members change about once a second; it would take several times
-//! the processor time that control may take. Nearly all changes concern no home of a given route,
-//! and by rendezvous hashing a look at the changed members alone tells so.
+//! Selecting the homes of a route takes time linear in the members, which is too expensive to repeat for
+//! every route with every membership change in a large deployment. Most changes affect no home of a
+//! given route, and with rendezvous hashing the changed members alone show whether one does.
 
 use super::{MAX_HOMES, Member, score};
 use crate::member::MemberId;
 use std::collections::{BTreeMap, HashMap};
 
-/// What differs between two lists of members.
+/// Difference between two lists of members.
 #[derive(Clone, Debug)]
 pub struct Difference {
     arrived: Vec<MemberId>,
     departed: Vec<MemberId>,
-    /// Whether the lists are such that [`Difference::concerns`] can tell by the changed members.
-    steady: bool,
+    /// Whether [`Difference::may_affect`] can decide from the changed members alone.
+    comparable: bool,
 }
 
 impl Difference {
-    /// Compares two lists. A member that moved to another data centre departed and arrived.
+    /// Compares two lists. A member that moved to another data centre counts as departed and arrived.
     pub fn between(old: &[Member], new: &[Member]) -> Self {
-        let steady = sizes(old).keys().eq(sizes(new).keys()) && is_roomy(old) && is_roomy(new);
+        let comparable = sizes(old).keys().eq(sizes(new).keys())
+            && has_full_data_centres(old)
+            && has_full_data_centres(new);
         Self {
             arrived: missing(new, old),
             departed: missing(old, new),
-            steady,
+            comparable,
         }
     }
 
-    /// Tells whether [`super::select`] may give a route other homes than before.
+    /// Returns whether [`super::select`] may return different homes for a route than before. `false` is
+    /// always exact.
     ///
-    /// Never wrong with "no". Where each data centre has at least [`MAX_HOMES`] members, before and
-    /// after, the homes are the best by score among each data centre's best; so a member that was no
-    /// home may go, and one with a lower score than every home may come, without any effect. Else
-    /// each change may concern every route.
-    pub fn concerns(&self, route: &str, homes: &[MemberId]) -> bool {
+    /// If each data centre has at least [`MAX_HOMES`] members before and after, the homes are those with
+    /// the highest scores within each data centre. A member that is not a home can then depart, and a
+    /// member that scores lower than every home can arrive, without effect. Otherwise any change may
+    /// affect every route.
+    pub fn may_affect(&self, route: &str, homes: &[MemberId]) -> bool {
         if self.arrived.is_empty() && self.departed.is_empty() {
             return false;
         }
-        if !self.steady || self.departed.iter().any(|id| homes.contains(id)) {
+        if !self.comparable || self.departed.iter().any(|id| homes.contains(id)) {
             return true;
         }
         let rank = |id: &MemberId| (score(route, *id), *id);
-        let least = homes.iter().map(rank).min();
-        self.arrived.iter().map(rank).max() > least
+        let lowest = homes.iter().map(rank).min();
+        self.arrived.iter().map(rank).max() > lowest
     }
 }
 
@@ -56,11 +58,11 @@
     sizes
 }
 
-fn is_roomy(members: &[Member]) -> bool {
+fn has_full_data_centres(members: &[Member]) -> bool {
     sizes(members).values().all(|size| *size >= MAX_HOMES)
 }
 
-/// Returns the members of `from` that are not in `list`.
+/// Returns the members of `from` that are not in `list` with the same data centre.
 fn missing(from: &[Member], list: &[Member]) -> Vec<MemberId> {
     let known = list.iter().map(|member| (member.id, &member.data_centre));
     let known: HashMap<_, _> = known.collect();
--- a/crates/decision/tests/placement.rs
+++ b/crates/decision/tests/placement.rs
@@ -251,7 +251,7 @@
         for route in 0..20 {
             let route = format!("route-{route}");
             let homes = select(&route, &all, count);
-            if !difference.concerns(&route, &homes) {
+            if !difference.may_affect(&route, &homes) {
                 prop_assert_eq!(select(&route, &new, count), homes);
             }
         }
@@ -263,7 +263,8 @@
     let all = members(0..3_800, 21);
     let difference = Difference::between(&all, &all[1..]);
     let concerned = (0..271).map(|route| format!("route-{route}"));
-    let concerned = concerned.filter(|route| difference.concerns(route, &select(route, &all, 10)));
+    let concerned =
+        concerned.filter(|route| difference.may_affect(route, &select(route, &all, 10)));
     let is_home = |route: &String| select(route, &all, 10).contains(&all[0].id);
     let concerned: Vec<String> = concerned.collect();
     assert!(concerned.iter().all(is_home), "{concerned:?}");
@@ -278,5 +279,5 @@
     let lost = |member: &Member| every == 1 || &*member.data_centre != "dc1";
     let left: Vec<Member> = left.into_iter().filter(lost).collect();
     let difference = Difference::between(&all, &left);
-    assert!(difference.concerns("any", &[]));
+    assert!(difference.may_affect("any", &[]));
 }
--- a/crates/experiment/examples/decisions.rs
+++ b/crates/experiment/examples/decisions.rs
@@ -129,7 +129,7 @@
     let difference = Difference::between(&members, &members[1..]);
     let homes = placement::select("route", &members[1..], HOMES);
     let concern = median(|| {
-        black_box(difference.concerns("route", &homes));
+        black_box(difference.may_affect("route", &homes));
     });
     let second = member_second(&mut table);
     let micros = [
