--- a/crates/decision/src/fact/table.rs
+++ b/crates/decision/src/fact/table.rs
@@ -3,7 +3,7 @@
 use super::{Entry, Key, Stamp};
 use crate::Time;
 use crate::broadcast::Broadcast;
-use crate::member::settings::retransmits;
+use crate::member::settings::transmit_limit;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 use std::time::Duration;
@@ -109,7 +109,7 @@
 
     /// Returns the facts for one message, at most `max_bytes` together.
     pub fn pick(&mut self, max_bytes: usize, now: Time) -> Vec<Entry> {
-        let limit = retransmits(RETRANSMIT_FACTOR, self.members);
+        let limit = transmit_limit(RETRANSMIT_FACTOR, self.members);
         let held = &self.held;
         let size = |key: &Key| Self::entry(held, key, now).map(|entry| entry.size());
         let keys = self.broadcast.take(max_bytes, limit, SMALLEST, size);
--- a/crates/decision/src/member/detector.rs
+++ b/crates/decision/src/member/detector.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 /// Probe timeouts after which an unanswered probe is given up, should the driver never answer.
-const GIVE_UP: u32 = 10;
+const PROBE_EXPIRY_TIMEOUTS: u32 = 10;
 
 /// Unknown hosts probed at once by a member that knows nobody.
-const GREETINGS: usize = 3;
+const DISCOVERY_PROBES: usize = 3;
 
 /// Suspects at once that lengthen each other's time by one suspicion time.
-const CROWD: usize = 64;
+const SUSPECTS_PER_EXTENSION: usize = 64;
 
 /// Tries to find one serving member at random before going without.
-const PICK_TRIES: usize = 8;
+const MAX_PICK_TRIES: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
@@ -27,10 +27,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingProbe {
     pub(crate) target: MemberId,
     pub(crate) stage: Stage,
-    pub(crate) began: Time,
+    pub(crate) started: Time,
 }
 
 impl Table {
@@ -38,15 +38,15 @@
         if let Some(to) = self.next_in_round() {
             self.probe(to, now);
         } else {
-            (0..GREETINGS).for_each(|_| self.probe_unreached(now));
+            (0..DISCOVERY_PROBES).for_each(|_| self.probe_unreached(now));
         }
     }
 
     pub(super) fn probe(&mut self, to: MemberId, now: Time) {
         let message = self.message(to);
-        let probe = self.expect(to, Stage::Direct, now);
+        let probe = self.register_probe(to, Stage::Direct, now);
         let timeout = self.settings.probe_timeout;
-        self.out.push(Action::Probe {
+        self.actions.push(Action::Probe {
             probe,
             to,
             message,
@@ -73,7 +73,7 @@
     }
 
     /// A direct probe may fail for the path alone; helpers have other paths.
-    pub(super) fn failed(&mut self, probe: ProbeId, now: Time) {
+    pub(super) fn on_probe_failed(&mut self, probe: ProbeId, now: Time) {
         let Some(pending) = self.probes.remove(&probe) else {
             return;
         };
@@ -83,16 +83,16 @@
             return;
         }
         let helpers = match pending.stage {
-            Stage::Direct => self.pick(self.settings.helpers, target),
+            Stage::Direct => self.pick_random(self.settings.helpers, target),
             Stage::Indirect => Vec::new(),
         };
         if helpers.is_empty() {
             self.suspect(target, now);
             return;
         }
-        let probe = self.expect(target, Stage::Indirect, now);
+        let probe = self.register_probe(target, Stage::Indirect, now);
         let timeout = self.settings.probe_timeout;
-        self.out.push(Action::ProbeVia {
+        self.actions.push(Action::ProbeVia {
             probe,
             target,
             helpers,
@@ -100,26 +100,28 @@
         });
     }
 
-    pub(super) fn give_up_probes(&mut self, now: Time) {
-        let limit = self.settings.probe_timeout * GIVE_UP;
+    pub(super) fn expire_probes(&mut self, now: Time) {
+        let limit = self.settings.probe_timeout * PROBE_EXPIRY_TIMEOUTS;
         while let Some((&probe, pending)) = self.probes.first_key_value() {
-            if now.saturating_sub(pending.began) < limit {
+            if now.saturating_sub(pending.started) < limit {
                 break;
             }
-            self.failed(probe, now);
+            self.on_probe_failed(probe, now);
         }
     }
 
     /// Declares dead who did not refute in time.
-    pub(super) fn bury_suspects(&mut self, now: Time) {
+    pub(super) fn declare_overdue_dead(&mut self, now: Time) {
         let overdue: Vec<Change> = self
             .roster
             .suspects()
-            .filter(|record| now.saturating_sub(record.since) >= self.suspicion(record, now))
+            .filter(|record| {
+                now.saturating_sub(record.since) >= self.suspicion_timeout(record, now)
+            })
             .map(|record| record.change.clone())
             .collect();
         for change in overdue {
-            self.condemn(
+            self.record_verdict(
                 &Change {
                     state: State::Dead,
                     ..change
@@ -130,9 +132,9 @@
     }
 
     /// Returns up to `count` serving members at random, without this one and `other`.
-    pub(super) fn pick(&mut self, count: usize, other: MemberId) -> Vec<MemberId> {
+    pub(super) fn pick_random(&mut self, count: usize, other: MemberId) -> Vec<MemberId> {
         let mut picked = Vec::new();
-        for _ in 0..count * PICK_TRIES {
+        for _ in 0..count * MAX_PICK_TRIES {
             if picked.len() == count || self.round.is_empty() {
                 break;
             }
@@ -149,14 +151,14 @@
     pub(super) fn join_round(&mut self, id: MemberId) {
         self.round.push(id);
         let last = self.round.len() - 1;
-        let place = self.rng.random_range(self.position.min(last)..=last);
+        let place = self.rng.random_range(self.round_position.min(last)..=last);
         self.round.swap(place, last);
     }
 
     fn next_in_round(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
-            while let Some(&id) = self.round.get(self.position) {
-                self.position += 1;
+            while let Some(&id) = self.round.get(self.round_position) {
+                self.round_position += 1;
                 if self.get(id).is_some_and(|c| c.state.is_serving()) {
                     return Some(id);
                 }
@@ -172,16 +174,16 @@
         let others = serving.filter(|c| c.state.is_serving() && c.id != own);
         self.round = others.map(|change| change.id).collect();
         self.round.shuffle(&mut self.rng);
-        self.position = 0;
+        self.round_position = 0;
     }
 
-    fn expect(&mut self, target: MemberId, stage: Stage, began: Time) -> ProbeId {
+    fn register_probe(&mut self, target: MemberId, stage: Stage, started: Time) -> ProbeId {
         let probe = self.next_probe;
         self.next_probe += 1;
-        let pending = Pending {
+        let pending = PendingProbe {
             target,
             stage,
-            began,
+            started,
         };
         self.probes.insert(probe, pending);
         probe
@@ -192,7 +194,7 @@
             return;
         };
         if change.state == State::Alive {
-            self.condemn(
+            self.record_verdict(
                 &Change {
                     state: State::Suspect,
                     ..change
@@ -203,18 +205,18 @@
     }
 
     /// Records an own verdict, and passes it on unless it says more about this member.
-    fn condemn(&mut self, verdict: &Change, now: Time) {
-        if self.doubts_itself(now) {
-            self.unspoken.insert(verdict.id);
+    fn record_verdict(&mut self, verdict: &Change, now: Time) {
+        if self.has_heard_nothing(now) {
+            self.unpublished.insert(verdict.id);
         }
-        let tell = !self.unspoken.contains(&verdict.id);
-        self.conclude(verdict, tell, now);
+        let gossip = !self.unpublished.contains(&verdict.id);
+        self.record_change(verdict, gossip, now);
     }
 
     /// A member that hears nobody, though its own messages may get out, would suspect everybody and
     /// make the whole fleet refute at once. Nothing heard at all points at itself: it draws its own
     /// conclusions and keeps them to itself.
-    fn doubts_itself(&self, now: Time) -> bool {
+    fn has_heard_nothing(&self, now: Time) -> bool {
         now.saturating_sub(self.last_heard) >= self.settings.silence_limit
     }
 
@@ -222,14 +224,15 @@
     /// with the logarithm of the members. A member that flaps gets longer, so that its homes don't
     /// move to and fro; one that the list does not show as live gets half. Many suspects at once
     /// get longer, because their refutations share the bytes of the messages.
-    fn suspicion(&self, record: &super::roster::Record, now: Time) -> Duration {
-        let decades = (self.serving().max(1) as f64).log10().max(1.0);
-        let recent = now.saturating_sub(record.flapped) < self.settings.flap_life;
+    fn suspicion_timeout(&self, record: &super::roster::Record, now: Time) -> Duration {
+        let log_members = (self.serving().max(1) as f64).log10().max(1.0);
+        let recent = now.saturating_sub(record.last_flap) < self.settings.flap_life;
         let flaps = if recent { record.flaps } else { 0 };
-        let expected = self.listed.is_empty() || self.listed.get(&record.change.id) == Some(&false);
-        let share = if expected { 1.0 } else { 0.5 };
-        let crowd = (self.roster.suspected() / CROWD) as f64;
-        let factor = decades * share * (1.0 + f64::from(flaps) + crowd);
+        let is_expected_alive =
+            self.listed.is_empty() || self.listed.get(&record.change.id) == Some(&false);
+        let share = if is_expected_alive { 1.0 } else { 0.5 };
+        let extensions = (self.roster.suspected() / SUSPECTS_PER_EXTENSION) as f64;
+        let factor = log_members * share * (1.0 + f64::from(flaps) + extensions);
         self.settings.suspicion.mul_f64(factor)
     }
 }
--- a/crates/decision/src/member/event.rs
+++ b/crates/decision/src/member/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a member table, what it wants done, and what members say to each other.
+//! Events and actions of the member table, and the messages exchanged between members.
 
 use super::{Change, Incarnation, MemberId, State};
 use crate::{configuration, fact};
@@ -6,48 +6,48 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Id of a probe, unique within one process.
+/// Identifies a probe within one process.
 pub type ProbeId = u64;
 
-/// What a probe and its answer carry.
+/// Message carried by a probe and by its answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// Peer address of the sender.
     pub from: MemberId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// The sender's data centre.
     pub data_centre: DataCentreId,
-    /// Hash over a part of the members that the sender counts as serving.
+    /// Hash over one bucket of the sender's serving members.
     pub digest: Digest,
-    /// Changes that the sender passes on.
+    /// Changes gossiped by the sender.
     pub changes: Vec<Change>,
-    /// What other controllers have to say; the table neither fills nor reads it.
+    /// Gossip of other components; the table neither fills nor reads it.
     pub attachment: Attachment,
 }
 
-/// What rides on a message besides changes of members. The driver fills it before it sends, and
-/// hands it to the controllers concerned when it receives.
+/// Gossip other than member changes. The driver fills it before sending and passes it to the respective
+/// components on receipt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Attachment {
-    /// The configuration in force at the sender.
+    /// Configuration version in force at the sender; `None` if it has none.
     pub configuration: Option<configuration::Version>,
-    /// When somebody last reached the configuration service, as far as the sender knows.
+    /// Most recent contact of any daemon with the configuration service that the sender knows of.
     pub contact: Option<configuration::Contact>,
-    /// Facts that the sender passes on.
+    /// Facts gossiped by the sender.
     pub facts: Vec<fact::Entry>,
 }
 
-/// Hash over one bucket of the members, to find differences that the changes did not repair.
+/// Hash over one bucket of members, used to detect differences that gossip did not repair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The bucket; members are in buckets by the hash of their address.
+    /// Bucket number; members are assigned to buckets by a hash of their address.
     pub bucket: u8,
-    /// Hash over the bucket's serving members and their incarnations, in any order.
+    /// Order-independent hash over the bucket's serving members and their incarnations.
     pub hash: u64,
 }
 
-/// The buckets from `first` to `last`, both included.
+/// An inclusive range of buckets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketRange {
     /// First bucket.
@@ -56,87 +56,87 @@
     pub last: u8,
 }
 
-/// Whole buckets of a table.
+/// A page of a table, made of whole buckets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// All sayings about members of the buckets.
+    /// Current states of all members in the buckets.
     pub changes: Vec<Change>,
-    /// What is still missing of the span asked for; `None` if nothing is.
+    /// Remaining part of the requested range; `None` if the page completes it.
     pub rest: Option<BucketRange>,
 }
 
-/// A daemon's host in the platform's list.
+/// A host in the platform's list of hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seed {
     /// Peer address.
     pub id: MemberId,
-    /// Whether the list says that the host is leaving.
+    /// Whether the host is marked as leaving.
     pub leaving: bool,
 }
 
-/// Something that a table has to react to.
+/// Input of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passes; to be fed several times a period.
+    /// Advances time; sent several times per period.
     Tick,
-    /// A peer probes us; answered by [`Action::Reply`].
+    /// A peer probed this member; answered by [`Action::Reply`].
     Probed(Message),
-    /// A probe, direct or through a helper, was answered with this message of its target.
+    /// The target of a direct or indirect probe answered with this message.
     Acked(ProbeId, Message),
-    /// A probe failed or was not answered in time, directly or by any helper.
+    /// A direct or indirect probe failed or timed out.
     Failed(ProbeId),
-    /// A member's message was heard otherwise, for example while probing for somebody else.
+    /// A message arrived in another way, for example as the answer to a probe for another member.
     Overheard(Message),
     /// The list of hosts was read.
     Listed(Vec<Seed>),
-    /// A page asked for arrived.
+    /// A requested page arrived.
     Pulled(MemberId, Page),
-    /// A page asked for did not arrive.
+    /// A page request failed.
     PullFailed(MemberId),
-    /// Something new should spread at once: probe a few members now.
+    /// Probe a few members immediately, so that news spreads faster.
     Burst,
     /// This member stops gracefully.
     Leave {
-        /// The member that takes over its records, if any.
+        /// Member that takes over its records, if any.
         successor: Option<MemberId>,
     },
 }
 
-/// Something that the daemon does for a table.
+/// Output of a table, carried out by the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the message to a member; answered by `Acked` or `Failed`.
+    /// Send a direct probe; answered by `Acked` or `Failed`.
     Probe {
-        /// The probe.
+        /// Id to answer with.
         probe: ProbeId,
-        /// Its target.
+        /// Target of the probe.
         to: MemberId,
-        /// What it says.
+        /// Message to send.
         message: Message,
-        /// Time after which it has failed.
+        /// Time after which the probe has failed.
         timeout: Duration,
     },
-    /// Ask each helper to probe the target; `Acked` with the first answer, `Failed` if there is
-    /// none.
+    /// Ask each helper to probe the target; answered by `Acked` with the first answer, or by `Failed` if
+    /// there is none.
     ProbeVia {
-        /// The probe.
+        /// Id to answer with.
         probe: ProbeId,
-        /// Its target.
+        /// Target of the probe.
         target: MemberId,
-        /// Who is asked.
+        /// Members asked to probe the target.
         helpers: Vec<MemberId>,
-        /// Time after which it has failed.
+        /// Time after which the probe has failed.
         timeout: Duration,
     },
-    /// Answer the probe just fed.
+    /// Answer the [`Event::Probed`] being handled.
     Reply(Message),
-    /// Ask a member for its `Table::page` of a span; answered by `Pulled` or `PullFailed`.
+    /// Request `Table::page` from a member; answered by `Pulled` or `PullFailed`.
     Pull(MemberId, BucketRange),
-    /// A member's state changed in a way that matters for placement.
+    /// A member's state changed, or whether it is marked as leaving.
     Changed(MemberId, State),
-    /// The process was paused for this long: no new work until `Table::is_current` is true again.
+    /// The process was paused for this long. Accept no new work until `Table::is_current` again.
     Paused(Duration),
-    /// The list says that this host is leaving: stop gracefully.
+    /// The list of hosts marks this host as leaving: stop gracefully.
     Leaving,
     /// Write a line to the log.
     Log(LogLine),
@@ -145,10 +145,10 @@
 /// A decision about a member, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// What was decided: `suspect`, `dead`, `alive`, `left`, `refute`, `paused`, `isolated`, …
+    /// Decision: `suspect`, `dead`, `alive`, `left`, `refute`, `paused`, `isolated`, …
     pub what: &'static str,
-    /// The member concerned.
+    /// Member that the decision is about.
     pub member: MemberId,
-    /// Why, in a few words with the numbers that decided.
+    /// Reason, with the numbers that it is based on.
     pub why: String,
 }
--- a/crates/decision/src/member/mod.rs
+++ b/crates/decision/src/member/mod.rs
@@ -1,14 +1,14 @@
-//! Who is a member, and in which state.
+//! Gossip membership and failure detection, a protocol of the SWIM family.
 //!
-//! A small protocol of the SWIM family. Each member probes one other a period, in a shuffled round;
-//! who does not answer is asked through helpers, then suspected, then dead, unless it refutes. What
-//! changed rides on the probes and their answers, so the bytes a second are the same for 8 members
-//! and for 3,800.
+//! Each member probes one other member per period, in a shuffled round. A member that does not answer is
+//! probed indirectly through helpers, then suspected, then declared dead unless it refutes. Changes are
+//! piggybacked on probes and their answers, so the bandwidth per member does not grow with the number of
+//! members.
 //!
-//! The states of one member form a total order ([`Change`]), and a table keeps the highest it has
-//! heard of. Order, loss and repetition of messages therefore never matter for where the tables end
-//! up, only for how soon. A table never takes a partition for the death of the rest: it keeps
-//! probing the dead that are still listed, and says that it is isolated.
+//! The states of one member are totally ordered ([`Change`]) and a table keeps the highest it has
+//! received, so tables converge whatever the order, loss or repetition of messages. To recover from a
+//! partition, a table keeps probing dead members that are still in the host list, and reports that it is
+//! isolated.
 
 mod detector;
 pub mod event;
@@ -25,5 +25,5 @@
 pub use settings::Settings;
 pub use table::Table;
 
-/// A member is known by its peer address.
+/// Identifies a member by its peer address.
 pub type MemberId = std::net::SocketAddr;
--- a/crates/decision/src/member/record.rs
+++ b/crates/decision/src/member/record.rs
@@ -1,70 +1,70 @@
-//! What is said of one member, and which of two sayings is newer.
+//! State of one member, and the order that decides which of two changes is newer.
 
 use super::MemberId;
 use monsoonring_configuration::id::{self, DataCentreId};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 
-/// Which life of an address is spoken of, and how often that life has refuted its own death.
+/// Identifies a process at a peer address, and how often it has refuted a suspicion.
 ///
-/// The start number comes first: a process that replaces another on the same address outranks
-/// anything said of the old one, however often the old one refuted.
+/// The start number is compared first: a process that replaces another at the same address outranks all
+/// changes about the old one, however often that one refuted.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
     /// Start number of the process.
     pub start: id::Incarnation,
-    /// Number of times that this process contradicted a suspicion.
+    /// Number of times that this process refuted a suspicion or death.
     pub refutation: u32,
 }
 
 /// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, directly or through helpers, and may still refute.
+    /// The member failed a direct and an indirect probe and may still refute.
     Suspect,
-    /// It did not refute in time. Only a later incarnation undoes this.
+    /// The member did not refute in time. Superseded only by a higher incarnation.
     Dead,
-    /// It stopped gracefully; only a new process on its address undoes this.
+    /// The member stopped gracefully. Superseded only by a new process at its address.
     Left {
-        /// The member that took over its records, if it named one.
+        /// Member that took over its records, if any.
         successor: Option<MemberId>,
     },
 }
 
 impl State {
-    /// Tells whether the member counts as one that serves: alive or not yet given up.
+    /// Returns whether the member is considered serving: alive or suspect.
     pub fn is_serving(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// One saying about one member.
+/// A change of one member's state.
 ///
-/// Sayings about the same member are totally ordered; the greater replaces the lesser. A graceful
-/// leave outranks everything else of the same process, because a stopped process never comes back.
+/// Changes about the same member are totally ordered; a higher one supersedes a lower one. A graceful
+/// leave outranks all other changes about the same process, because a stopped process never returns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The member spoken of.
+    /// Peer address of the member.
     pub id: MemberId,
-    /// The life spoken of.
+    /// Incarnation that the state applies to.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// New state.
     pub state: State,
-    /// Its data centre.
+    /// Data centre of the member.
     pub data_centre: DataCentreId,
 }
 
 impl Change {
-    /// Tells whether this saying replaces `other`, which is about the same member.
+    /// Returns whether this change supersedes `other`, which is about the same member.
     pub fn supersedes(&self, other: &Self) -> bool {
         self.rank().cmp(&other.rank()) == Ordering::Greater
     }
 
-    /// Number of bytes that the saying takes in a message: the fields in bincode's fixed layout.
+    /// Returns the encoded size in bytes (bincode with fixed-width integers).
     pub fn size(&self) -> usize {
         const FIXED: usize = ADDRESS_BYTES + 8 + 4 + 4 + 8;
         let successor = match self.state {
@@ -87,5 +87,5 @@
     }
 }
 
-/// Bytes of the longer kind of address (IPv6 and port, with the tag of the kind).
+/// Encoded size of the longer kind of address: enum tag, IPv6 address and port.
 pub(crate) const ADDRESS_BYTES: usize = 4 + 16 + 2;
--- a/crates/decision/src/member/roster.rs
+++ b/crates/decision/src/member/roster.rs
@@ -1,36 +1,40 @@
-//! The highest saying of each member, with the indexes that keep every operation cheap at 3,800.
+//! Stores the latest record of each member, with indexes that keep operations cheap for thousands of
+//! members.
 
 use super::{Change, MemberId, State};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of buckets. At 3,800 members one has about 60, which is one small page.
+/// Number of buckets that members are hashed into. A bucket of a large deployment still fits one page.
 pub(crate) const BUCKETS: u8 = 64;
 
-/// Most flaps counted; each adds one suspicion time.
+/// Maximum number of flaps counted; each extends the suspicion timeout.
 const MAX_FLAPS: u32 = 4;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) change: Change,
-    /// Since when the state holds.
+    /// Time at which the member entered this state.
     pub(crate) since: Time,
-    /// How often the process recovered from a suspicion or death, and when last.
+    /// Number of times that the process recovered from a suspicion or death.
     pub(crate) flaps: u32,
-    pub(crate) flapped: Time,
+    pub(crate) last_flap: Time,
 }
 
-/// Invariants: a record is replaced only by a higher one, and removed only as a tombstone whose
-/// life is over. `hashes`, `serving`, `suspects` and `tombstones` agree with `records`.
+/// Records of all known members.
+///
+/// Invariants: except in [`Self::revert`], a record is replaced only by a higher one, and it is removed
+/// only as an expired tombstone. `hashes`, `serving`, `suspects` and `tombstones` are consistent with
+/// `records`.
 #[derive(Debug)]
 pub(crate) struct Roster {
     records: BTreeMap<(u8, MemberId), Record>,
     hashes: [u64; BUCKETS as usize],
     serving: usize,
-    /// Suspected members; `since` is when the suspicion began.
+    /// Suspected members.
     suspects: BTreeSet<MemberId>,
-    /// Dead and left members by the time at which they died.
+    /// Dead and left members, by the time at which they entered that state.
     tombstones: BTreeSet<(Time, MemberId)>,
 }
 
@@ -49,8 +53,8 @@
         self.records.get(&(bucket(id), id))
     }
 
-    /// Takes the saying in if it is higher than the one on record. Returns the state before, or
-    /// `Err` with the record that stands.
+    /// Stores the change if it supersedes the current record. Returns the previous state, or the current
+    /// record as an error if the change does not supersede it.
     pub(crate) fn insert(&mut self, change: Change, now: Time) -> Result<Option<State>, &Record> {
         let key = (bucket(change.id), change.id);
         let old = self.records.remove(&key);
@@ -60,14 +64,14 @@
             }
             self.unindex(&old);
             let before = old.change.state;
-            self.store(key, next(&old, change, now));
+            self.store(key, update(&old, change, now));
             return Ok(Some(before));
         }
         let record = Record {
             change,
             since: now,
             flaps: 0,
-            flapped: Time::ZERO,
+            last_flap: Time::ZERO,
         };
         self.store(key, record);
         Ok(None)
@@ -85,7 +89,7 @@
         self.suspects.iter().filter_map(|id| self.get(*id))
     }
 
-    /// Starts every suspicion anew, after a time in which nobody could have been heard.
+    /// Restarts the timeout of every suspicion, after a time in which no refutation could be received.
     pub(crate) fn restart_suspicions(&mut self, now: Time) {
         for id in &self.suspects {
             if let Some(record) = self.records.get_mut(&(bucket(*id), *id)) {
@@ -94,8 +98,8 @@
         }
     }
 
-    /// Takes a verdict back: the member is alive again in the incarnation that was condemned. This
-    /// is the one way down in the order; see `Table::take_back`.
+    /// Sets a suspect or dead member back to alive in the same incarnation. This is the only change that
+    /// lowers a record in the order; see `Table::withdraw_verdicts`.
     pub(crate) fn revert(&mut self, id: MemberId, now: Time) {
         let key = (bucket(id), id);
         if let Some(mut record) = self.records.remove(&key) {
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Members that died, and did not leave, since `start`.
+    /// Returns the members declared dead since `start`, without those that left.
     pub(crate) fn deaths_since(&self, start: Time) -> impl Iterator<Item = MemberId> {
         let from = (start, MemberId::from(([0, 0, 0, 0], 0)));
         let died = |id: &MemberId| {
@@ -138,7 +142,7 @@
         self.records.values()
     }
 
-    /// Forgets the members that died or left before `end`.
+    /// Removes the members that died or left before `end`.
     pub(crate) fn forget_before(&mut self, end: Time) {
         while let Some((died, id)) = self.tombstones.first().copied() {
             if died >= end {
@@ -174,21 +178,21 @@
     }
 }
 
-/// The record that follows `old`, with the flaps counted.
-fn next(old: &Record, change: Change, now: Time) -> Record {
+/// Returns the record that replaces `old`, with the number of flaps updated.
+fn update(old: &Record, change: Change, now: Time) -> Record {
     let same_process = old.change.incarnation.start == change.incarnation.start;
-    let was_doubted = matches!(old.change.state, State::Suspect | State::Dead);
-    let flapped = same_process && was_doubted && change.state == State::Alive;
+    let was_suspected = matches!(old.change.state, State::Suspect | State::Dead);
+    let has_flapped = same_process && was_suspected && change.state == State::Alive;
     Record {
         since: now,
-        flaps: if flapped {
+        flaps: if has_flapped {
             (old.flaps + 1).min(MAX_FLAPS)
         } else if same_process {
             old.flaps
         } else {
             0
         },
-        flapped: if flapped { now } else { old.flapped },
+        last_flap: if has_flapped { now } else { old.last_flap },
         change,
     }
 }
@@ -198,7 +202,8 @@
     u8::try_from(hash % u64::from(BUCKETS)).unwrap_or(0)
 }
 
-/// Suspicion is left out: it is on its way to a death or a refutation, and repairs itself.
+/// Hashes a serving member and its incarnation. Suspicion is not included, because it ends in a death or
+/// a refutation without repair.
 fn hash(change: &Change) -> u64 {
     let mut bytes = [0; 20];
     bytes[..8].copy_from_slice(&crate::placement::score("member", change.id).to_be_bytes());
--- a/crates/decision/src/member/settings.rs
+++ b/crates/decision/src/member/settings.rs
@@ -1,48 +1,47 @@
-//! The times and bounds of the membership protocol.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
-/// Times and bounds; [`Settings::default`] is what production uses.
+/// Intervals, timeouts and size limits. Production uses [`Settings::default`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Time between two probes of the round.
+    /// Interval between probes of the round.
     pub period: Duration,
-    /// Time after a start or a pause in which probes follow each other faster, and the time between two then.
-    /// After a loss of power of all hosts nobody knows anybody, and each takes what it may beside the few hosts that
-    /// it reckons with.
+    /// Time after a start or a pause during which probes are sent every `startup_period`. Until a host has
+    /// discovered the others, it claims too large a share of the backend servers.
     pub startup: Duration,
-    /// See `startup`.
+    /// Interval between probes during `startup`.
     pub startup_period: Duration,
-    /// Pages of another's table that are asked for one after the other when it is copied; the others come one
-    /// a period, which bounds the bytes where the table is long.
+    /// Number of pages requested back to back when a peer's table is copied. Further pages are requested
+    /// once per period, which bounds the bandwidth for a large table.
     pub pages_at_once: u32,
-    /// Time that a probe, direct or through helpers, may take.
+    /// Timeout of a direct or indirect probe.
     pub probe_timeout: Duration,
-    /// Number of members asked to probe in our place.
+    /// Number of members asked to send an indirect probe.
     pub helpers: usize,
-    /// Time that a suspect has to refute, multiplied by the decimal logarithm of the members.
+    /// Time that a suspect has to refute, multiplied by the decimal logarithm of the number of members.
     pub suspicion: Duration,
-    /// Time for which a dead or left member stays on record, so that late news can't revive it.
+    /// Time for which a dead or left member is remembered, so that delayed messages can't revive it.
     pub tombstone_life: Duration,
-    /// Time without flapping after which a member's earlier flaps are forgotten.
+    /// Time without flapping after which earlier flaps of a member are ignored.
     pub flap_life: Duration,
-    /// Gap between two ticks above which the process counts as having been paused.
+    /// Gap between two ticks above which the process is considered to have been paused.
     pub pause_threshold: Duration,
-    /// Time without any peer's answer after which a starting or resumed member goes on alone.
+    /// Time without an answer from any peer after which a starting or resumed member continues alone.
     pub refresh_timeout: Duration,
-    /// Time without any answer after which failed probes are blamed on ourselves.
+    /// Time without any message after which failed probes are attributed to this member's own network.
     pub silence_limit: Duration,
-    /// Time between two probes of dead or unknown hosts that are still listed.
+    /// Interval between probes of listed hosts that are dead or unknown.
     pub revival_period: Duration,
-    /// Shortest time between two bursts of extra probes.
+    /// Minimum interval between bursts of extra probes.
     pub burst_period: Duration,
     /// Number of members probed in a burst.
     pub burst_fanout: usize,
-    /// Bound of the changes in one message, in bytes.
+    /// Maximum size of the changes in one message, in bytes.
     pub message_bytes: usize,
-    /// Bound of one page of the whole table, in bytes.
+    /// Maximum size of one page of the table, in bytes.
     pub page_bytes: usize,
-    /// A change is sent this many times the binary logarithm of the members.
+    /// Number of times that a change is sent, per binary logarithm of the number of members.
     pub retransmit_factor: u32,
 }
 
@@ -71,8 +70,8 @@
     }
 }
 
-/// Number of times that something is passed on among `members`, at least once.
-pub(crate) fn retransmits(factor: u32, members: usize) -> u32 {
+/// Returns how many times a piece of gossip is sent among `members`, at least once.
+pub(crate) fn transmit_limit(factor: u32, members: usize) -> u32 {
     let doublings = usize::BITS - members.max(1).leading_zeros();
     (factor * doublings).max(1)
 }
--- a/crates/decision/src/member/table.rs
+++ b/crates/decision/src/member/table.rs
@@ -1,6 +1,6 @@
 //! The members as one daemon sees them: entry points, and what happens as time passes.
 
-use super::detector::Pending;
+use super::detector::PendingProbe;
 use super::event::{Action, BucketRange, Event, LogLine, ProbeId, Seed};
 use super::roster::{BUCKETS, Roster};
 use super::{Change, Incarnation, MemberId, Settings, State};
@@ -16,10 +16,10 @@
 pub(super) const ISOLATION_WINDOW: Duration = Duration::from_secs(30 * 60);
 
 /// Deaths below this number never count as isolation.
-const ISOLATION_DEATHS: usize = 2;
+const MIN_ISOLATION_DEATHS: usize = 2;
 
 /// A resumed member that hears peers but can't copy a table goes on after this many patiences.
-const PATIENCES: u32 = 6;
+const MAX_REFRESH_TIMEOUTS: u32 = 6;
 
 /// Members and their states, as this daemon knows them.
 ///
@@ -36,31 +36,31 @@
     pub(super) listed: BTreeMap<MemberId, bool>,
     /// Members in the order in which they are probed; those that are not serving are skipped.
     pub(super) round: Vec<MemberId>,
-    pub(super) position: usize,
-    pub(super) probes: BTreeMap<ProbeId, Pending>,
+    pub(super) round_position: usize,
+    pub(super) probes: BTreeMap<ProbeId, PendingProbe>,
     pub(super) next_probe: ProbeId,
     pub(super) last_heard: Time,
     /// Members condemned while nothing at all was heard; nobody was told.
-    pub(super) unspoken: BTreeSet<MemberId>,
+    pub(super) unpublished: BTreeSet<MemberId>,
     /// Copying of another's table, after a start or a pause.
     pub(super) copying: Option<(MemberId, BucketRange)>,
     /// Repair of one bucket that differs.
     pub(super) repairing: Option<MemberId>,
     /// Since when the table waits to be refreshed; `None` once it is current.
-    pub(super) waiting: Option<Time>,
+    pub(super) refreshing_since: Option<Time>,
     /// Whether a newer process has this address.
     pub(super) superseded: bool,
     pub(super) isolated: bool,
     /// When it started, or woke from a pause.
-    began: Time,
+    started: Time,
     /// Pages that were asked for since then.
-    pub(super) pages: u32,
+    pub(super) pages_requested: u32,
     last_tick: Option<Time>,
-    due_probe: Time,
-    due_revival: Time,
-    due_burst: Time,
-    pub(super) due_repair: Time,
-    pub(super) out: Vec<Action>,
+    next_probe_at: Time,
+    next_revival: Time,
+    next_burst: Time,
+    pub(super) next_repair: Time,
+    pub(super) actions: Vec<Action>,
 }
 
 impl Table {
@@ -93,24 +93,24 @@
             broadcast,
             listed: BTreeMap::new(),
             round: Vec::new(),
-            position: 0,
+            round_position: 0,
             probes: BTreeMap::new(),
             next_probe: 0,
             last_heard: now,
-            unspoken: BTreeSet::new(),
+            unpublished: BTreeSet::new(),
             copying: None,
             repairing: None,
-            waiting: Some(now),
+            refreshing_since: Some(now),
             superseded: false,
             isolated: false,
-            began: now,
-            pages: 0,
+            started: now,
+            pages_requested: 0,
             last_tick: None,
-            due_probe: now,
-            due_revival: now,
-            due_burst: now,
-            due_repair: now,
-            out: Vec::new(),
+            next_probe_at: now,
+            next_revival: now,
+            next_burst: now,
+            next_repair: now,
+            actions: Vec::new(),
         }
     }
 
@@ -118,20 +118,20 @@
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Probed(message) => self.probed(message, now),
+            Event::Probed(message) => self.on_probe(message, now),
             Event::Acked(probe, message) => {
                 self.probes.remove(&probe);
-                self.heard(message, now);
+                self.on_message(message, now);
             }
-            Event::Failed(probe) => self.failed(probe, now),
-            Event::Overheard(message) => self.heard(message, now),
-            Event::Listed(seeds) => self.list(&seeds),
-            Event::Pulled(from, page) => self.pulled(from, page, now),
-            Event::PullFailed(from) => self.pull_failed(from),
+            Event::Failed(probe) => self.on_probe_failed(probe, now),
+            Event::Overheard(message) => self.on_message(message, now),
+            Event::Listed(seeds) => self.update_listed(&seeds),
+            Event::Pulled(from, page) => self.on_page(from, page, now),
+            Event::PullFailed(from) => self.on_pull_failed(from),
             Event::Burst => self.burst(now),
             Event::Leave { successor } => self.leave(successor, now),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the members that serve, this one included unless it has left, without the hosts
@@ -183,7 +183,7 @@
     /// Tells whether new work may be taken: the table was refreshed from a peer since the start or
     /// the last pause (or no peer could be reached), and no newer process has this address.
     pub fn is_current(&self) -> bool {
-        self.waiting.is_none() && !self.superseded
+        self.refreshing_since.is_none() && !self.superseded
     }
 
     /// Tells whether so many members died at once that this side is more likely cut off.
@@ -197,29 +197,29 @@
         if gap > self.settings.pause_threshold {
             self.resume(gap, now);
         }
-        self.give_up_probes(now);
-        self.bury_suspects(now);
-        if now >= self.due_probe {
-            self.due_probe = now + self.period(now);
+        self.expire_probes(now);
+        self.declare_overdue_dead(now);
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + self.period(now);
             self.probe_next(now);
-            self.copy();
-            self.note_isolation(now);
+            self.request_page();
+            self.update_isolation(now);
         }
-        if now >= self.due_revival {
-            self.due_revival = now + self.settings.revival_period;
+        if now >= self.next_revival {
+            self.next_revival = now + self.settings.revival_period;
             self.repairing = None;
             self.probe_unreached(now);
         }
-        if self.waiting.is_none() {
+        if self.refreshing_since.is_none() {
             let end = now.checked_sub(self.settings.tombstone_life);
             end.into_iter()
                 .for_each(|end| self.roster.forget_before(end));
         }
-        self.settle(now);
+        self.check_refresh_timeout(now);
     }
 
     fn period(&self, now: Time) -> Duration {
-        match now < self.began + self.settings.startup {
+        match now < self.started + self.settings.startup {
             true => self.settings.startup_period,
             false => self.settings.period,
         }
@@ -231,9 +231,9 @@
     /// one would see members flap after each pause. Nothing old is passed on, suspicions start
     /// anew, and no new work is taken until a peer's table was copied.
     fn resume(&mut self, gap: Duration, now: Time) {
-        self.waiting = Some(now);
-        self.began = now;
-        self.pages = 0;
+        self.refreshing_since = Some(now);
+        self.started = now;
+        self.pages_requested = 0;
         self.last_heard = now;
         self.copying = None;
         self.repairing = None;
@@ -242,19 +242,19 @@
         self.broadcast.push(self.own);
         self.roster.restart_suspicions(now);
         self.log("paused", self.own, format!("no tick for {gap:?}"));
-        self.out.push(Action::Paused(gap));
+        self.actions.push(Action::Paused(gap));
     }
 
     /// Ends the wait of a member that finds nobody to copy from: a side that is cut off serves.
-    fn settle(&mut self, now: Time) {
-        let Some(since) = self.waiting else {
+    fn check_refresh_timeout(&mut self, now: Time) {
+        let Some(since) = self.refreshing_since else {
             return;
         };
         let waited = now.saturating_sub(since);
-        let unheard = self.last_heard <= since;
-        let patience = self.settings.refresh_timeout;
-        if (unheard && waited >= patience) || waited >= patience * PATIENCES {
-            self.waiting = None;
+        let no_answer = self.last_heard <= since;
+        let timeout = self.settings.refresh_timeout;
+        if (no_answer && waited >= timeout) || waited >= timeout * MAX_REFRESH_TIMEOUTS {
+            self.refreshing_since = None;
             self.copying = None;
             self.log(
                 "alone",
@@ -266,13 +266,13 @@
 
     /// A partition looks like the death of everybody else. The dead that are listed stay under
     /// probes, so that the sides find each other again; operators see the difference here.
-    fn note_isolation(&mut self, now: Time) {
+    fn update_isolation(&mut self, now: Time) {
         let deaths = self
             .roster
             .deaths_since(now.saturating_sub(ISOLATION_WINDOW))
             .count();
         let serving = self.serving();
-        let isolated = deaths >= ISOLATION_DEATHS && deaths >= serving;
+        let isolated = deaths >= MIN_ISOLATION_DEATHS && deaths >= serving;
         if isolated != self.isolated {
             self.isolated = isolated;
             let what = if isolated { "isolated" } else { "rejoined" };
@@ -280,20 +280,20 @@
         }
     }
 
-    fn list(&mut self, seeds: &[Seed]) {
+    fn update_listed(&mut self, seeds: &[Seed]) {
         let before = self.listed.get(&self.own).copied().unwrap_or(false);
         let listed = seeds.iter().map(|seed| (seed.id, seed.leaving)).collect();
         let old = std::mem::replace(&mut self.listed, listed);
         for (id, leaving) in self.listed.clone() {
             if old.get(&id).copied().unwrap_or(false) != leaving {
                 if let Some(state) = self.get(id).map(|change| change.state) {
-                    self.out.push(Action::Changed(id, state));
+                    self.actions.push(Action::Changed(id, state));
                 }
             }
         }
         if !before && self.listed.get(&self.own).copied().unwrap_or(false) {
             self.log("listed_leaving", self.own, "the list of hosts".to_owned());
-            self.out.push(Action::Leaving);
+            self.actions.push(Action::Leaving);
         }
     }
 
@@ -305,26 +305,27 @@
         let _ = self.roster.insert(Change { state, ..own }, now);
         self.broadcast.push(self.own);
         self.log("left", self.own, format!("successor {successor:?}"));
-        self.due_burst = now;
+        self.next_burst = now;
         self.burst(now);
     }
 
     /// Probes a few members now; at most once a `burst_period`, so that bursts of news stay cheap.
     pub(super) fn burst(&mut self, now: Time) {
-        if now < self.due_burst {
+        if now < self.next_burst {
             return;
         }
-        self.due_burst = now + self.settings.burst_period;
-        for to in self.pick(self.settings.burst_fanout, self.own) {
+        self.next_burst = now + self.settings.burst_period;
+        for to in self.pick_random(self.settings.burst_fanout, self.own) {
             self.probe(to, now);
         }
     }
 
     pub(super) fn log(&mut self, what: &'static str, member: MemberId, why: String) {
-        self.out.push(Action::Log(LogLine { what, member, why }));
+        self.actions
+            .push(Action::Log(LogLine { what, member, why }));
     }
 
-    pub(super) fn whole() -> BucketRange {
+    pub(super) fn all_buckets() -> BucketRange {
         BucketRange {
             first: 0,
             last: BUCKETS - 1,
