--- a/crates/decision/src/fact/entry.rs
+++ b/crates/decision/src/fact/entry.rs
@@ -1,43 +1,43 @@
-//! One fact, as it is sent.
+//! A fact in the form in which it is sent between daemons.
 
 use crate::Fingerprint;
 use monsoonring_configuration::id::BackendServerId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a fact is about.
+/// Subject of a fact.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// The backend server is leaving; the stamp's version is the start number that leaves.
+    /// The backend server is leaving. The stamp's version is the start number of the leaving process.
     Leaving(BackendServerId),
-    /// Requests with this fingerprint crash backend servers.
+    /// Requests with this fingerprint are suspected of crashing backend servers.
     Suspect(Fingerprint),
 }
 
-/// Order of what is said about one key.
+/// Orders the facts about one key; the highest is current.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Version of what is said: a start number, or 0 where there is none.
+    /// Version of the subject: a start number, or 0 if it has none.
     pub version: u64,
-    /// Number of times that direct evidence renewed it.
+    /// Number of times that direct evidence renewed this version.
     pub renewal: u32,
 }
 
-/// A fact on its way between daemons.
+/// A fact with its remaining life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What it is about.
+    /// Subject of the fact.
     pub key: Key,
-    /// Which of two sayings is newer.
+    /// Stamp that decides which of two facts about the key is newer.
     pub stamp: Stamp,
-    /// Time for which it still holds.
+    /// Time until the fact expires.
     pub life: Duration,
 }
 
 impl Entry {
-    /// Number of bytes that the fact takes in a message: the fields in bincode's fixed layout.
+    /// Returns the encoded size in bytes (bincode with fixed-width integers).
     pub fn size(&self) -> usize {
         const FIXED: usize = 4 + 8 + 4 + 8 + 4;
         let key = match &self.key {
--- a/crates/decision/src/fact/mod.rs
+++ b/crates/decision/src/fact/mod.rs
@@ -1,12 +1,12 @@
-//! Facts that spread between daemons: leaving backend servers and suspect fingerprints.
+//! Facts gossiped between daemons: leaving backend servers and suspect request fingerprints.
 //!
-//! Index versions are no facts: each home reads them off every reply and report of its own backend
-//! servers, and pins by what those serve. Word from another home would change nothing.
+//! A fact is a key, a stamp that orders the facts about the key, and a remaining life. Messages carry the
+//! remaining life rather than an expiry time because the clocks of hosts differ. A table never extends
+//! the life of a known stamp: otherwise message delays would add up as daemons repeat a fact to each
+//! other, and it would never expire. Only direct evidence renews a fact, with a higher stamp.
 //!
-//! A fact is a key with a stamp that orders what is said about the key, and a life time. Clocks of
-//! hosts differ, so messages carry the time that remains. A table never lengthens the life of a
-//! stamp that it knows: otherwise two daemons would add their message delays to each other's life
-//! times for ever, and no fact would die. Only direct evidence renews a fact, under a higher stamp.
+//! Index versions are not gossiped: each home learns them from the replies and load reports of its own
+//! backend servers.
 
 mod entry;
 mod table;
--- a/crates/decision/src/fact/table.rs
+++ b/crates/decision/src/fact/table.rs
@@ -1,4 +1,4 @@
-//! The facts that one daemon knows.
+//! The table of facts known to one daemon.
 
 use super::{Entry, Key, Stamp};
 use crate::Time;
@@ -8,43 +8,43 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Most facts held, expired ones that are still guarded against included.
+/// Maximum number of facts in a table, including tombstones of expired facts.
 pub const CAPACITY: usize = 16_384;
 
-/// Longest life that a fact may have; longer ones are cut to it.
+/// Maximum life of a fact; longer ones are shortened.
 pub const MAX_LIFE: Duration = Duration::from_secs(30 * 60);
 
-/// Time for which an expired fact is remembered, so that a late message can't bring it back.
+/// Time for which an expired fact is remembered, so that a delayed message can't revive it.
 pub const TOMBSTONE_LIFE: Duration = Duration::from_secs(10 * 60);
 
-/// Bytes of a message used to repeat facts already passed on, for members that missed them.
+/// Bytes per message used to repeat facts, for members that missed their first round of gossip.
 const REPEAT_BYTES: usize = 128;
 
-/// Size of the smallest entry in bytes; with less room left nothing fits.
-const SMALLEST: usize = 36;
+/// Encoded size of the smallest entry. With less space left in a message, no entry fits.
+const MIN_ENTRY_BYTES: usize = 36;
 
-/// A fact is sent this many times the binary logarithm of the members.
+/// Number of times that a fact is sent, per binary logarithm of the number of members.
 const RETRANSMIT_FACTOR: u32 = 3;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Record {
     stamp: Stamp,
     /// Until then the fact holds.
-    until: Time,
-    /// From then on nothing is remembered of it; no earlier than `until`.
-    forgotten: Time,
+    expires_at: Time,
+    /// Time at which the record is removed, not before `expires_at`.
+    forget_at: Time,
 }
 
-/// Facts by key, with what is still to be passed on.
+/// Facts by key, and the facts still to be gossiped.
 ///
-/// Invariants: a key's stamp only grows while the key is remembered, and the end of a stamp's life
-/// never moves to a later time. `forgets` holds exactly the keys of `held`.
+/// Invariants: while a key is remembered its stamp never decreases, and the expiry of a stamp never moves
+/// to a later time. `by_forget_time` holds exactly the keys of `records`.
 #[derive(Clone, Debug)]
 pub struct Table {
-    held: BTreeMap<Key, Held>,
-    forgets: BTreeSet<(Time, Key)>,
+    records: BTreeMap<Key, Record>,
+    by_forget_time: BTreeSet<(Time, Key)>,
     broadcast: Broadcast<Key>,
-    repeated: Option<Key>,
+    last_repeated: Option<Key>,
     members: usize,
     capacity: usize,
 }
@@ -56,174 +56,178 @@
 }
 
 impl Table {
-    /// Makes an empty table that holds at most `capacity` facts.
+    /// Creates an empty table for at most `capacity` facts.
     pub fn new(capacity: usize) -> Self {
         Self {
-            held: BTreeMap::new(),
-            forgets: BTreeSet::new(),
+            records: BTreeMap::new(),
+            by_forget_time: BTreeSet::new(),
             broadcast: Broadcast::new(),
-            repeated: None,
+            last_repeated: None,
             members: 1,
             capacity: capacity.max(1),
         }
     }
 
-    /// Sets the number of members, on which it depends how often a fact is passed on.
+    /// Sets the number of members, which determines how often a fact is sent.
     pub fn set_members(&mut self, members: usize) {
         self.members = members;
     }
 
-    /// Takes in direct evidence, and returns the fact if it is new or was renewed.
+    /// Records direct evidence of a fact. Returns the fact if it is new or was renewed.
     ///
-    /// Evidence for a version that is known renews it only past half of its life, so that repeated
-    /// evidence does not flood the messages.
+    /// Evidence for a known version renews it only after half of its life, so that repeated evidence does
+    /// not flood the gossip.
     pub fn learn(&mut self, key: Key, version: u64, life: Duration, now: Time) -> Option<Entry> {
         let life = life.min(MAX_LIFE);
-        let renewal = match self.held.get(&key) {
-            Some(held) if held.stamp.version > version => return None,
-            Some(held) if held.stamp.version == version => {
-                if held.until.saturating_sub(now) > life / 2 {
+        let renewal = match self.records.get(&key) {
+            Some(record) if record.stamp.version > version => return None,
+            Some(record) if record.stamp.version == version => {
+                if record.expires_at.saturating_sub(now) > life / 2 {
                     return None;
                 }
-                held.stamp.renewal.saturating_add(1)
+                record.stamp.renewal.saturating_add(1)
             }
             _ => 0,
         };
         let stamp = Stamp { version, renewal };
         let entry = Entry { key, stamp, life };
-        self.hold(&entry, now);
+        self.store(&entry, now);
         Some(entry)
     }
 
-    /// Takes in what another daemon passed on, and returns what was new.
+    /// Records facts received from another daemon. Returns the new ones.
     pub fn receive(&mut self, entries: Vec<Entry>, now: Time) -> Vec<Entry> {
         let new = entries.into_iter().filter_map(|mut entry| {
             entry.life = entry.life.min(MAX_LIFE);
             self.is_new(&entry, now).then(|| {
-                self.hold(&entry, now);
+                self.store(&entry, now);
                 entry
             })
         });
         new.collect()
     }
 
-    /// Returns the facts for one message, at most `max_bytes` together.
+    /// Returns the facts to send in one message, at most `max_bytes` in total.
     pub fn pick(&mut self, max_bytes: usize, now: Time) -> Vec<Entry> {
         let limit = transmit_limit(RETRANSMIT_FACTOR, self.members);
-        let held = &self.held;
-        let size = |key: &Key| Self::entry(held, key, now).map(|entry| entry.size());
-        let keys = self.broadcast.take(max_bytes, limit, SMALLEST, size);
-        let entry = |key: &Key| Self::entry(held, key, now);
+        let records = &self.records;
+        let size = |key: &Key| Self::entry(records, key, now).map(|entry| entry.size());
+        let keys = self.broadcast.take(max_bytes, limit, MIN_ENTRY_BYTES, size);
+        let entry = |key: &Key| Self::entry(records, key, now);
         let mut picked: Vec<Entry> = keys.iter().filter_map(entry).collect();
         let used: usize = picked.iter().map(Entry::size).sum();
         self.repeat(&mut picked, (max_bytes - used).min(REPEAT_BYTES), now);
         picked
     }
 
-    /// Forgets what neither holds any longer nor needs guarding against.
+    /// Removes expired facts whose tombstones are over.
     pub fn expire(&mut self, now: Time) {
-        while let Some((forgotten, _)) = self.forgets.first() {
-            if *forgotten > now {
+        while let Some((forget_at, _)) = self.by_forget_time.first() {
+            if *forget_at > now {
                 break;
             }
             self.forget_first();
         }
     }
 
-    /// Returns the fact about `key` that holds at `now`.
+    /// Returns the fact about `key` if it has not expired.
     pub fn get(&self, key: &Key, now: Time) -> Option<Entry> {
-        Self::entry(&self.held, key, now)
+        Self::entry(&self.records, key, now)
     }
 
-    /// Returns every fact that holds at `now`, for a member that starts.
+    /// Returns all facts that have not expired, for a member that starts.
     pub fn iter(&self, now: Time) -> impl Iterator<Item = Entry> + '_ {
-        let entry = move |key| Self::entry(&self.held, key, now);
-        self.held.keys().filter_map(entry)
+        let entry = move |key| Self::entry(&self.records, key, now);
+        self.records.keys().filter_map(entry)
     }
 
-    /// Number of facts remembered, expired ones included.
+    /// Returns the number of facts, including tombstones.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.records.len()
     }
 
-    /// Tells whether nothing is remembered.
+    /// Returns whether the table contains neither facts nor tombstones.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.records.is_empty()
     }
 
-    /// A late daemon repeats facts that have expired or were superseded. Believed, a server that
-    /// came back would lose its traffic again, or a harmless request would be refused; one would
-    /// see facts that never die. A stamp that was held is therefore refused, dead or alive.
+    /// Returns whether a received fact is new; a known stamp may have its life shortened.
+    ///
+    /// A delayed message can repeat a fact that has expired or was superseded. If it were accepted, a
+    /// server that returned would lose its traffic again, or a harmless request would be refused. A known
+    /// stamp is therefore never new, whether or not the fact has expired.
     fn is_new(&mut self, entry: &Entry, now: Time) -> bool {
-        let until = now.saturating_add(entry.life);
-        match self.held.get_mut(&entry.key) {
+        let expires_at = now.saturating_add(entry.life);
+        match self.records.get_mut(&entry.key) {
             _ if entry.life.is_zero() => false,
             None => true,
-            Some(held) if held.stamp == entry.stamp => {
-                held.until = held.until.min(until);
+            Some(record) if record.stamp == entry.stamp => {
+                record.expires_at = record.expires_at.min(expires_at);
                 false
             }
-            Some(held) => entry.stamp > held.stamp,
+            Some(record) => entry.stamp > record.stamp,
         }
     }
 
-    fn hold(&mut self, entry: &Entry, now: Time) {
-        let until = now.saturating_add(entry.life);
-        let held = Held {
+    fn store(&mut self, entry: &Entry, now: Time) {
+        let expires_at = now.saturating_add(entry.life);
+        let record = Record {
             stamp: entry.stamp,
-            until,
-            forgotten: until.saturating_add(TOMBSTONE_LIFE),
+            expires_at,
+            forget_at: expires_at.saturating_add(TOMBSTONE_LIFE),
         };
-        self.forgets.insert((held.forgotten, entry.key.clone()));
-        if let Some(old) = self.held.insert(entry.key.clone(), held.clone()) {
-            if old.forgotten != held.forgotten {
-                self.forgets.remove(&(old.forgotten, entry.key.clone()));
+        self.by_forget_time
+            .insert((record.forget_at, entry.key.clone()));
+        if let Some(old) = self.records.insert(entry.key.clone(), record.clone()) {
+            if old.forget_at != record.forget_at {
+                self.by_forget_time
+                    .remove(&(old.forget_at, entry.key.clone()));
             }
         }
         self.broadcast.push(entry.key.clone());
-        while self.held.len() > self.capacity {
+        while self.records.len() > self.capacity {
             self.forget_first();
         }
     }
 
     fn forget_first(&mut self) {
-        if let Some((_, key)) = self.forgets.pop_first() {
-            self.held.remove(&key);
+        if let Some((_, key)) = self.by_forget_time.pop_first() {
+            self.records.remove(&key);
             self.broadcast.remove(&key);
         }
     }
 
-    /// Adds facts in the order of their keys, a few in each message, until each has had its turn.
+    /// Adds facts in the order of their keys, a few in each message, expires_at each has had its turn.
     /// A member that was unreachable while a fact was passed on still learns it so.
     fn repeat(&mut self, picked: &mut Vec<Entry>, bytes: usize, now: Time) {
         let from = self
-            .repeated
+            .last_repeated
             .take()
             .map_or(Bound::Unbounded, Bound::Excluded);
         let mut left = bytes;
         for key in self
-            .held
+            .records
             .range((from, Bound::Unbounded))
             .map(|(key, _)| key)
         {
-            let Some(entry) = Self::entry(&self.held, key, now) else {
+            let Some(entry) = Self::entry(&self.records, key, now) else {
                 continue;
             };
             if entry.size() > left {
                 break;
             }
             left -= entry.size();
-            self.repeated = Some(entry.key.clone());
+            self.last_repeated = Some(entry.key.clone());
             if !picked.iter().any(|other| other.key == entry.key) {
                 picked.push(entry);
             }
         }
     }
 
-    fn entry(held: &BTreeMap<Key, Held>, key: &Key, now: Time) -> Option<Entry> {
-        let known = held.get(key)?;
+    fn entry(records: &BTreeMap<Key, Record>, key: &Key, now: Time) -> Option<Entry> {
+        let known = records.get(key)?;
         let life = known
-            .until
+            .expires_at
             .checked_sub(now)
             .filter(|left| !left.is_zero())?;
         Some(Entry {
--- a/crates/decision/src/member/detector.rs
+++ b/crates/decision/src/member/detector.rs
@@ -1,4 +1,4 @@
-//! Probing, suspicion and death.
+//! Failure detection: probes, suspicions and declared deaths.
 
 use super::event::{Action, ProbeId};
 use super::table::Table;
@@ -8,16 +8,16 @@
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
-/// Probe timeouts after which an unanswered probe is given up, should the driver never answer.
+/// Multiple of the probe timeout after which a probe fails even if the driver reports no result.
 const PROBE_EXPIRY_TIMEOUTS: u32 = 10;
 
-/// Unknown hosts probed at once by a member that knows nobody.
+/// Number of listed hosts probed at a time by a member that knows no other.
 const DISCOVERY_PROBES: usize = 3;
 
-/// Suspects at once that lengthen each other's time by one suspicion time.
+/// Number of simultaneous suspects that extends the suspicion timeout by its base value.
 const SUSPECTS_PER_EXTENSION: usize = 64;
 
-/// Tries to find one serving member at random before going without.
+/// Random draws per member to be picked, before fewer members are returned.
 const MAX_PICK_TRIES: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,8 +54,8 @@
         });
     }
 
-    /// Probes one listed host that is dead or unknown. Only so do the sides of a healed partition
-    /// find each other: each has buried the other, and nobody probes the dead.
+    /// Probes one listed host that is dead or unknown. This is how the sides of a healed partition find
+    /// each other, as each has declared the other dead and the round skips dead members.
     pub(super) fn probe_unreached(&mut self, now: Time) {
         let listed = self.listed.iter().map(|(id, leaving)| (*id, *leaving));
         let unreached: Vec<MemberId> = listed
@@ -72,7 +72,8 @@
         }
     }
 
-    /// A direct probe may fail for the path alone; helpers have other paths.
+    /// Handles a failed probe: a direct probe is followed by an indirect one over the helpers' network
+    /// paths, and a failed indirect probe makes the target suspect.
     pub(super) fn on_probe_failed(&mut self, probe: ProbeId, now: Time) {
         let Some(pending) = self.probes.remove(&probe) else {
             return;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Declares dead who did not refute in time.
+    /// Declares suspects dead that did not refute in time.
     pub(super) fn declare_overdue_dead(&mut self, now: Time) {
         let overdue: Vec<Change> = self
             .roster
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Returns up to `count` serving members at random, without this one and `other`.
+    /// Returns up to `count` random members that are alive, without this one and `other`.
     pub(super) fn pick_random(&mut self, count: usize, other: MemberId) -> Vec<MemberId> {
         let mut picked = Vec::new();
         for _ in 0..count * MAX_PICK_TRIES {
@@ -147,12 +148,12 @@
         picked
     }
 
-    /// Lets a member that has just become known take its turn in the present round.
+    /// Inserts a new member at a random position in the remainder of the current round.
     pub(super) fn join_round(&mut self, id: MemberId) {
         self.round.push(id);
         let last = self.round.len() - 1;
-        let place = self.rng.random_range(self.round_position.min(last)..=last);
-        self.round.swap(place, last);
+        let position = self.rng.random_range(self.round_position.min(last)..=last);
+        self.round.swap(position, last);
     }
 
     fn next_in_round(&mut self) -> Option<MemberId> {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Records an own verdict, and passes it on unless it says more about this member.
+    /// Records a verdict of this member, and gossips it unless this member may itself be isolated.
     fn record_verdict(&mut self, verdict: &Change, now: Time) {
         if self.has_heard_nothing(now) {
             self.unpublished.insert(verdict.id);
@@ -213,17 +214,20 @@
         self.record_change(verdict, gossip, now);
     }
 
-    /// A member that hears nobody, though its own messages may get out, would suspect everybody and
-    /// make the whole fleet refute at once. Nothing heard at all points at itself: it draws its own
-    /// conclusions and keeps them to itself.
+    /// Returns whether no message arrived for [`Settings::silence_limit`]. The fault is then probably in
+    /// this member's own network: if it gossiped its suspicions, the whole fleet would have to refute.
+    ///
+    /// [`Settings::silence_limit`]: super::Settings::silence_limit
     fn has_heard_nothing(&self, now: Time) -> bool {
         now.saturating_sub(self.last_heard) >= self.settings.silence_limit
     }
 
-    /// Time that a suspect has. News of it and its refutation take a number of periods that grows
-    /// with the logarithm of the members. A member that flaps gets longer, so that its homes don't
-    /// move to and fro; one that the list does not show as live gets half. Many suspects at once
-    /// get longer, because their refutations share the bytes of the messages.
+    /// Returns the time that a suspect has to refute.
+    ///
+    /// It grows with the logarithm of the number of members, like the time that gossip takes to reach
+    /// all of them. It is longer for a member that flaps, so that homes don't move back and forth, and
+    /// with many simultaneous suspects, whose refutations compete for space in the messages. It is half
+    /// for a member that is not in the host list or is marked as leaving.
     fn suspicion_timeout(&self, record: &super::roster::Record, now: Time) -> Duration {
         let log_members = (self.serving().max(1) as f64).log10().max(1.0);
         let recent = now.saturating_sub(record.last_flap) < self.settings.flap_life;
--- a/crates/decision/src/member/exchange.rs
+++ b/crates/decision/src/member/exchange.rs
@@ -1,4 +1,4 @@
-//! What members tell each other, and how a table takes it in.
+//! Exchange of changes between members: building messages and pages, and applying received ones.
 
 use super::event::{Action, BucketRange, Digest, Message, Page};
 use super::record::ADDRESS_BYTES;
@@ -10,11 +10,11 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Size of the smallest change in bytes; with less room left nothing fits.
+/// Encoded size of the smallest change. With less space left in a message, no change fits.
 const MIN_CHANGE_BYTES: usize = ADDRESS_BYTES + 8 + 4 + 4 + 8;
 
 impl Message {
-    /// Number of bytes without the attachment: the fields in bincode's fixed layout.
+    /// Returns the encoded size in bytes without the attachment (bincode with fixed-width integers).
     pub fn size(&self) -> usize {
         let changes: usize = self.changes.iter().map(Change::size).sum();
         let sender = ADDRESS_BYTES + 8 + 4 + 8 + self.data_centre.len();
@@ -24,27 +24,27 @@
 }
 
 impl Page {
-    /// Number of bytes: the fields in bincode's fixed layout.
+    /// Returns the encoded size in bytes (bincode with fixed-width integers).
     pub fn size(&self) -> usize {
         8 + self.changes.iter().map(Change::size).sum::<usize>() + 3
     }
 }
 
 impl Table {
-    /// Returns a message to a member, for a probe on behalf of another.
+    /// Builds the message with which to probe a member on behalf of another.
     pub fn message(&mut self, to: MemberId) -> Message {
         let bucket = self.rng.random_range(0..BUCKETS);
         self.build_message(to, bucket, Vec::new())
     }
 
-    /// Returns as many whole buckets of the span as fit into a page, and one at least.
-    pub fn page(&self, span: BucketRange) -> Page {
+    /// Returns a page with as many whole buckets of the range as fit, at least one.
+    pub fn page(&self, range: BucketRange) -> Page {
         let (mut changes, mut bytes) = (Vec::new(), 0);
-        let last = span.last.min(BUCKETS - 1);
-        for bucket in span.first..=last {
+        let last = range.last.min(BUCKETS - 1);
+        for bucket in range.first..=last {
             let more: Vec<Change> = self.roster.bucket(bucket).cloned().collect();
             bytes += more.iter().map(Change::size).sum::<usize>();
-            if bucket > span.first && bytes > self.settings.page_bytes {
+            if bucket > range.first && bytes > self.settings.page_bytes {
                 let first = bucket;
                 let rest = Some(BucketRange { first, last });
                 return Page { changes, rest };
@@ -55,7 +55,7 @@
         Page { changes, rest }
     }
 
-    /// Answers a probe. What the sender had wrong goes into the answer first.
+    /// Handles a probe and answers it. The answer starts with corrections of the sender's changes.
     pub(super) fn on_probe(&mut self, message: Message, now: Time) {
         let (from, bucket) = (message.from, message.digest.bucket);
         let corrections = self.apply_message(message, now);
@@ -67,12 +67,11 @@
         self.apply_message(message, now);
     }
 
-    /// Takes in what another says. Returns the saying that stands against it.
+    /// Applies a change received from another member. Returns the record that outranks it, if any.
     ///
-    /// A death told about a member that serves here is taken for a suspicion: each buries by its own
-    /// time. One member that was
-    /// cut off, or late, would otherwise have the whole fleet drop healthy members before these
-    /// could refute; one would see members dead everywhere for seconds that answer every probe.
+    /// The death of a member that is serving here is recorded as a suspicion, so that each member
+    /// declares deaths by its own timeout. Otherwise one isolated or delayed member could make the whole
+    /// fleet drop healthy members before they can refute.
     fn apply(&mut self, change: &Change, gossip: bool, now: Time) -> Option<Change> {
         if change.id == self.own {
             return self.refute(change, now);
@@ -95,7 +94,7 @@
         self.record_change(change, gossip, now)
     }
 
-    /// Records a saying, and passes it on if `tell`. Returns the saying that stands against it.
+    /// Records a change and gossips it if `gossip` is set. Returns the record that outranks it, if any.
     pub(super) fn record_change(
         &mut self,
         change: &Change,
@@ -104,8 +103,8 @@
     ) -> Option<Change> {
         let (id, state) = (change.id, change.state);
         match self.roster.insert(change.clone(), now) {
-            Err(standing) if standing.change == *change => None,
-            Err(standing) => Some(standing.change.clone()),
+            Err(current) if current.change == *change => None,
+            Err(current) => Some(current.change.clone()),
             Ok(before) => {
                 if gossip {
                     self.broadcast.push(id);
@@ -124,7 +123,7 @@
 
     pub(super) fn on_page(&mut self, from: MemberId, page: Page, now: Time) {
         let copying = self.copying.filter(|(peer, _)| *peer == from);
-        // A member that copies a whole table does not pass it on: everybody else knows it.
+        // Changes from copying a whole table are not gossiped, as the other members know them.
         let gossip = self.refreshing_since.is_none();
         let is_dead = self.is_declared_dead(from);
         for change in page.changes {
@@ -145,7 +144,7 @@
             self.log(
                 "current",
                 self.own,
-                format!("copied from {from}, {serving} serving"),
+                format!("copied the table of {from}, {serving} serving"),
             );
         }
     }
@@ -154,15 +153,15 @@
         if self.repairing == Some(from) {
             self.repairing = None;
         }
-        if let Some((peer, span)) = self.copying {
+        if let Some((peer, range)) = self.copying {
             if peer == from {
                 let other = self.pick_random(1, from).first().copied();
-                self.copying = other.map(|other| (other, span));
+                self.copying = other.map(|other| (other, range));
             }
         }
     }
 
-    /// Asks for the next page while the table is being copied. Past the first ones, one a period bounds the bytes.
+    /// Requests the next page while a peer's table is being copied to refresh this one.
     pub(super) fn request_page(&mut self) {
         if self.refreshing_since.is_none() {
             return;
@@ -171,9 +170,9 @@
             let peer = self.pick_random(1, self.own).first().copied();
             self.copying = peer.map(|peer| (peer, Self::all_buckets()));
         }
-        if let Some((peer, span)) = self.copying {
+        if let Some((peer, range)) = self.copying {
             self.pages_requested += 1;
-            self.actions.push(Action::Pull(peer, span));
+            self.actions.push(Action::Pull(peer, range));
         }
     }
 
@@ -207,9 +206,9 @@
         corrections
     }
 
-    /// Changes get lost, and a bounded number of sendings reaches nearly all, not all. Without a
-    /// comparison two tables could differ for ever; here the bucket that differs is asked for;
-    /// one a period, which bounds the bytes while much changes.
+    /// Compares a peer's digest with the same bucket here and requests the bucket if they differ
+    /// (anti-entropy). Gossip reaches nearly all members but not all, so tables could otherwise differ
+    /// forever. At most one bucket is requested per period, which bounds the bandwidth.
     fn compare_digest(&mut self, peer: MemberId, digest: Digest, now: Time) {
         let same = self.roster.hash(digest.bucket) == digest.hash;
         if same
@@ -232,11 +231,14 @@
     fn build_message(&mut self, to: MemberId, bucket: u8, corrections: Vec<Change>) -> Message {
         let mut changes = self.priority_changes(to, corrections);
         let used: usize = changes.iter().map(Change::size).sum();
-        let left = self.settings.message_bytes.saturating_sub(used);
+        let remaining = self.settings.message_bytes.saturating_sub(used);
         let limit = transmit_limit(self.settings.retransmit_factor, self.serving());
         let roster = &self.roster;
         let size = |id: &MemberId| roster.get(*id).map(|record| record.change.size());
-        for id in self.broadcast.take(left, limit, MIN_CHANGE_BYTES, size) {
+        for id in self
+            .broadcast
+            .take(remaining, limit, MIN_CHANGE_BYTES, size)
+        {
             let known = changes.iter().any(|change| change.id == id);
             if let Some(record) = roster.get(id).filter(|_| !known) {
                 changes.push(record.change.clone());
@@ -258,28 +260,29 @@
         }
     }
 
-    /// What the receiver has to know before all else: that it is doubted, or what it had wrong.
+    /// Returns the changes that go first into a message: the receiver's own state if it is not alive, so
+    /// that it can refute, and corrections of the changes it sent.
     fn priority_changes(&self, to: MemberId, corrections: Vec<Change>) -> Vec<Change> {
-        let doubted = self.get(to).filter(|change| change.state != State::Alive);
-        let (mut changes, mut left) = (Vec::new(), self.settings.message_bytes);
-        for change in doubted.cloned().into_iter().chain(corrections) {
-            if change.size() <= left && !changes.contains(&change) {
-                left -= change.size();
+        let not_alive = self.get(to).filter(|change| change.state != State::Alive);
+        let (mut changes, mut remaining) = (Vec::new(), self.settings.message_bytes);
+        for change in not_alive.cloned().into_iter().chain(corrections) {
+            if change.size() <= remaining && !changes.contains(&change) {
+                remaining -= change.size();
                 changes.push(change);
             }
         }
         changes
     }
 
-    /// Somebody speaks of this process. A suspicion or death is refuted with a higher incarnation;
-    /// a higher start number means that this process is the one that was replaced.
+    /// Handles a change about this member. A suspicion or death is refuted with a higher incarnation. A
+    /// higher start number means that another process has replaced this one.
     fn refute(&mut self, change: &Change, now: Time) -> Option<Change> {
         let own = self.get(self.own)?.clone();
         let theirs = change.incarnation;
         if theirs.start > own.incarnation.start {
             if !self.superseded {
                 self.superseded = true;
-                let why = format!("start {} has this address", theirs.start);
+                let why = format!("a process with start {} has this address", theirs.start);
                 self.log("superseded", self.own, why);
             }
             return None;
@@ -288,39 +291,42 @@
             return (*change != own).then_some(own);
         }
         if change.state == State::Dead {
-            // Who was buried was cut off, and has buried others for the same reason.
+            // This member was probably isolated, so its own recent verdicts are unreliable.
             let since = now.saturating_sub(ISOLATION_WINDOW);
-            let buried = self.roster.deaths_since(since).collect();
-            self.withdraw_verdicts(buried, now);
+            let declared_dead = self.roster.deaths_since(since).collect();
+            self.withdraw_verdicts(declared_dead, now);
         }
         let mut refuted = own;
         refuted.incarnation.refutation = theirs.refutation.saturating_add(1);
         let _ = self.roster.insert(refuted.clone(), now);
         self.broadcast.push(self.own);
         self.burst(now);
-        self.log("refute", self.own, format!("was called {:?}", change.state));
+        self.log(
+            "refute",
+            self.own,
+            format!("was reported as {:?}", change.state),
+        );
         Some(refuted)
     }
 
-    /// A member that was cut off comes back with its verdicts over all whom it could not hear.
-    /// Passed on, they would make the whole fleet refute at once; one would see every member
-    /// suspected after the partition of a single rack. It takes them back instead, and finds the
-    /// really dead again by its own probes and its peers' corrections.
+    /// Withdraws this member's own verdicts about others after it was isolated. Gossiped, they would make
+    /// the whole fleet refute at once. Members that are really dead are detected again by probes and by
+    /// peers' corrections.
     fn withdraw_verdicts(&mut self, ids: BTreeSet<MemberId>, now: Time) {
         for id in ids {
-            let condemned = |change: &Change| is_verdict(change);
-            if !self.get(id).is_some_and(condemned) {
+            let has_verdict = |change: &Change| is_verdict(change);
+            if !self.get(id).is_some_and(has_verdict) {
                 continue;
             }
             self.broadcast.remove(&id);
             self.roster.revert(id, now);
             self.join_round(id);
-            self.log("taken_back", id, "this member was cut off".to_owned());
+            self.log("taken_back", id, "this member was isolated".to_owned());
             self.actions.push(Action::Changed(id, State::Alive));
         }
     }
 
-    /// Tells whether a peer was declared dead and has not refuted; its verdicts are not believed.
+    /// Returns whether a peer is declared dead and has not refuted. Its verdicts are ignored.
     fn is_declared_dead(&self, peer: MemberId) -> bool {
         self.get(peer)
             .is_some_and(|change| change.state == State::Dead)
--- a/crates/decision/src/member/table.rs
+++ b/crates/decision/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The members as one daemon sees them: entry points, and what happens as time passes.
+//! The member table: entry points and timers.
 
 use super::detector::PendingProbe;
 use super::event::{Action, BucketRange, Event, LogLine, ProbeId, Seed};
@@ -11,20 +11,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time for which a mass death counts towards being isolated, and for which deaths declared by a
-/// member that was itself declared dead are taken back.
+/// Time for which deaths count as a sign of isolation, and within which a member that was itself
+/// declared dead withdraws the deaths it declared.
 pub(super) const ISOLATION_WINDOW: Duration = Duration::from_secs(30 * 60);
 
-/// Deaths below this number never count as isolation.
+/// Minimum number of deaths for a member to be considered isolated.
 const MIN_ISOLATION_DEATHS: usize = 2;
 
-/// A resumed member that hears peers but can't copy a table goes on after this many patiences.
+/// Number of refresh timeouts after which a member that receives messages but can't copy a table continues
+/// without.
 const MAX_REFRESH_TIMEOUTS: u32 = 6;
 
-/// Members and their states, as this daemon knows them.
+/// Members and their states, as known to this daemon.
 ///
-/// Invariant: the record of `own` is alive, or left once [`Event::Leave`] was fed; what others say
-/// of it is contradicted, never believed.
+/// Invariant: the record of `own` is alive, or left after [`Event::Leave`]. Changes received about it are
+/// refuted, never applied.
 #[derive(Debug)]
 pub struct Table {
     pub(super) own: MemberId,
@@ -32,28 +33,29 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) roster: Roster,
     pub(super) broadcast: Broadcast<MemberId>,
-    /// The list of hosts; the value tells whether the host is leaving.
+    /// Hosts in the platform's list, with whether they are marked as leaving.
     pub(super) listed: BTreeMap<MemberId, bool>,
-    /// Members in the order in which they are probed; those that are not serving are skipped.
+    /// Members in the order in which they are probed in this round. Members that are not serving are
+    /// skipped.
     pub(super) round: Vec<MemberId>,
     pub(super) round_position: usize,
     pub(super) probes: BTreeMap<ProbeId, PendingProbe>,
     pub(super) next_probe: ProbeId,
     pub(super) last_heard: Time,
-    /// Members condemned while nothing at all was heard; nobody was told.
+    /// Members with a verdict that was not gossiped, because no messages were received at the time.
     pub(super) unpublished: BTreeSet<MemberId>,
-    /// Copying of another's table, after a start or a pause.
+    /// Peer whose table is being copied after a start or a pause, and the range to request next.
     pub(super) copying: Option<(MemberId, BucketRange)>,
-    /// Repair of one bucket that differs.
+    /// Peer from which a differing bucket was requested.
     pub(super) repairing: Option<MemberId>,
-    /// Since when the table waits to be refreshed; `None` once it is current.
+    /// Time at which the refresh of the table began; `None` once the table is current.
     pub(super) refreshing_since: Option<Time>,
-    /// Whether a newer process has this address.
+    /// Whether a newer process uses this address.
     pub(super) superseded: bool,
     pub(super) isolated: bool,
-    /// When it started, or woke from a pause.
+    /// Time of the start or of the end of the last pause.
     started: Time,
-    /// Pages that were asked for since then.
+    /// Number of pages requested since `started`.
     pub(super) pages_requested: u32,
     last_tick: Option<Time>,
     next_probe_at: Time,
@@ -64,7 +66,7 @@
 }
 
 impl Table {
-    /// Makes a table that knows only its own daemon.
+    /// Creates a table that contains only this member.
     pub fn new(
         own: placement::Member,
         start: id::Incarnation,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
@@ -134,8 +136,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the members that serve, this one included unless it has left, without the hosts
-    /// that the list says are leaving.
+    /// Returns the serving members, including this one unless it has left, without hosts marked as
+    /// leaving.
     pub fn members(&self) -> Vec<placement::Member> {
         let leaving = |id: &MemberId| self.listed.get(id).copied().unwrap_or(false);
         self.roster
@@ -149,44 +151,44 @@
             .collect()
     }
 
-    /// Returns the members that are suspected of being dead. The cost grows with these, not with
-    /// all members.
+    /// Returns the suspected members, in time linear in their number.
     pub fn suspects(&self) -> impl Iterator<Item = MemberId> {
         self.roster.suspects().map(|record| record.change.id)
     }
 
-    /// Returns what is known of a member.
+    /// Returns the current record of a member.
     pub fn get(&self, id: MemberId) -> Option<&Change> {
         self.roster.get(id).map(|record| &record.change)
     }
 
-    /// Returns all that is known, members that left or died lately included.
+    /// Returns the current records of all members, including tombstones of members that left or died.
     pub fn iter(&self) -> impl Iterator<Item = &Change> {
         self.roster.iter().map(|record| &record.change)
     }
 
-    /// Returns the address of this member.
+    /// Returns the peer address of this member.
     pub fn own(&self) -> MemberId {
         self.own
     }
 
-    /// Number of members on record, those that left or died lately included.
+    /// Returns the number of records, including tombstones.
     pub fn known(&self) -> usize {
         self.roster.len()
     }
 
-    /// Number of members that serve, this one included.
+    /// Returns the number of serving members, including this one.
     pub fn serving(&self) -> usize {
         self.roster.serving()
     }
 
-    /// Tells whether new work may be taken: the table was refreshed from a peer since the start or
-    /// the last pause (or no peer could be reached), and no newer process has this address.
+    /// Returns whether this daemon may accept new work: the table was refreshed from a peer since the start
+    /// or the last pause (or no peer could be reached), and no newer process uses this address.
     pub fn is_current(&self) -> bool {
         self.refreshing_since.is_none() && !self.superseded
     }
 
-    /// Tells whether so many members died at once that this side is more likely cut off.
+    /// Returns whether so many members were declared dead that this side of a partition is probably the
+    /// isolated one.
     pub fn is_isolated(&self) -> bool {
         self.isolated
     }
@@ -225,11 +227,12 @@
         }
     }
 
-    /// The process slept, and its facts with it: members that it takes for alive may be dead, and
-    /// what it had to pass on may be long refuted. Without this it would take work for a route
-    /// whose home it no longer is, bury peers that it could not have heard, and spread old news;
-    /// one would see members flap after each pause. Nothing old is passed on, suspicions start
-    /// anew, and no new work is taken until a peer's table was copied.
+    /// Handles the end of a pause of the process, for example of its virtual machine.
+    ///
+    /// The table is outdated: members may have died, and changes still to be gossiped may have been
+    /// refuted. Pending gossip is dropped, suspicions restart, and no new work is accepted until a peer's
+    /// table was copied. Otherwise the daemon would accept work for routes whose home it no longer is,
+    /// and make healthy members flap.
     fn resume(&mut self, gap: Duration, now: Time) {
         self.refreshing_since = Some(now);
         self.started = now;
@@ -245,7 +248,8 @@
         self.actions.push(Action::Paused(gap));
     }
 
-    /// Ends the wait of a member that finds nobody to copy from: a side that is cut off serves.
+    /// Ends the refresh of a member that finds no peer to copy a table from, so that the isolated side of a
+    /// partition keeps serving.
     fn check_refresh_timeout(&mut self, now: Time) {
         let Some(since) = self.refreshing_since else {
             return;
@@ -259,13 +263,13 @@
             self.log(
                 "alone",
                 self.own,
-                format!("nobody to copy from for {waited:?}"),
+                format!("no peer to copy a table from for {waited:?}"),
             );
         }
     }
 
-    /// A partition looks like the death of everybody else. The dead that are listed stay under
-    /// probes, so that the sides find each other again; operators see the difference here.
+    /// Detects and logs isolation. To a member, a partition looks like the death of all members on the
+    /// other side.
     fn update_isolation(&mut self, now: Time) {
         let deaths = self
             .roster
@@ -292,7 +296,11 @@
             }
         }
         if !before && self.listed.get(&self.own).copied().unwrap_or(false) {
-            self.log("listed_leaving", self.own, "the list of hosts".to_owned());
+            self.log(
+                "listed_leaving",
+                self.own,
+                "marked as leaving in the list of hosts".to_owned(),
+            );
             self.actions.push(Action::Leaving);
         }
     }
@@ -309,7 +317,7 @@
         self.burst(now);
     }
 
-    /// Probes a few members now; at most once a `burst_period`, so that bursts of news stay cheap.
+    /// Probes a few members immediately, at most once per `burst_period`, so that changes spread faster.
     pub(super) fn burst(&mut self, now: Time) {
         if now < self.next_burst {
             return;
