--- a/crates/decision/src/configuration/mod.rs
+++ b/crates/decision/src/configuration/mod.rs
@@ -1,9 +1,10 @@
-//! Which configuration is in force.
+//! Adoption of the configuration.
 //!
-//! Versions of the configuration are totally ordered, by revision and then by digest, and a holder
-//! only ever moves up. A service that is stale, restored from an older copy or down can therefore
-//! neither revert what is in force nor hold it back once any daemon has it. Few daemons read the
-//! service; the others learn the version from the messages of members and fetch it from them.
+//! Versions of the configuration are totally ordered, by revision and then by digest, and a daemon only
+//! adopts higher versions. A configuration service that is stale, restored from a backup or down can
+//! therefore neither revert the configuration nor prevent a version from spreading once any daemon has
+//! it. Only a few daemons read the service; the others learn of a version from gossip and fetch it from
+//! a peer.
 
 mod contact;
 mod event;
@@ -15,5 +16,5 @@
 pub use holder::Holder;
 pub use reader::{READERS_PER_DATA_CENTRE, is_reader, outranks};
 
-/// Digest of a document, the same for the same document at every daemon.
+/// Digest of a document; identical documents have the same digest at every daemon.
 pub type Digest = u128;
--- a/crates/decision/src/configuration/reader.rs
+++ b/crates/decision/src/configuration/reader.rs
@@ -1,15 +1,15 @@
-//! Which daemons read the configuration service.
+//! Selects the daemons that read the configuration service.
 //!
-//! The service takes a bounded rate of calls and counts a waiting watch as one. A fixed number of
-//! readers for each data centre makes the calls grow with the data centres and not with the daemons.
+//! The service limits the rate of calls, including watches. With a fixed number of readers per data
+//! centre, the calls grow with the number of data centres rather than with the number of daemons.
 
 use crate::member::MemberId;
 use crate::placement;
 
-/// Readers in each data centre: one may be dead and one cut off from the service.
+/// Number of readers in each data centre. Tolerates one that is dead and one that can't reach the service.
 pub const READERS_PER_DATA_CENTRE: usize = 3;
 
-/// Tells whether `own` is one of its data centre's readers, by rank among the serving members.
+/// Returns whether `own` is a reader: among the highest-ranked serving members of its data centre.
 pub fn is_reader(own: &placement::Member, members: &[placement::Member]) -> bool {
     let ahead = members
         .iter()
@@ -19,7 +19,7 @@
     ahead < READERS_PER_DATA_CENTRE
 }
 
-/// Tells whether `other` goes before `own` where only one of them should call the service.
+/// Returns whether `other` rather than `own` should be the acting reader.
 pub fn outranks(other: MemberId, own: MemberId) -> bool {
     rank(other) > rank(own)
 }
--- a/crates/decision/src/fact/table.rs
+++ b/crates/decision/src/fact/table.rs
@@ -197,8 +197,8 @@
         }
     }
 
-    /// Adds facts in the order of their keys, a few in each message, expires_at each has had its turn.
-    /// A member that was unreachable while a fact was passed on still learns it so.
+    /// Adds a few facts that were already gossiped, cycling through all of them in key order, so that
+    /// members that were unreachable during the gossip receive them too.
     fn repeat(&mut self, picked: &mut Vec<Entry>, bytes: usize, now: Time) {
         let from = self
             .last_repeated
