--- a/crates/decision/src/admission/limit.rs
+++ b/crates/decision/src/admission/limit.rs
@@ -17,8 +17,9 @@
 /// Limit at the start.
 const INITIAL_LIMIT: f64 = 16.0;
 
-/// Bounds of the limit. The lower bound leaves one slot that only the urgent class may fill.
+/// Lower bound of the limit. Leaves one slot that only the urgent class may fill.
 const MIN_LIMIT: f64 = 2.0;
+/// Upper bound of the limit.
 const MAX_LIMIT: f64 = 10_000.0;
 
 /// Factor applied to the limit when a request is late. A value closer to 1 leaves long queues at the
--- a/crates/decision/src/admission/pace.rs
+++ b/crates/decision/src/admission/pace.rs
@@ -10,8 +10,9 @@
 /// Weight of a new interval in the moving average.
 const EWMA_WEIGHT: f64 = 0.05;
 
-/// Bounds of the delay returned to callers.
+/// Minimum delay returned to callers.
 const MIN_DELAY: Duration = Duration::from_millis(20);
+/// Maximum delay returned to callers.
 const MAX_DELAY: Duration = Duration::from_secs(10);
 
 /// Interval between completions assumed until two requests have ended.
--- a/crates/decision/src/budget/mod.rs
+++ b/crates/decision/src/budget/mod.rs
@@ -33,23 +33,24 @@
 /// long period without failures.
 const MAX_SAVED_ATTEMPTS: f64 = 1_000.0;
 
-/// Share of each deposit that goes to the reserve for extra attempts that can't be deferred, and the
-/// largest share of the bucket that the reserve may take.
+/// Share of each deposit that goes to the reserve for extra attempts that can't be deferred.
 const RESERVE_DEPOSIT_SHARE: f64 = 0.2;
+/// Maximum size of the reserve, as a share of the bucket.
 const MAX_RESERVE_SHARE: f64 = 0.5;
 
 /// Share of the window's bound available to optional retries ([`Importance::Optional`]).
 const OPTIONAL_SHARE: f64 = 0.85;
 
-/// Share of the window's bound above which the budget counts as scarce, so that failed parts wait for
-/// each other before they are retried.
+/// Share of the window's bound above which the budget counts as scarce. Failed parts of a search then
+/// wait for the other parts before they are retried.
 const SCARCITY_THRESHOLD: f64 = 0.75;
 
-/// Retries of one request that may use the whole bound of the window, the reduction of its share with
-/// each further retry, and the minimum share. Searches that need few retries are preferred, as the same
-/// budget completes more of them.
+/// Number of earlier retries of a request up to which a further required one may use the window's whole
+/// bound. Requests that need few retries are preferred, because the same budget completes more of them.
 const FULL_SHARE_RETRIES: u32 = 2;
+/// Reduction of the share of the bound with each further retry.
 const SHARE_STEP_PER_RETRY: f64 = 0.15;
+/// Minimum share of the bound for required retries.
 const MIN_REQUIRED_SHARE: f64 = 0.4;
 
 /// Token bucket filled by first attempts and emptied by extra attempts.
@@ -112,7 +113,7 @@
         has_unreserved && self.take(now)
     }
 
-    /// Returns an extra attempt that was taken but not sent.
+    /// Refunds an extra attempt that was taken but not sent.
     pub fn give_back(&mut self) {
         self.tokens += 1.0;
     }
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Returns a hedge that was taken but not sent.
+    /// Refunds a hedge that was taken but not sent.
     pub fn give_back_hedge(&mut self) {
         match self {
             Self::Buckets { hedges, .. } => hedges.give_back(),
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Returns a retry that was taken but not sent.
+    /// Refunds a retry that was taken but not sent.
     pub fn give_back_retry(&mut self) {
         match self {
             Self::Buckets { retries, .. } => retries.give_back(),
--- a/crates/decision/src/budget/window.rs
+++ b/crates/decision/src/budget/window.rs
@@ -12,10 +12,11 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Number of slices in the window, number of slices for which first attempts count, and number for which
-/// extra attempts count.
+/// Number of slices in the window.
 const SLICES: u32 = 20;
+/// Number of slices for which first attempts are counted.
 const FIRST_SLICES: u64 = 19;
+/// Number of slices for which extra attempts are counted.
 const EXTRA_SLICES: u64 = 22;
 
 /// Share of the allowed extra attempts available to deferrable hedges. The rest is reserved for
@@ -25,6 +26,7 @@
 /// Attempts counted in one slice.
 #[derive(Clone, Copy, Debug)]
 struct Slice {
+    /// Time since the origin of [`Time`], in slices.
     number: u64,
     firsts: u32,
     extras: u32,
@@ -38,6 +40,7 @@
     /// Length of a slice.
     slice: Duration,
     slices: VecDeque<Slice>,
+    /// Sums over `slices`.
     firsts: u32,
     extras: u32,
 }
@@ -82,7 +85,7 @@
         self.take_within(1.0, now)
     }
 
-    /// Returns an extra attempt that was taken but not sent.
+    /// Refunds an extra attempt that was taken but not sent.
     pub fn give_back(&mut self) {
         if let Some(last) = self.slices.iter_mut().rev().find(|slice| slice.extras > 0) {
             last.extras -= 1;
--- a/crates/decision/src/member/detector.rs
+++ b/crates/decision/src/member/detector.rs
@@ -20,12 +20,14 @@
 /// Random draws per member to be picked, before fewer members are returned.
 const MAX_PICK_TRIES: usize = 8;
 
+/// Whether a probe is sent directly or through helpers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     Direct,
     Indirect,
 }
 
+/// A probe that was neither answered nor failed yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingProbe {
     pub(crate) target: MemberId,
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -58,9 +58,11 @@
 /// server still counts their old connections until its idle timeout, and must have room for new ones.
 const IDLE_CONNECTION_SHARE: f64 = 0.45;
 
-/// Shares of a server's connections and of the slack for extra attempts that go to strong homes. The
-/// rest is for weak homes, which fan out themselves when no strong home answers.
+/// Share of a server's connections that goes to strong homes. The rest is for weak homes, which fan out
+/// themselves when no strong home answers.
 const STRONG_CONNECTION_SHARE: f64 = 0.5;
+/// Share of the slack for extra attempts, and of the request rate of a cold server, that goes to strong
+/// homes.
 const STRONG_SLACK_SHARE: f64 = 0.75;
 
 /// Number of different membership views that daemons may act on at the same time without exceeding the
@@ -197,8 +199,8 @@
         match self.homes.role {
             Role::Even | Role::Weak => even,
             Role::Strong => {
-                let most = f64::from(limit) * STRONG_CONNECTION_SHARE;
-                even.max((most / self.homes.estimated_strong()) as usize)
+                let strong_total = f64::from(limit) * STRONG_CONNECTION_SHARE;
+                even.max((strong_total / self.homes.estimated_strong()) as usize)
             }
         }
     }
@@ -215,16 +217,16 @@
         if far < 1.0 || self.homes.role == Role::Strong {
             return MAX_IDLE_TIME;
         }
-        let most = f64::from(limit) * IDLE_CONNECTION_SHARE - near;
-        MAX_IDLE_TIME.mul_f64((most / far).clamp(0.0, 1.0))
+        let max_idle = f64::from(limit) * IDLE_CONNECTION_SHARE - near;
+        MAX_IDLE_TIME.mul_f64((max_idle / far).clamp(0.0, 1.0))
     }
 
     /// Returns the fraction of the homes in a server's data centre that keep an idle connection to it,
     /// from 0 to 1, if it accepts `limit` connections.
     pub fn idle_share(&self, limit: u32) -> f64 {
-        let most = f64::from(limit) * IDLE_CONNECTION_SHARE;
+        let max_idle = f64::from(limit) * IDLE_CONNECTION_SHARE;
         match self.homes.role {
-            Role::Even => (most / self.homes.near.max(1) as f64).min(1.0),
+            Role::Even => (max_idle / self.homes.near.max(1) as f64).min(1.0),
             Role::Strong => 1.0,
             Role::Weak => 0.0,
         }
@@ -234,12 +236,12 @@
     /// share of its first attempts; `None` if these are not bounded.
     pub fn slack(&self) -> Option<f64> {
         let strong = self.homes.estimated_strong();
-        let part = match self.homes.role {
+        let share = match self.homes.role {
             Role::Even => 1.0 / self.count() as f64,
             Role::Strong => STRONG_SLACK_SHARE / strong,
             Role::Weak => (1.0 - STRONG_SLACK_SHARE) / (self.count() as f64 - strong).max(1.0),
         };
-        self.slack.map(|slack| slack * part)
+        self.slack.map(|slack| slack * share)
     }
 
     /// Returns the number of requests per second that this home may send to a cold backend server in its
@@ -255,13 +257,13 @@
             return 0;
         }
         let Homes { near, strong, .. } = self.homes;
-        let (part, count) = match self.homes.role {
+        let (share, count) = match self.homes.role {
             Role::Even => (1.0, near),
             Role::Strong => (STRONG_SLACK_SHARE, strong),
             Role::Weak => (1.0 - STRONG_SLACK_SHARE, near.saturating_sub(strong)),
         };
         let count = count.max(1);
-        let all = (max_rate * part / COLD_VIEWS) as usize;
+        let all = (max_rate * share / COLD_VIEWS) as usize;
         let offset = xxh3_64(server.to_string().as_bytes()) as usize;
         let position = offset.wrapping_add(self.homes.rank) % count;
         all / count + usize::from(position < all % count)
