--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -359,9 +359,9 @@
 /// the number of members.
 pub fn homes(capacity: &Capacity, groups: usize, members: usize) -> usize {
     let usable = capacity.connections / CONCURRENT_VIEWS;
-    let most = (usable / (1 + CONTROL_CONNECTIONS)).max(1) as usize;
+    let max_homes = (usable / (1 + CONTROL_CONNECTIONS)).max(1) as usize;
     let preferred = (usable / (capacity.slots.max(1) + CONTROL_CONNECTIONS)).max(1) as usize;
-    let wanted = groups.div_ceil(GROUPS_PER_HOME).min(most);
+    let wanted = groups.div_ceil(GROUPS_PER_HOME).min(max_homes);
     preferred.max(wanted).min(MAX_HOMES).min(members)
 }
 
