--- a/crates/decision/src/backend/usual.rs
+++ b/crates/decision/src/backend/baseline.rs
@@ -4,7 +4,7 @@
 
 /// What is known of the group when its servers are compared.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Usual {
+pub(crate) struct Baseline {
     /// Mean service_time time of an attempt.
     pub(crate) service_time: Duration,
     /// Median latency.
@@ -15,7 +15,7 @@
     pub(crate) interval: Duration,
 }
 
-impl Usual {
+impl Baseline {
     /// Returns how long a new attempt waits at a server with so many attempts: it starts when all but `slots - 1` of them have ended.
     pub(crate) fn wait(&self, load: f64) -> Duration {
         let ahead = (load + 1.0 - self.slots).max(0.0);
--- a/crates/decision/src/backend/cold.rs
+++ b/crates/decision/src/backend/cold.rs
@@ -12,7 +12,7 @@
 
 /// Time over which a server counts what it gets, and a little: a request may take a moment less on its way than the
 /// one before it.
-const WINDOW: Duration = Duration::from_millis(1_050);
+const RATE_WINDOW: Duration = Duration::from_millis(1_050);
 
 /// A bound on what a server gets while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,48 +25,48 @@
 
 /// What one home sends to a cold server.
 #[derive(Clone, Debug)]
-pub(crate) struct Warming {
-    cold: ColdLimit,
+pub(crate) struct WarmUp {
+    limit: ColdLimit,
     /// Attempts that are meant for it and have not left.
     queued: usize,
     /// When those left that it may still count.
     sent: VecDeque<Time>,
     /// Until when nothing may be sent, as it is not known what was sent in the second before.
-    closed_until: Option<Time>,
+    blocked_until: Option<Time>,
 }
 
-impl Warming {
+impl WarmUp {
     /// Begins with a server to which nothing was sent yet.
-    pub(crate) fn new(cold: ColdLimit) -> Self {
+    pub(crate) fn new(limit: ColdLimit) -> Self {
         Self {
-            cold,
+            limit,
             queued: 0,
             sent: VecDeque::new(),
-            closed_until: None,
+            blocked_until: None,
         }
     }
 
     /// Begins with a server that was in use, and for which `queued` attempts wait: it may count what it got before it
     /// was known to be cold.
-    pub(crate) fn in_use(cold: ColdLimit, queued: usize, now: Time) -> Self {
+    pub(crate) fn in_use(limit: ColdLimit, queued: usize, now: Time) -> Self {
         Self {
             queued,
-            closed_until: Some(now + WINDOW),
-            ..Self::new(cold)
+            blocked_until: Some(now + RATE_WINDOW),
+            ..Self::new(limit)
         }
     }
 
     /// Takes over what is known of it now.
-    pub(crate) fn set(&mut self, cold: ColdLimit) {
-        self.cold = cold;
+    pub(crate) fn set_limit(&mut self, limit: ColdLimit) {
+        self.limit = limit;
     }
 
-    pub(crate) fn cold(&self) -> ColdLimit {
-        self.cold
+    pub(crate) fn limit(&self) -> ColdLimit {
+        self.limit
     }
 
     pub(crate) fn is_over(&self, now: Time) -> bool {
-        self.cold.until <= now
+        self.limit.until <= now
     }
 
     /// Tells whether one more attempt may be made, where this home may send `share` in a second.
@@ -74,37 +74,41 @@
         if self.is_over(now) {
             return true;
         }
-        let counted = self.sent.iter().filter(|at| now < **at + WINDOW).count();
-        self.closed_until.is_none_or(|until| until <= now) && self.queued + counted < share
+        let counted = self
+            .sent
+            .iter()
+            .filter(|at| now < **at + RATE_WINDOW)
+            .count();
+        self.blocked_until.is_none_or(|until| until <= now) && self.queued + counted < share
     }
 
     /// An attempt waits for a connection.
-    pub(crate) fn queue(&mut self) {
+    pub(crate) fn enqueue(&mut self) {
         self.queued += 1;
     }
 
     /// An attempt has left.
-    pub(crate) fn send(&mut self, now: Time) {
-        self.withdraw();
+    pub(crate) fn record_sent(&mut self, now: Time) {
+        self.dequeue();
         self.tick(now);
         self.sent.push_back(now);
     }
 
     /// Forgets what the server counts no more.
     pub(crate) fn tick(&mut self, now: Time) {
-        self.sent.retain(|at| now < *at + WINDOW);
-        self.closed_until.take_if(|until| *until <= now);
+        self.sent.retain(|at| now < *at + RATE_WINDOW);
+        self.blocked_until.take_if(|until| *until <= now);
     }
 
     /// An attempt that waited does not leave any more.
-    pub(crate) fn withdraw(&mut self) {
+    pub(crate) fn dequeue(&mut self) {
         self.queued = self.queued.saturating_sub(1);
     }
 
     /// Returns when one more attempt may be possible at the earliest, where none is now.
     pub(crate) fn next_open(&self) -> Time {
-        let leaves = self.sent.front().map(|at| *at + WINDOW);
-        let next = leaves.into_iter().chain(self.closed_until);
-        next.fold(self.cold.until, Time::min)
+        let oldest_expires = self.sent.front().map(|at| *at + RATE_WINDOW);
+        let next = oldest_expires.into_iter().chain(self.blocked_until);
+        next.fold(self.limit.until, Time::min)
     }
 }
--- a/crates/decision/src/backend/events.rs
+++ b/crates/decision/src/backend/events.rs
@@ -1,7 +1,7 @@
 //! What happens to the attempts and servers of a fleet.
 
 use super::choice;
-use super::fleet::{Attempt, Fleet, WORKS_AT_MOST};
+use super::fleet::{Attempt, Fleet, MAX_WORK_KINDS};
 use super::latency::Latency;
 use super::ramp::Ramp;
 use super::verdict::{StatusChange, Verdict};
@@ -13,17 +13,17 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Back-off after a refusal that names no time; it doubles with each further one.
-const BACK_OFF: Duration = Duration::from_millis(50);
-const BACK_OFF_DOUBLINGS: u32 = 5;
+const BASE_BACK_OFF: Duration = Duration::from_millis(50);
+const MAX_BACK_OFF_DOUBLINGS: u32 = 5;
 
 /// Longest back-off that a server may ask for: a wrong number must not take it out for good.
-const BACK_OFF_AT_MOST: Duration = Duration::from_secs(30);
+const MAX_BACK_OFF: Duration = Duration::from_secs(30);
 
 /// Largest part by which a back-off is lengthened, so that homes don't come back all at once.
-const JITTER: f64 = 0.5;
+const MAX_JITTER: f64 = 0.5;
 
 /// Time after which a cancelled attempt that was never confirmed is forgotten.
-const CANCELLED_FORGOTTEN: Duration = Duration::from_secs(5);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Fleet {
     /// Records that an attempt was sent.
@@ -37,14 +37,14 @@
             return;
         };
         let load = self.expected_load(state, now);
-        let reported = state.reported.map(|reported| reported.others);
+        let reported_others = state.last_report.map(|report| report.others);
         if let Some(state) = self.servers.get_mut(&server) {
             state.outstanding += 1;
             state.probe.sent();
-            if let Some(warming) = &mut state.warming {
-                warming.queue();
+            if let Some(warm_up) = &mut state.warm_up {
+                warm_up.enqueue();
             }
-            self.groups[state.group].note_sent(now);
+            self.groups[state.group].record_sent(now);
         }
         let record = Attempt {
             server,
@@ -52,9 +52,9 @@
             work,
             cancelled: None,
             overdue: false,
-            has_left: false,
-            earlier: false,
-            reported,
+            is_transmitted: false,
+            stale: false,
+            reported_others,
             load,
         };
         self.attempts.insert(attempt, record);
@@ -65,10 +65,10 @@
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        record.has_left = true;
+        record.is_transmitted = true;
         let server = self.servers.get_mut(&record.server);
-        if let Some(warming) = server.and_then(|server| server.warming.as_mut()) {
-            warming.send(now);
+        if let Some(warm_up) = server.and_then(|server| server.warm_up.as_mut()) {
+            warm_up.record_sent(now);
         }
     }
 
@@ -88,7 +88,7 @@
         let silence_timeout = self.silence_timeout(server, now);
         if let Some(state) = self.servers.get_mut(&server) {
             state.overdue += 1;
-            state.probe.want(silence_timeout, now);
+            state.probe.request(silence_timeout, now);
         }
     }
 
@@ -104,44 +104,44 @@
             return;
         }
         record.cancelled = Some(now);
-        let (server, load, earlier) = (record.server, record.load, record.earlier);
+        let (server, load, stale) = (record.server, record.load, record.stale);
         let work = record.work;
-        let took = now.saturating_sub(record.sent);
+        let elapsed = now.saturating_sub(record.sent);
         if let Some(state) = self.servers.get_mut(&server) {
             state.cancelling += 1;
         }
-        if !earlier && took > self.quantile(server, 0.5) {
-            self.measured(server, work, took, load, now);
+        if !stale && elapsed > self.quantile(server, 0.5) {
+            self.record_latency(server, work, elapsed, load, now);
         }
     }
 
     /// Records a reply.
     pub fn replied(&mut self, attempt: AttemptId, report: &Report, now: Time) -> StatusChange {
-        let Some(record) = self.end(attempt) else {
+        let Some(record) = self.remove_attempt(attempt) else {
             return StatusChange::default();
         };
-        if record.earlier {
+        if record.stale {
             return StatusChange::default();
         }
         if record.cancelled.is_none() {
-            let took = now.saturating_sub(record.sent);
-            self.measured(record.server, record.work, took, record.load, now);
-            self.predicted(&record, took);
+            let elapsed = now.saturating_sub(record.sent);
+            self.record_latency(record.server, record.work, elapsed, record.load, now);
+            self.record_prediction(&record, elapsed);
         }
-        self.grow(record.server);
+        self.advance_ramp(record.server);
         if let Some(state) = self.servers.get_mut(&record.server) {
-            state.ended(false, now);
+            state.record_outcome(false, now);
         }
-        self.heard(record.server, report, now)
+        self.apply_report(record.server, report, now)
     }
 
     /// Records that an attempt ended without a usable reply.
     pub fn failed(&mut self, attempt: AttemptId, failure: &Failure, now: Time) -> Verdict {
-        let Some(record) = self.end(attempt) else {
+        let Some(record) = self.remove_attempt(attempt) else {
             return Verdict::default();
         };
         let server = record.server;
-        if record.earlier {
+        if record.stale {
             return Verdict {
                 discard_connection: true,
                 not_run: failure.is_unrun(),
@@ -150,9 +150,9 @@
             };
         }
         if let Some(state) = self.servers.get_mut(&server) {
-            let is_own = !matches!(failure, Failure::NotSent | Failure::Dropped);
-            if is_own && record.cancelled.is_none() {
-                state.ended(true, now);
+            let is_server_fault = !matches!(failure, Failure::NotSent | Failure::Dropped);
+            if is_server_fault && record.cancelled.is_none() {
+                state.record_outcome(true, now);
             }
         }
         let mut verdict = match failure {
@@ -160,9 +160,9 @@
                 refusal,
                 retry_after,
                 report,
-            } => self.refused(server, refusal, *retry_after, report, now),
+            } => self.handle_refusal(server, refusal, *retry_after, report, now),
             Failure::Ran { report } | Failure::Cancelled { report } => Verdict {
-                status_change: self.heard(server, report, now),
+                status_change: self.apply_report(server, report, now),
                 ..Verdict::default()
             },
             Failure::NotSent => Verdict {
@@ -170,7 +170,7 @@
                 not_run: true,
                 ..Verdict::default()
             },
-            Failure::Lost => self.lost(server),
+            Failure::Lost => self.handle_loss(server),
             Failure::Dropped | Failure::Mismatched => Verdict {
                 discard_connection: true,
                 ..Verdict::default()
@@ -182,7 +182,7 @@
 
     /// Forgets an attempt whose connection was found silent; no blame falls on the server.
     pub fn forget(&mut self, attempt: AttemptId, _now: Time) {
-        self.end(attempt);
+        self.remove_attempt(attempt);
     }
 
     /// Takes in what the load endpoint says, `None` where it did not answer.
@@ -195,7 +195,7 @@
         now: Time,
     ) -> StatusChange {
         report.map_or_else(StatusChange::default, |report| {
-            self.heard(server, report, now)
+            self.apply_report(server, report, now)
         })
     }
 
@@ -207,33 +207,33 @@
         now: Time,
     ) -> bool {
         let known = self.start(server);
-        self.marks.add(server, start, known, now)
+        self.leaving.add(server, start, known, now)
     }
 
     /// Ends what is over: back-offs, and cancellations that were never confirmed. Returns the
     /// servers that can take work again.
     pub fn tick(&mut self, now: Time) -> Vec<BackendServerId> {
-        let forgotten = |record: &Attempt| {
+        let is_expired = |record: &Attempt| {
             record
                 .cancelled
-                .is_some_and(|at| at + CANCELLED_FORGOTTEN <= now)
+                .is_some_and(|at| at + CANCEL_TIMEOUT <= now)
         };
-        let over: Vec<AttemptId> = self
+        let expired: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(_, record)| forgotten(record))
+            .filter(|(_, record)| is_expired(record))
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in over {
-            self.end(attempt);
+        for attempt in expired {
+            self.remove_attempt(attempt);
         }
         let mut open = Vec::new();
         for (id, server) in &mut self.servers {
-            if let Some(warming) = &mut server.warming {
+            if let Some(warm_up) = &mut server.warm_up {
                 // One more may go there now, or any number.
                 open.push(*id);
-                warming.tick(now);
-                server.warming.take_if(|warming| warming.is_over(now));
+                warm_up.tick(now);
+                server.warm_up.take_if(|warm_up| warm_up.is_over(now));
             }
             if server.back_off.is_some_and(|until| until <= now) {
                 server.back_off = None;
@@ -247,25 +247,25 @@
     pub fn next_wake(&self) -> Option<Time> {
         let back_offs = self.servers.values().filter_map(|server| server.back_off);
         let cancelled = self.attempts.values().filter_map(|record| record.cancelled);
-        let warming = self
+        let warm_up = self
             .servers
             .values()
-            .filter_map(|server| server.warming.as_ref());
+            .filter_map(|server| server.warm_up.as_ref());
         back_offs
-            .chain(warming.map(|warming| warming.next_open()))
-            .chain(cancelled.map(|at| at + CANCELLED_FORGOTTEN))
+            .chain(warm_up.map(|warm_up| warm_up.next_open()))
+            .chain(cancelled.map(|at| at + CANCEL_TIMEOUT))
             .min()
     }
 
-    fn end(&mut self, attempt: AttemptId) -> Option<Attempt> {
+    fn remove_attempt(&mut self, attempt: AttemptId) -> Option<Attempt> {
         let record = self.attempts.remove(&attempt)?;
         if let Some(server) = self.servers.get_mut(&record.server) {
             server.outstanding = server.outstanding.saturating_sub(1);
             server.overdue = server.overdue.saturating_sub(usize::from(record.overdue));
             let cancelled = usize::from(record.cancelled.is_some());
             server.cancelling = server.cancelling.saturating_sub(cancelled);
-            if let Some(warming) = server.warming.as_mut().filter(|_| !record.has_left) {
-                warming.withdraw();
+            if let Some(warm_up) = server.warm_up.as_mut().filter(|_| !record.is_transmitted) {
+                warm_up.dequeue();
             }
             if !server.configured && server.outstanding == 0 {
                 self.servers.remove(&record.server);
@@ -274,42 +274,46 @@
         Some(record)
     }
 
-    fn measured(
+    fn record_latency(
         &mut self,
         server: BackendServerId,
         work: Work,
-        took: Duration,
+        elapsed: Duration,
         load: f64,
         now: Time,
     ) {
         let group = self.servers.get(&server).map(|state| state.group);
-        let usual = group.map(|group| self.usual(group));
-        if let (Some(state), Some(usual)) = (self.servers.get_mut(&server), usual) {
-            state.measured(took, load, usual, now);
+        let baseline = group.map(|group| self.baseline(group));
+        if let (Some(state), Some(baseline)) = (self.servers.get_mut(&server), baseline) {
+            state.record_latency(elapsed, load, baseline, now);
             let group = &mut self.groups[state.group];
-            group.latency.record(took);
-            group.usual.set(None);
-            self.latency.record(took);
-            self.note_work(work, took);
+            group.latency.record(elapsed);
+            group.baseline.set(None);
+            self.latency.record(elapsed);
+            self.record_work_latency(work, elapsed);
         }
     }
 
-    fn note_work(&mut self, work: Work, took: Duration) {
-        if self.works.len() < WORKS_AT_MOST || self.works.contains_key(&work) {
-            let latency = self.works.entry(work).or_insert_with(Latency::new);
-            latency.record(took);
+    fn record_work_latency(&mut self, work: Work, elapsed: Duration) {
+        if self.latency_by_work.len() < MAX_WORK_KINDS || self.latency_by_work.contains_key(&work) {
+            let latency = self
+                .latency_by_work
+                .entry(work)
+                .or_insert_with(Latency::new);
+            latency.record(elapsed);
         }
     }
 
     /// Holds the load that was reported when the attempt left against the latency that followed.
-    fn predicted(&mut self, record: &Attempt, took: Duration) {
-        if let (Some(others), Some(state)) = (record.reported, self.servers.get_mut(&record.server))
+    fn record_prediction(&mut self, record: &Attempt, elapsed: Duration) {
+        if let (Some(others), Some(state)) =
+            (record.reported_others, self.servers.get_mut(&record.server))
         {
-            state.trust.observe(others, took);
+            state.load_regression.observe(others, elapsed);
         }
     }
 
-    fn grow(&mut self, server: BackendServerId) {
+    fn advance_ramp(&mut self, server: BackendServerId) {
         let share = self.share();
         if let Some(state) = self.servers.get_mut(&server) {
             state.ramp = state.ramp.and_then(|ramp| ramp.replied(share));
@@ -319,7 +323,12 @@
     }
 
     /// Takes in what a server says of itself.
-    fn heard(&mut self, server: BackendServerId, report: &Report, now: Time) -> StatusChange {
+    fn apply_report(
+        &mut self,
+        server: BackendServerId,
+        report: &Report,
+        now: Time,
+    ) -> StatusChange {
         let Some(state) = self.servers.get_mut(&server) else {
             return StatusChange::default();
         };
@@ -328,9 +337,10 @@
             return StatusChange::default();
         }
         let restarted = state.start.is_some() && report.start > state.start;
-        let survived = state.lost && report.start.is_some() && report.start == state.start;
+        let survived =
+            state.connection_lost && report.start.is_some() && report.start == state.start;
         if report.start.is_some() {
-            state.lost = false;
+            state.connection_lost = false;
         }
         state.start = state.start.max(report.start);
         if restarted {
@@ -338,11 +348,11 @@
             state.back_off = None;
         }
         if let Some(load) = report.load.filter(|_| !self.policy.ignore_load) {
-            state.take_load(load, now);
+            state.record_load(load, now);
         }
-        state.take_versions(report);
+        state.record_versions(report);
         if let Some(start) = report.start {
-            self.marks.heard(server, start);
+            self.leaving.observe_start(server, start);
         }
         let leaving = report.draining && self.mark_leaving(server, report.start, now);
         StatusChange {
@@ -352,7 +362,7 @@
         }
     }
 
-    fn refused(
+    fn handle_refusal(
         &mut self,
         server: BackendServerId,
         refusal: &Refusal,
@@ -360,7 +370,7 @@
         report: &Report,
         now: Time,
     ) -> Verdict {
-        let mut status_change = self.heard(server, report, now);
+        let mut status_change = self.apply_report(server, report, now);
         let mut back_off = None;
         match refusal {
             Refusal::Shedding => back_off = self.shed(server, retry_after, now),
@@ -399,18 +409,18 @@
         now: Time,
     ) -> Option<Time> {
         let state = self.servers.get_mut(&server)?;
-        let own = BACK_OFF * 2_u32.pow(state.sheds.min(BACK_OFF_DOUBLINGS));
+        let pause = BASE_BACK_OFF * 2_u32.pow(state.sheds.min(MAX_BACK_OFF_DOUBLINGS));
         state.sheds = state.sheds.saturating_add(1);
         state.ramp = Some(Ramp::halved(state.outstanding));
-        let time = retry_after.unwrap_or(own).min(BACK_OFF_AT_MOST);
-        let until = now + time.mul_f64(1.0 + JITTER * spread(server, now));
+        let time = retry_after.unwrap_or(pause).min(MAX_BACK_OFF);
+        let until = now + time.mul_f64(1.0 + MAX_JITTER * jitter(server, now));
         state.back_off = state.back_off.max(Some(until));
         state.back_off
     }
 
-    fn lost(&mut self, server: BackendServerId) -> Verdict {
+    fn handle_loss(&mut self, server: BackendServerId) -> Verdict {
         if let Some(state) = self.servers.get_mut(&server) {
-            state.lost = true;
+            state.connection_lost = true;
         }
         Verdict {
             discard_connection: true,
@@ -421,19 +431,23 @@
 
     /// Returns the load of all homes to expect at a server.
     pub(super) fn expected_load(&self, state: &super::server::Server, now: Time) -> f64 {
-        let usual = self.usual(state.group);
-        let believed = state.trust.weight(usual.service_time.div_f64(usual.slots));
+        let baseline = self.baseline(state.group);
+        let report_weight = state
+            .load_regression
+            .weight(baseline.service_time.div_f64(baseline.slots));
         // Homes get alike shares of the requests: where nothing better is known, each of the others
         // has as much there as this one.
-        let alike = state.own() * (self.division.alike() - 1.0).max(0.0);
-        let reported = state.trust.mean() * believed + choice::others(state, usual, now);
-        (state.own() + reported + (1.0 - believed) * alike).max(state.own())
+        let assumed_others = state.own_load() * (self.division.alike() - 1.0).max(0.0);
+        let reported_others = state.load_regression.mean() * report_weight
+            + choice::excess_load(state, baseline, now);
+        (state.own_load() + reported_others + (1.0 - report_weight) * assumed_others)
+            .max(state.own_load())
     }
 }
 
 /// Returns a number from 0 to 1 that differs between homes: their processes did not start at the
 /// same nanosecond.
-fn spread(server: BackendServerId, now: Time) -> f64 {
+fn jitter(server: BackendServerId, now: Time) -> f64 {
     let hash = xxh3_64(format!("{server} {}", now.as_nanos()).as_bytes());
     hash as f64 / u64::MAX as f64
 }
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -1,12 +1,12 @@
 //! All backend servers of one route at one home.
 
+use super::baseline::Baseline;
 use super::choice::{self, Choice, Repeat};
-use super::cold::{ColdLimit, Warming};
+use super::cold::{ColdLimit, WarmUp};
 use super::latency::Latency;
-use super::leaving::Marks;
+use super::leaving::LeavingServers;
 use super::ramp::Ramp;
 use super::server::Server;
-use super::usual::Usual;
 use crate::attempt::AttemptId;
 use crate::placement::{Division, Homes};
 use crate::policy::Policy;
@@ -22,40 +22,40 @@
 use std::time::Duration;
 
 /// Bounds of the time after which an attempt is hedged.
-const HEDGE_AT_LEAST: Duration = Duration::from_millis(1);
-const HEDGE_AT_MOST: f64 = 0.5;
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(1);
+const MAX_HEDGE_DELAY_SHARE: f64 = 0.5;
 
 /// Share of the deadline that stands in for a latency that nothing is known of.
-const UNKNOWN_LATENCY: f64 = 0.25;
+const DEFAULT_LATENCY_SHARE: f64 = 0.25;
 
 /// A server's own quantile counts up to this multiple of its group's. A replica that is always
 /// slow would otherwise be hedged late, by its own standard, although the others answer long
 /// before: seen as a tail that hedging does not cut.
-const OWN_QUANTILE_AT_MOST: f64 = 2.0;
+const MAX_OWN_QUANTILE_RATIO: f64 = 2.0;
 
 /// Bound of the factor by which a group may be slower or faster than all: beyond it the group is in
 /// trouble, and waiting longer for it would only hide that.
-const RELATIVE_AT_MOST: f64 = 1.5;
+const MAX_RELATIVE_LATENCY: f64 = 1.5;
 
 /// Kinds of work whose latencies are kept apart; beyond them, those of all together stand in.
-pub(super) const WORKS_AT_MOST: usize = 32;
+pub(super) const MAX_WORK_KINDS: usize = 32;
 
 /// Silence that is out of the ordinary: a multiple of a high quantile.
-const PATIENCE_QUANTILE: f64 = 0.99;
-const PATIENCE_FACTOR: f64 = 2.0;
-const PATIENCE_AT_LEAST: Duration = Duration::from_millis(10);
+const SILENCE_QUANTILE: f64 = 0.99;
+const SILENCE_QUANTILE_FACTOR: f64 = 2.0;
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// Multiple of a server's recent mean latency that is waited in any case: one that has just become
 /// slow is not silent.
-const PATIENCE_IN_MEANS: f64 = 6.0;
+const SILENCE_MEAN_FACTOR: f64 = 6.0;
 
 /// Weight of a new time between two attempts in the mean, and what one counts at most: a quiet night says
 /// nothing of the morning.
 const INTERVAL_GAIN: f64 = 0.1;
-const INTERVAL_AT_MOST: Duration = Duration::from_secs(1);
+const MAX_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Replicas that a group usually has at most; more of them take an allocation.
-const FEW: usize = 4;
+const INLINE_REPLICAS: usize = 4;
 
 /// All backend servers of one route at one home.
 pub struct Fleet {
@@ -63,9 +63,9 @@
     pub(super) groups: Vec<Group>,
     pub(super) latency: Latency,
     /// By kind of work: how long attempts take, at all servers together.
-    pub(super) works: FxHashMap<Work, Latency>,
+    pub(super) latency_by_work: FxHashMap<Work, Latency>,
     pub(super) attempts: FxHashMap<AttemptId, Attempt>,
-    pub(super) marks: Marks,
+    pub(super) leaving: LeavingServers,
     /// The servers that are cold, of this route or not.
     cold: BTreeMap<BackendServerId, ColdLimit>,
     pub(super) capacity: Capacity,
@@ -80,19 +80,19 @@
     pub(super) latency: Latency,
     /// What is usual, until an attempt in the group is measured. It is asked for more than ten
     /// times for each attempt.
-    pub(super) usual: Cell<Option<Usual>>,
+    pub(super) baseline: Cell<Option<Baseline>>,
     /// Whether a server counts as one of another group.
     pub(super) is_shared: bool,
     /// Mean time between two attempts, in seconds, and when the last one left.
     pub(super) interval: f64,
-    pub(super) sent: Option<Time>,
+    pub(super) last_sent: Option<Time>,
 }
 
 impl Group {
     /// Records that an attempt leaves.
-    pub(super) fn note_sent(&mut self, now: Time) {
-        if let Some(last) = self.sent.replace(now) {
-            let interval = now.saturating_sub(last).min(INTERVAL_AT_MOST).as_secs_f64();
+    pub(super) fn record_sent(&mut self, now: Time) {
+        if let Some(last) = self.last_sent.replace(now) {
+            let interval = now.saturating_sub(last).min(MAX_INTERVAL).as_secs_f64();
             self.interval += INTERVAL_GAIN * (interval - self.interval);
         }
     }
@@ -108,12 +108,12 @@
     /// Whether it takes far longer than its server usually does.
     pub(super) overdue: bool,
     /// Whether it has left for its server.
-    pub(super) has_left: bool,
+    pub(super) is_transmitted: bool,
     /// Whether another start has come to its server's address since it left: how it ends says nothing
     /// of that one.
-    pub(super) earlier: bool,
+    pub(super) stale: bool,
     /// What was reported of the others' load when it left.
-    pub(super) reported: Option<f64>,
+    pub(super) reported_others: Option<f64>,
     /// Load of all homes to be expected at the server when it left.
     pub(super) load: f64,
 }
@@ -125,9 +125,9 @@
             servers: FxHashMap::default(),
             groups: Vec::new(),
             latency: Latency::new(),
-            works: FxHashMap::default(),
+            latency_by_work: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            marks: Marks::default(),
+            leaving: LeavingServers::default(),
             cold: BTreeMap::new(),
             capacity: route.capacity,
             division: division.into(),
@@ -135,7 +135,7 @@
             policy: Policy::default(),
         };
         // It is this home that is new and not the servers: no ramp.
-        fleet.adopt(route, None, now);
+        fleet.apply_route(route, None, now);
         fleet
     }
 
@@ -144,7 +144,7 @@
     pub fn reconfigure(&mut self, route: &Route, now: Time) {
         self.capacity = route.capacity;
         self.deadline = Duration::from_millis(route.deadline_ms);
-        self.adopt(route, Some(Ramp::cold()), now);
+        self.apply_route(route, Some(Ramp::cold()), now);
     }
 
     /// Replaces decisions by simpler ones.
@@ -170,34 +170,34 @@
         for (&server, &cold) in cold {
             let queued = self.queued(server);
             if let Some(state) = self.servers.get_mut(&server) {
-                match &mut state.warming {
-                    Some(warming) if !warming.is_over(now) => warming.set(cold),
-                    other => *other = Some(Warming::in_use(cold, queued, now)),
+                match &mut state.warm_up {
+                    Some(warm_up) if !warm_up.is_over(now) => warm_up.set_limit(cold),
+                    other => *other = Some(WarmUp::in_use(cold, queued, now)),
                 }
             }
         }
         for (id, server) in &mut self.servers {
-            server.warming.take_if(|_| !cold.contains_key(id));
+            server.warm_up.take_if(|_| !cold.contains_key(id));
         }
     }
 
     /// Tells whether what is sent to a server in a second is bounded.
     pub fn is_cold(&self, server: BackendServerId) -> bool {
         let state = self.servers.get(&server);
-        state.is_some_and(|state| state.warming.is_some())
+        state.is_some_and(|state| state.warm_up.is_some())
     }
 
     /// Returns until when a server is cold and max_rate nothing of this home.
     pub fn excluded_until(&self, server: BackendServerId, now: Time) -> Option<Time> {
-        let warming = self.servers.get(&server)?.warming.as_ref()?;
-        let is_shut = !warming.is_over(now) && self.cold_share(server, warming.cold()) == 0;
-        is_shut.then(|| warming.cold().until)
+        let warm_up = self.servers.get(&server)?.warm_up.as_ref()?;
+        let is_excluded = !warm_up.is_over(now) && self.cold_share(server, warm_up.limit()) == 0;
+        is_excluded.then(|| warm_up.limit().until)
     }
 
     /// Returns the attempts at a server that have not left.
     fn queued(&self, server: BackendServerId) -> usize {
-        let waits = |record: &&Attempt| record.server == server && !record.has_left;
-        self.attempts.values().filter(waits).count()
+        let is_queued = |record: &&Attempt| record.server == server && !record.is_transmitted;
+        self.attempts.values().filter(is_queued).count()
     }
 
     /// Returns how many attempts this home may send to a cold server in a second.
@@ -210,28 +210,28 @@
     }
 
     /// Tells whether a cold server max_rate one more attempt of this home now.
-    fn bears_one(&self, id: BackendServerId, server: &Server, now: Time) -> bool {
-        let Some(warming) = &server.warming else {
+    fn allows_cold_attempt(&self, id: BackendServerId, server: &Server, now: Time) -> bool {
+        let Some(warm_up) = &server.warm_up else {
             return true;
         };
-        warming.is_open(self.cold_share(id, warming.cold()), now)
+        warm_up.is_open(self.cold_share(id, warm_up.limit()), now)
     }
 
     /// Another start is at the address of a server: everything learned of the earlier one is
     /// forgotten, and it is ramped up as a new one. Only the attempts that are outstanding stay.
     pub fn replaced(&mut self, server: BackendServerId, now: Time) {
         if let Some(state) = self.servers.get_mut(&server) {
-            *state = state.replaced();
+            *state = state.restarted();
         }
         let queued = self.queued(server);
         let cold = self.cold.get(&server).copied();
         if let (Some(state), Some(cold)) = (self.servers.get_mut(&server), cold) {
-            state.warming = Some(Warming::in_use(cold, queued, now));
+            state.warm_up = Some(WarmUp::in_use(cold, queued, now));
         }
-        self.marks.forget(server);
-        let of_server = |record: &&mut Attempt| record.server == server;
-        for record in self.attempts.values_mut().filter(of_server) {
-            record.earlier = true;
+        self.leaving.remove(server);
+        let at_server = |record: &&mut Attempt| record.server == server;
+        for record in self.attempts.values_mut().filter(at_server) {
+            record.stale = true;
         }
     }
 
@@ -269,22 +269,22 @@
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let open = self.open(candidates, tried, version, now);
+        let open = self.open_candidates(candidates, tried, version, now);
         let scores = match self.policy.random_replica {
             true => smallvec![0.0; open.len()],
             false => self.scores(&open, repeat, now),
         };
-        let index = choice::least(&scores, rng)?;
+        let index = choice::index_of_least(&scores, rng)?;
         let server = open[index];
         Some(Choice {
             server,
-            why: self.why(server, &scores, index, now),
+            why: self.explain(server, &scores, index, now),
         })
     }
 
     /// Returns the time after which an attempt at `server` is slower than the given quantile.
     pub fn hedge_delay(&self, server: BackendServerId, quantile: f64, _now: Time) -> Duration {
-        self.hedge_after(self.quantile(server, quantile))
+        self.clamp_hedge_delay(self.quantile(server, quantile))
     }
 
     /// Returns the time after which an attempt at `server` that asks for this kind of work is slower
@@ -300,53 +300,59 @@
         quantile: f64,
         now: Time,
     ) -> Duration {
-        let usual = self.works.get(&work);
-        let Some(usual) = usual.and_then(|latency| latency.quantile(quantile)) else {
+        let baseline = self.latency_by_work.get(&work);
+        let Some(baseline) = baseline.and_then(|latency| latency.quantile(quantile)) else {
             return self.hedge_delay(server, quantile, now);
         };
-        self.hedge_after(usual.mul_f64(self.relative(server)))
+        self.clamp_hedge_delay(baseline.mul_f64(self.relative_latency(server)))
     }
 
     /// Returns the time that attempts for this kind of work usually take, where it is known.
     pub fn median_latency(&self, work: Work) -> Option<Duration> {
-        self.works.get(&work)?.quantile(0.5)
+        self.latency_by_work.get(&work)?.quantile(0.5)
     }
 
-    fn hedge_after(&self, quantile: Duration) -> Duration {
+    fn clamp_hedge_delay(&self, quantile: Duration) -> Duration {
         if let Some(fixed) = self.policy.hedge_after {
             return fixed;
         }
-        let at_most = self.deadline.mul_f64(HEDGE_AT_MOST).max(HEDGE_AT_LEAST);
-        quantile.clamp(HEDGE_AT_LEAST, at_most)
+        let at_most = self
+            .deadline
+            .mul_f64(MAX_HEDGE_DELAY_SHARE)
+            .max(MIN_HEDGE_DELAY);
+        quantile.clamp(MIN_HEDGE_DELAY, at_most)
     }
 
     /// Returns how long attempts usually take in a server's group, relative to all groups.
-    fn relative(&self, server: BackendServerId) -> f64 {
+    fn relative_latency(&self, server: BackendServerId) -> f64 {
         let Some(state) = self.servers.get(&server) else {
             return 1.0;
         };
         let of_group = self.groups[state.group].latency.quantile(0.5);
         match (of_group, self.latency.quantile(0.5)) {
             (Some(of_group), Some(of_all)) => (of_group.as_secs_f64() / of_all.as_secs_f64())
-                .clamp(RELATIVE_AT_MOST.recip(), RELATIVE_AT_MOST),
+                .clamp(MAX_RELATIVE_LATENCY.recip(), MAX_RELATIVE_LATENCY),
             _ => 1.0,
         }
     }
 
     /// Returns the time after which an attempt at `server` is suspiciously silent.
     pub fn silence_timeout(&self, server: BackendServerId, _now: Time) -> Duration {
-        let usual = self.quantile(server, PATIENCE_QUANTILE);
-        let recent = self.servers.get(&server).and_then(|state| state.recent);
-        let recent = recent.map_or(0.0, |(mean, _)| mean * PATIENCE_IN_MEANS);
-        usual
-            .mul_f64(PATIENCE_FACTOR)
+        let baseline = self.quantile(server, SILENCE_QUANTILE);
+        let recent = self
+            .servers
+            .get(&server)
+            .and_then(|state| state.recent_latency);
+        let recent = recent.map_or(0.0, |(mean, _)| mean * SILENCE_MEAN_FACTOR);
+        baseline
+            .mul_f64(SILENCE_QUANTILE_FACTOR)
             .max(Duration::from_secs_f64(recent))
-            .max(PATIENCE_AT_LEAST)
+            .max(MIN_SILENCE_TIMEOUT)
     }
 
     /// Tells whether a server is leaving.
     pub fn is_leaving(&self, server: BackendServerId) -> bool {
-        self.marks.contains(server)
+        self.leaving.contains(server)
     }
 
     /// Returns the start number of a server, as far as known.
@@ -380,26 +386,26 @@
         let Some(state) = self.servers.get(&server) else {
             return false;
         };
-        let bears_one = self.bears_one(server, state, now);
-        !self.is_leaving(server) && bears_one && state.is_open(self.share(), now)
+        let allows_cold_attempt = self.allows_cold_attempt(server, state, now);
+        !self.is_leaving(server) && allows_cold_attempt && state.is_open(self.share(), now)
     }
 
     /// Returns what is usual in a group.
-    pub(super) fn usual(&self, group: usize) -> Usual {
-        let known = &self.groups[group];
-        if let Some(usual) = known.usual.get() {
-            return usual;
+    pub(super) fn baseline(&self, group: usize) -> Baseline {
+        let state = &self.groups[group];
+        if let Some(baseline) = state.baseline.get() {
+            return baseline;
         }
-        let usual = self.find_usual(group);
+        let baseline = self.compute_baseline(group);
         // Otherwise it would miss what is measured elsewhere: all groups stand in for one of which
         // little is known, and a shared server is measured in the last of its groups.
-        if known.latency.is_known() && !known.is_shared {
-            known.usual.set(Some(usual));
+        if state.latency.has_enough_samples() && !state.is_shared {
+            state.baseline.set(Some(baseline));
         }
-        usual
+        baseline
     }
 
-    fn find_usual(&self, group: usize) -> Usual {
+    fn compute_baseline(&self, group: usize) -> Baseline {
         let members = self.groups[group].servers.iter();
         let service_times: Vec<Duration> = members
             .filter_map(|server| self.servers.get(server)?.service_time())
@@ -408,12 +414,12 @@
             .latency
             .quantile(0.5)
             .or_else(|| self.latency.quantile(0.5))
-            .unwrap_or_else(|| self.unknown_latency());
+            .unwrap_or_else(|| self.default_latency());
         let service_time = match service_times.len() {
             0 => median,
             count => service_times.iter().sum::<Duration>() / count as u32,
         };
-        Usual {
+        Baseline {
             service_time,
             median,
             slots: self.slots(),
@@ -423,31 +429,31 @@
 
     pub(super) fn quantile(&self, server: BackendServerId, quantile: f64) -> Duration {
         let Some(state) = self.servers.get(&server) else {
-            return self.unknown_latency();
+            return self.default_latency();
         };
         let own = state.latency.quantile(quantile);
         let of_group = self.groups[state.group].latency.quantile(quantile);
         match (own, of_group) {
-            (Some(own), Some(of_group)) => own.min(of_group.mul_f64(OWN_QUANTILE_AT_MOST)),
+            (Some(own), Some(of_group)) => own.min(of_group.mul_f64(MAX_OWN_QUANTILE_RATIO)),
             (None, Some(of_group)) => of_group,
             (_, None) => self
                 .latency
                 .quantile(quantile)
-                .unwrap_or_else(|| self.unknown_latency()),
+                .unwrap_or_else(|| self.default_latency()),
         }
     }
 
-    fn unknown_latency(&self) -> Duration {
-        self.deadline.mul_f64(UNKNOWN_LATENCY)
+    fn default_latency(&self) -> Duration {
+        self.deadline.mul_f64(DEFAULT_LATENCY_SHARE)
     }
 
-    fn open(
+    fn open_candidates(
         &self,
         candidates: &[BackendServerId],
         tried: &[BackendServerId],
         version: Option<IndexVersion>,
         now: Time,
-    ) -> SmallVec<[BackendServerId; FEW]> {
+    ) -> SmallVec<[BackendServerId; INLINE_REPLICAS]> {
         let serves = |server| {
             let state = self.servers.get(server);
             state.is_some_and(|state| state.serves(version))
@@ -465,19 +471,19 @@
         servers: &[BackendServerId],
         repeat: Repeat,
         now: Time,
-    ) -> SmallVec<[f64; FEW]> {
+    ) -> SmallVec<[f64; INLINE_REPLICAS]> {
         servers
             .iter()
             .map(|server| {
                 let state = &self.servers[server];
-                choice::score(state, self.usual(state.group), repeat, now)
+                choice::score(state, self.baseline(state.group), repeat, now)
             })
             .collect()
     }
 
-    fn why(&self, server: BackendServerId, scores: &[f64], index: usize, now: Time) -> Least {
+    fn explain(&self, server: BackendServerId, scores: &[f64], index: usize, now: Time) -> Least {
         let state = &self.servers[&server];
-        let others = choice::others(state, self.usual(state.group), now);
+        let others = choice::excess_load(state, self.baseline(state.group), now);
         Least {
             score: scores[index],
             open: scores.len(),
@@ -487,43 +493,43 @@
     }
 
     /// Takes over the groups; servers that are new start with `ramp`.
-    fn adopt(&mut self, route: &Route, ramp: Option<Ramp>, now: Time) {
+    fn apply_route(&mut self, route: &Route, ramp: Option<Ramp>, now: Time) {
         self.servers
             .values_mut()
             .for_each(|server| server.configured = false);
         let mut groups: Vec<Group> = Vec::with_capacity(route.groups.len());
         for (index, group) in route.groups.iter().enumerate() {
             for id in &group.backend_servers {
-                let warming = self.cold.get(id).copied().map(Warming::new);
-                let new = || Server::new(index, ramp).warmed_by(warming);
+                let warm_up = self.cold.get(id).copied().map(WarmUp::new);
+                let new = || Server::new(index, ramp).with_warm_up(warm_up);
                 let server = self.servers.entry(*id).or_insert_with(new);
                 server.group = index;
                 server.configured = true;
             }
             groups.push(Group {
                 servers: group.backend_servers.clone(),
-                latency: self.latency_of(&group.backend_servers),
-                usual: Cell::new(None),
+                latency: self.inherited_latency(&group.backend_servers),
+                baseline: Cell::new(None),
                 is_shared: false,
                 interval: 0.0,
-                sent: None,
+                last_sent: None,
             });
         }
         for (index, group) in groups.iter_mut().enumerate() {
-            let elsewhere = |id: &BackendServerId| self.servers[id].group != index;
-            group.is_shared = group.servers.iter().any(elsewhere);
+            let is_in_other_group = |id: &BackendServerId| self.servers[id].group != index;
+            group.is_shared = group.servers.iter().any(is_in_other_group);
         }
         self.groups = groups;
         self.drop_removed();
         let servers = &self.servers;
-        self.marks
+        self.leaving
             .retain(now, |server| servers.contains_key(&server));
     }
 
     /// Returns the latency of the group, before the change, of the first server that was in one.
-    fn latency_of(&self, servers: &[BackendServerId]) -> Latency {
-        let of_old = |group: &&Group| servers.iter().any(|id| group.servers.contains(id));
-        let old = self.groups.iter().find(of_old);
+    fn inherited_latency(&self, servers: &[BackendServerId]) -> Latency {
+        let overlaps = |group: &&Group| servers.iter().any(|id| group.servers.contains(id));
+        let old = self.groups.iter().find(overlaps);
         old.map_or_else(Latency::new, |group| group.latency.clone())
     }
 
--- a/crates/decision/src/backend/group_load.rs
+++ b/crates/decision/src/backend/group_load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Attempts sent to a server beyond its slots, so that none is idle for the time of a round trip.
-const ON_THE_WAY: f64 = 1.0;
+const PIPELINED_ATTEMPTS: f64 = 1.0;
 
 /// The time that a new attempt would wait in a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
 impl FromIterator<Wait> for Waits {
     fn from_iter<I: IntoIterator<Item = Wait>>(waits: I) -> Self {
         let mut waits: Vec<Wait> = waits.into_iter().collect();
-        waits.sort_unstable_by(|one, other| other.cmp(one));
+        waits.sort_unstable_by(|a, b| b.cmp(a));
         Self(waits)
     }
 }
@@ -67,16 +67,16 @@
     /// out: a query that can do without them does not wait for them.
     pub fn busiest_group_without(&self, dispensable: usize, now: Time) -> GroupLoad {
         let groups = 0..self.groups.len();
-        let mut rooms: Vec<GroupLoad> = groups
-            .filter_map(|group| self.room_of(group, now))
+        let mut loads: Vec<GroupLoad> = groups
+            .filter_map(|group| self.load_of(group, now))
             .collect();
-        rooms.sort_unstable_by(|one, other| {
-            let waits = other.wait.cmp(&one.wait);
-            waits.then(other.busy.total_cmp(&one.busy))
+        loads.sort_unstable_by(|a, b| {
+            let waits = b.wait.cmp(&a.wait);
+            waits.then(b.busy.total_cmp(&a.busy))
         });
-        let last = rooms.len().saturating_sub(1);
-        let left = rooms.get(dispensable.min(last));
-        left.copied().unwrap_or_default()
+        let last = loads.len().saturating_sub(1);
+        let busiest = loads.get(dispensable.min(last));
+        busiest.copied().unwrap_or_default()
     }
 
     /// Returns the time that a new attempt would wait at the least busy server of each group that has usable
@@ -92,7 +92,7 @@
 
     /// Returns the share of the recent attempts that failed, as the mean over all servers.
     pub fn failure_rate(&self, now: Time) -> f64 {
-        let shares = self.servers.values().map(|server| server.failing(now));
+        let shares = self.servers.values().map(|server| server.failure_rate(now));
         shares.sum::<f64>() / self.servers.len().max(1) as f64
     }
 
@@ -118,7 +118,7 @@
         let reported = self
             .servers
             .values()
-            .filter(|server| server.is_reported(now));
+            .filter(|server| server.has_recent_report(now));
         reported.count() * 2 > self.servers.len()
     }
 
@@ -126,21 +126,23 @@
     /// free: it sends no replies, so its report would never be renewed.
     pub fn has_free_slot(&self, server: BackendServerId, now: Time) -> bool {
         self.servers.get(&server).is_some_and(|state| {
-            state.own() == 0.0 || state.reported_load(now) < self.slots() + ON_THE_WAY
+            state.own_load() == 0.0 || state.reported_load(now) < self.slots() + PIPELINED_ATTEMPTS
         })
     }
 
     fn least_reported_wait(&self, group: usize, now: Time) -> Option<Duration> {
-        let usual = self.usual(group);
+        let baseline = self.baseline(group);
         let usable = self.usable(group, now);
-        usable.map(|server| server.reported_wait(usual, now)).min()
+        usable
+            .map(|server| server.reported_wait(baseline, now))
+            .min()
     }
 
     fn least_wait(&self, group: usize, now: Time) -> Option<Duration> {
         let usable = self.usable(group, now);
         let loads = usable.map(|server| self.expected_load(server, now));
         let least = loads.reduce(f64::min)?;
-        Some(self.usual(group).wait(least))
+        Some(self.baseline(group).wait(least))
     }
 
     fn usable(&self, group: usize, now: Time) -> impl Iterator<Item = &Server> {
@@ -148,12 +150,12 @@
         servers.filter_map(move |id| {
             let server = self.servers.get(id)?;
             let is_usable = server.reachable && server.configured && !self.is_leaving(*id);
-            let is_shut = self.excluded_until(*id, now).is_some();
-            (is_usable && !is_shut).then_some(server)
+            let is_excluded = self.excluded_until(*id, now).is_some();
+            (is_usable && !is_excluded).then_some(server)
         })
     }
 
-    fn room_of(&self, group: usize, now: Time) -> Option<GroupLoad> {
+    fn load_of(&self, group: usize, now: Time) -> Option<GroupLoad> {
         let mut usable: u32 = 0;
         let mut busy = 0.0;
         for server in self.usable(group, now) {
@@ -164,7 +166,7 @@
             return None;
         }
         let slots = f64::from(usable) * self.slots();
-        let service_time = self.usual(group).service_time;
+        let service_time = self.baseline(group).service_time;
         // The new attempt starts when all but `slots - 1` of those before it have ended.
         let ahead = (busy + 1.0 - slots).max(0.0);
         Some(GroupLoad {
--- a/crates/decision/src/backend/latency.rs
+++ b/crates/decision/src/backend/latency.rs
@@ -13,10 +13,10 @@
 const SMALLEST: Duration = Duration::from_micros(100);
 
 /// Weight at which all counts are halved.
-const HALVED_AT: f32 = 512.0;
+const MAX_WEIGHT: f32 = 512.0;
 
 /// Weight below which a quantile says too little.
-const ENOUGH: f32 = 20.0;
+const MIN_WEIGHT: f32 = 20.0;
 
 /// Latencies of one server, one group or one route.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     }
 
     pub(crate) fn record(&mut self, latency: Duration) {
-        if self.weight >= HALVED_AT {
+        if self.weight >= MAX_WEIGHT {
             let used = &mut self.counts[self.used.clone()];
             used.iter_mut().for_each(|count| *count /= 2.0);
             self.weight /= 2.0;
@@ -53,21 +53,21 @@
     }
 
     /// Tells whether enough was seen for quantiles.
-    pub(crate) fn is_known(&self) -> bool {
-        self.weight >= ENOUGH
+    pub(crate) fn has_enough_samples(&self) -> bool {
+        self.weight >= MIN_WEIGHT
     }
 
     /// Returns the latency that a share `quantile` of the attempts stays within, or `None` where
     /// too few were seen.
     pub(crate) fn quantile(&self, quantile: f64) -> Option<Duration> {
-        if !self.is_known() {
+        if !self.has_enough_samples() {
             return None;
         }
         let rank = self.weight * quantile as f32;
-        let mut seen = 0.0;
+        let mut cumulative = 0.0;
         for (index, count) in self.used.clone().zip(&self.counts[self.used.clone()]) {
-            seen += count;
-            if seen >= rank && *count > 0.0 {
+            cumulative += count;
+            if cumulative >= rank && *count > 0.0 {
                 return Some(upper_bound(index));
             }
         }
--- a/crates/decision/src/backend/leaving.rs
+++ b/crates/decision/src/backend/leaving.rs
@@ -15,7 +15,7 @@
 const RETENTION: Duration = Duration::from_secs(600);
 
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Entry {
     /// Start number that is leaving; `None` until one is heard.
     start: Option<Incarnation>,
     at: Time,
@@ -23,11 +23,11 @@
 
 /// Marks of the servers that are leaving.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Marks {
-    marks: FxHashMap<BackendServerId, Mark>,
+pub(crate) struct LeavingServers {
+    entries: FxHashMap<BackendServerId, Entry>,
 }
 
-impl Marks {
+impl LeavingServers {
     /// Marks `server`, of which `known` is the start number last heard. Returns whether that is
     /// new.
     pub(crate) fn add(
@@ -42,43 +42,43 @@
             return false;
         }
         let start = start.max(known);
-        match self.marks.get_mut(&server) {
-            Some(mark) => {
-                mark.start = mark.start.max(start);
+        match self.entries.get_mut(&server) {
+            Some(entry) => {
+                entry.start = entry.start.max(start);
                 false
             }
             None => {
-                self.marks.insert(server, Mark { start, at: now });
+                self.entries.insert(server, Entry { start, at: now });
                 true
             }
         }
     }
 
     /// Takes in a start number that the server itself gave. Returns whether it ended the mark.
-    pub(crate) fn heard(&mut self, server: BackendServerId, start: Incarnation) -> bool {
-        let Some(mark) = self.marks.get_mut(&server) else {
+    pub(crate) fn observe_start(&mut self, server: BackendServerId, start: Incarnation) -> bool {
+        let Some(entry) = self.entries.get_mut(&server) else {
             return false;
         };
         // Without a number in the mark the first one heard may well be the process that leaves.
-        let leaving = *mark.start.get_or_insert(start);
-        if start > leaving {
-            self.marks.remove(&server);
+        let leaving_start = *entry.start.get_or_insert(start);
+        if start > leaving_start {
+            self.entries.remove(&server);
         }
-        start > leaving
+        start > leaving_start
     }
 
     /// Drops the mark of a server at whose address another start is.
-    pub(crate) fn forget(&mut self, server: BackendServerId) {
-        self.marks.remove(&server);
+    pub(crate) fn remove(&mut self, server: BackendServerId) {
+        self.entries.remove(&server);
     }
 
     pub(crate) fn contains(&self, server: BackendServerId) -> bool {
-        self.marks.contains_key(&server)
+        self.entries.contains_key(&server)
     }
 
     /// Drops old marks of servers for which `keep` is false.
     pub(crate) fn retain(&mut self, now: Time, keep: impl Fn(BackendServerId) -> bool) {
-        self.marks
-            .retain(|server, mark| keep(*server) || now < mark.at + RETENTION);
+        self.entries
+            .retain(|server, entry| keep(*server) || now < entry.at + RETENTION);
     }
 }
--- a/crates/decision/src/backend/trust.rs
+++ b/crates/decision/src/backend/load_regression.rs
@@ -12,21 +12,21 @@
 use std::time::Duration;
 
 /// Share of the sums that survives each further observation; about a hundred count.
-const MEMORY: f64 = 0.99;
+const DECAY: f64 = 0.99;
 
 /// Observations before reports are believed at all.
-const ENOUGH: f64 = 15.0;
+const MIN_SAMPLES: f64 = 15.0;
 
 /// Standard errors of the slope that are taken off it.
-const CONFIDENCE: f64 = 2.0;
+const STANDARD_ERRORS: f64 = 2.0;
 
 /// A server with free slots answers no slower for one more request, so even honest reports show
 /// less than the full slope; a weight is reached at this fraction of it.
-const FULL_AT: f64 = 0.5;
+const FULL_WEIGHT_SLOPE: f64 = 0.5;
 
 /// Decaying regression of latency over reported load.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Trust {
+pub(crate) struct LoadRegression {
     weight: f64,
     load: f64,
     latency: f64,
@@ -35,17 +35,17 @@
     product: f64,
 }
 
-impl Trust {
+impl LoadRegression {
     /// Records the load that others had at the server by its last report before the attempt, and
     /// the latency of the attempt.
     pub(crate) fn observe(&mut self, load: f64, latency: Duration) {
         let latency = latency.as_secs_f64();
-        self.weight = self.weight * MEMORY + 1.0;
-        self.load = self.load * MEMORY + load;
-        self.latency = self.latency * MEMORY + latency;
-        self.load_squared = self.load_squared * MEMORY + load * load;
-        self.latency_squared = self.latency_squared * MEMORY + latency * latency;
-        self.product = self.product * MEMORY + load * latency;
+        self.weight = self.weight * DECAY + 1.0;
+        self.load = self.load * DECAY + load;
+        self.latency = self.latency * DECAY + latency;
+        self.load_squared = self.load_squared * DECAY + load * load;
+        self.latency_squared = self.latency_squared * DECAY + latency * latency;
+        self.product = self.product * DECAY + load * latency;
     }
 
     /// Returns the mean of the loads reported.
@@ -59,21 +59,21 @@
 
     /// Returns the weight of a report, from 0 to 1, at a server where one more request is expected
     /// to cost `step`.
-    pub(crate) fn weight(&self, step: Duration) -> f64 {
-        if self.weight < ENOUGH || step.is_zero() {
+    pub(crate) fn weight(&self, expected_slope: Duration) -> f64 {
+        if self.weight < MIN_SAMPLES || expected_slope.is_zero() {
             return 0.0;
         }
         let mean = self.mean();
-        let variance = self.load_squared / self.weight - mean * mean;
-        if variance < f64::EPSILON {
+        let load_variance = self.load_squared / self.weight - mean * mean;
+        if load_variance < f64::EPSILON {
             return 0.0;
         }
         let mean_latency = self.latency / self.weight;
-        let slope = (self.product / self.weight - mean * mean_latency) / variance;
-        let spread = self.latency_squared / self.weight - mean_latency * mean_latency;
-        let unexplained = (spread - slope * slope * variance).max(0.0);
-        let error = (unexplained / (variance * self.weight)).sqrt();
-        let sure = slope - CONFIDENCE * error;
-        (sure / (FULL_AT * step.as_secs_f64())).clamp(0.0, 1.0)
+        let slope = (self.product / self.weight - mean * mean_latency) / load_variance;
+        let latency_variance = self.latency_squared / self.weight - mean_latency * mean_latency;
+        let unexplained = (latency_variance - slope * slope * load_variance).max(0.0);
+        let error = (unexplained / (load_variance * self.weight)).sqrt();
+        let lower_bound = slope - STANDARD_ERRORS * error;
+        (lower_bound / (FULL_WEIGHT_SLOPE * expected_slope.as_secs_f64())).clamp(0.0, 1.0)
     }
 }
--- a/crates/decision/src/backend/mod.rs
+++ b/crates/decision/src/backend/mod.rs
@@ -6,6 +6,7 @@
 //! that crash the servers that run them. The home wires them together: it tells the fleet when the
 //! pool finds a server unreachable, and asks the table before it sends.
 
+mod baseline;
 mod choice;
 mod cold;
 mod events;
@@ -13,14 +14,13 @@
 mod group_load;
 mod latency;
 mod leaving;
+mod load_regression;
 pub mod pool;
 mod probe;
 mod ramp;
 mod server;
 mod snapshot;
 pub mod suspect;
-mod trust;
-mod usual;
 mod verdict;
 
 pub use choice::{Choice, Repeat};
--- a/crates/decision/src/backend/pool/connection.rs
+++ b/crates/decision/src/backend/pool/connection.rs
@@ -20,7 +20,7 @@
     pub(super) server: BackendServerId,
     pub(super) state: State,
     /// Time at which it was last seen to work: opened, or answered on.
-    pub(super) proven: Time,
+    pub(super) verified_at: Time,
     /// Whether it leads to a start that is gone: it is not used again.
     pub(super) retired: bool,
 }
@@ -30,7 +30,7 @@
         Self {
             server,
             state: State::Opening,
-            proven: now,
+            verified_at: now,
             retired: false,
         }
     }
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -9,7 +9,7 @@
 //! use when the share shrank, which are closed as soon as they are idle.
 
 mod connection;
-mod line;
+mod server_pool;
 mod silence;
 
 pub use silence::Health;
@@ -18,15 +18,15 @@
 use crate::attempt::ConnectionId;
 use crate::placement::{self, Division, Homes};
 use connection::{Connection, State};
-use line::{Line, Share};
 use monsoonring_configuration::document::{Capacity, Route};
 use monsoonring_configuration::id::BackendServerId;
 use rustc_hash::FxHashMap;
+use server_pool::{Limits, ServerPool};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Age up to which an idle connection counts as verified by its last use.
-const FRESH: Duration = Duration::from_secs(1);
+const MAX_VERIFIED_AGE: Duration = Duration::from_secs(1);
 
 /// Something that the home does for the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,12 +37,12 @@
     Close(ConnectionId),
 }
 
-fn share(division: &Division, capacity: Capacity) -> Share {
-    Share {
-        most: division.connections(capacity.connections),
+fn limits(division: &Division, capacity: Capacity) -> Limits {
+    Limits {
+        max: division.connections(capacity.connections),
         spare: division.spare,
-        floor: division.floor,
-        held_for: division.held_for(capacity.connections),
+        min_idle: division.floor,
+        idle_time: division.held_for(capacity.connections),
     }
 }
 
@@ -58,10 +58,10 @@
 
 /// Connections to the backend servers of one route.
 pub struct Pool {
-    lines: FxHashMap<BackendServerId, Line>,
+    server_pools: FxHashMap<BackendServerId, ServerPool>,
     connections: FxHashMap<ConnectionId, Connection>,
     next: ConnectionId,
-    share: Share,
+    limits: Limits,
     capacity: Capacity,
     division: Division,
     /// Servers in other data centres: nothing is kept ready there without need.
@@ -86,10 +86,10 @@
     ) -> Self {
         let division = division.into();
         let mut pool = Self {
-            lines: FxHashMap::default(),
+            server_pools: FxHashMap::default(),
             connections: FxHashMap::default(),
             next: first,
-            share: share(&division, route.capacity),
+            limits: limits(&division, route.capacity),
             identity: 0,
             capacity: route.capacity,
             division,
@@ -98,26 +98,26 @@
             closing: Vec::new(),
             due: None,
         };
-        pool.adopt(route, now);
+        pool.apply_route(route, now);
         pool
     }
 
     /// Takes over a new configuration. Connections to removed servers are closed when idle.
     pub fn reconfigure(&mut self, route: &Route, now: Time) {
         self.capacity = route.capacity;
-        self.adopt(route, now);
-        self.divide();
+        self.apply_route(route, now);
+        self.update_limits();
     }
 
     /// Takes over the homes of the route.
     pub fn set_homes(&mut self, homes: impl Into<Homes>, _now: Time) {
         self.division = self.division.with_homes(homes);
-        self.divide();
+        self.update_limits();
     }
 
-    fn divide(&mut self) {
-        self.share = share(&self.division, self.capacity);
-        self.changed.extend(self.lines.keys());
+    fn update_limits(&mut self) {
+        self.limits = limits(&self.division, self.capacity);
+        self.changed.extend(self.server_pools.keys());
     }
 
     /// Takes over what tells this home from others.
@@ -128,7 +128,7 @@
     /// Takes over which servers are in other data centres.
     pub fn set_far(&mut self, far: BTreeSet<BackendServerId>) {
         self.far = far;
-        self.changed.extend(self.lines.keys());
+        self.changed.extend(self.server_pools.keys());
     }
 
     /// Returns how the servers are divided among the homes.
@@ -138,8 +138,8 @@
 
     /// Takes over whether a server is leaving: no connection is opened, idle ones are closed.
     pub fn set_leaving(&mut self, server: BackendServerId, leaving: bool, _now: Time) {
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.leaving = leaving;
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.leaving = leaving;
             self.changed.insert(server);
         }
     }
@@ -156,9 +156,9 @@
     /// ends. A request put on it gets no answer, and one that must not be sent twice could then
     /// only end as unknown.
     pub fn acquire_fresh(&mut self, server: BackendServerId, now: Time) -> Option<ConnectionId> {
-        let fresh = self.take(server, now.saturating_sub(FRESH), now);
+        let fresh = self.take(server, now.saturating_sub(MAX_VERIFIED_AGE), now);
         if fresh.is_none() {
-            self.replace_stale(server, now);
+            self.evict_stale(server, now);
         }
         fresh
     }
@@ -168,12 +168,12 @@
     /// It is asked after each event: only servers to which something happened are looked at, and
     /// all of them only when time has given some of them something to do.
     pub fn reconcile(&mut self, now: Time) -> Vec<Command> {
-        self.take_due(now);
+        self.collect_due(now);
         let mut opens = Vec::new();
         for server in std::mem::take(&mut self.changed) {
             self.close_excess(server, now);
             self.open_missing(server, now, &mut opens);
-            self.settle(server);
+            self.schedule(server);
         }
         let closes = std::mem::take(&mut self.closing);
         closes
@@ -183,26 +183,32 @@
             .collect()
     }
 
-    fn take_due(&mut self, now: Time) {
+    fn collect_due(&mut self, now: Time) {
         if self.due.is_none_or(|due| due > now) {
             return;
         }
-        let due = self.lines.iter().filter(|(_, line)| line.is_due(now));
+        let due = self
+            .server_pools
+            .iter()
+            .filter(|(_, server_pool)| server_pool.is_due(now));
         self.changed.extend(due.map(|(server, _)| *server));
-        let later = self.lines.values().filter(|line| !line.is_due(now));
-        self.due = later.filter_map(Line::wake).min();
+        let later = self
+            .server_pools
+            .values()
+            .filter(|server_pool| !server_pool.is_due(now));
+        self.due = later.filter_map(ServerPool::next_wake).min();
     }
 
     /// Notes when a server is to be looked at again, or forgets it if it has gone for good.
-    fn settle(&mut self, server: BackendServerId) {
-        let Some(line) = self.lines.get(&server) else {
+    fn schedule(&mut self, server: BackendServerId) {
+        let Some(server_pool) = self.server_pools.get(&server) else {
             return;
         };
-        if line.is_over() {
-            self.lines.remove(&server);
+        if server_pool.is_finished() {
+            self.server_pools.remove(&server);
             return;
         }
-        self.due = self.due.into_iter().chain(line.wake()).min();
+        self.due = self.due.into_iter().chain(server_pool.next_wake()).min();
     }
 
     /// Records that a connection is ready. Returns its server.
@@ -212,10 +218,10 @@
             return None;
         }
         connection.state = State::Idle;
-        connection.proven = now;
+        connection.verified_at = now;
         let server = connection.server;
-        let line = self.lines.get_mut(&server)?;
-        line.opened(id, now);
+        let server_pool = self.server_pools.get_mut(&server)?;
+        server_pool.opened(id, now);
         self.changed.insert(server);
         Some(server)
     }
@@ -225,13 +231,13 @@
     pub fn closed(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
-        let line = self.lines.get_mut(&server)?;
-        let was_reachable = line.reachable;
-        line.closed(id, &connection, now);
+        let server_pool = self.server_pools.get_mut(&server)?;
+        let was_reachable = server_pool.reachable;
+        server_pool.closed(id, &connection, now);
         self.changed.insert(server);
         Some(Disconnect {
             server,
-            became_unreachable: was_reachable && !line.reachable,
+            became_unreachable: was_reachable && !server_pool.reachable,
         })
     }
 
@@ -251,8 +257,8 @@
         for id in idle {
             self.discard(id, now);
         }
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.replaced(now);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.replaced(now);
             self.changed.insert(server);
         }
     }
@@ -270,10 +276,10 @@
             return;
         };
         connection.state = State::Idle;
-        connection.proven = now;
+        connection.verified_at = now;
         let server = connection.server;
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.released(id, sent, now);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.released(id, sent, now);
         }
         self.changed.insert(server);
     }
@@ -287,8 +293,8 @@
             return;
         }
         connection.state = State::Idle;
-        if let Some(line) = self.lines.get_mut(&connection.server) {
-            line.put_back(id);
+        if let Some(server_pool) = self.server_pools.get_mut(&connection.server) {
+            server_pool.put_back(id);
         }
         self.changed.insert(connection.server);
     }
@@ -298,8 +304,8 @@
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        if let Some(line) = self.lines.get_mut(&connection.server) {
-            line.remove(id, &connection);
+        if let Some(server_pool) = self.server_pools.get_mut(&connection.server) {
+            server_pool.remove(id, &connection);
         }
         self.changed.insert(connection.server);
         self.closing.push(id);
@@ -310,38 +316,42 @@
     pub fn rejected(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
-        let line = self.lines.get_mut(&server)?;
-        let was_reachable = line.reachable;
-        line.rejected(id, &connection, now);
+        let server_pool = self.server_pools.get_mut(&server)?;
+        let was_reachable = server_pool.reachable;
+        server_pool.rejected(id, &connection, now);
         self.changed.insert(server);
         Some(Disconnect {
             server,
-            became_unreachable: was_reachable && !line.reachable,
+            became_unreachable: was_reachable && !server_pool.reachable,
         })
     }
 
     /// Takes in that a server refused a connection because its limit is reached: no more are
     /// opened for a while.
     pub fn connection_limit_reached(&mut self, server: BackendServerId, now: Time) {
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.connection_limit_reached(now);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.connection_limit_reached(now);
             self.changed.insert(server);
         }
     }
 
     /// Tells whether a server can be reached.
     pub fn is_reachable(&self, server: BackendServerId) -> bool {
-        self.lines.get(&server).is_some_and(|line| line.reachable)
+        self.server_pools
+            .get(&server)
+            .is_some_and(|server_pool| server_pool.reachable)
     }
 
     /// Returns how many connections to `server` are open or being opened.
     pub fn connections(&self, server: BackendServerId) -> usize {
-        self.lines.get(&server).map_or(0, Line::len)
+        self.server_pools.get(&server).map_or(0, ServerPool::len)
     }
 
     /// Returns how many connections to `server` are idle and ready.
     pub fn idle(&self, server: BackendServerId) -> usize {
-        self.lines.get(&server).map_or(0, |line| line.idle.len())
+        self.server_pools
+            .get(&server)
+            .map_or(0, |server_pool| server_pool.idle.len())
     }
 
     /// Returns the time at which [`Self::reconcile`] has something to do, if nothing else happens.
@@ -349,31 +359,35 @@
         self.due
     }
 
-    fn adopt(&mut self, route: &Route, now: Time) {
-        self.lines
+    fn apply_route(&mut self, route: &Route, now: Time) {
+        self.server_pools
             .values_mut()
-            .for_each(|line| line.configured = false);
+            .for_each(|server_pool| server_pool.configured = false);
         let servers = route.groups.iter().flat_map(|group| &group.backend_servers);
         for server in servers {
-            let line = self.lines.entry(*server).or_insert_with(|| Line::new(now));
-            line.configured = true;
+            let server_pool = self
+                .server_pools
+                .entry(*server)
+                .or_insert_with(|| ServerPool::new(now));
+            server_pool.configured = true;
         }
-        self.changed.extend(self.lines.keys());
+        self.changed.extend(self.server_pools.keys());
     }
 
     /// Takes the idle connection that was used last, if it was proven at or after `since`.
-    fn take(&mut self, server: BackendServerId, since: Time, now: Time) -> Option<ConnectionId> {
-        let line = self.lines.get_mut(&server)?;
+    fn take(&mut self, server: BackendServerId, sent_at: Time, now: Time) -> Option<ConnectionId> {
+        let server_pool = self.server_pools.get_mut(&server)?;
         self.changed.insert(server);
-        let last = line.idle.last().copied();
+        let last = server_pool.idle.last().copied();
         let connection = last.and_then(|id| self.connections.get_mut(&id));
-        let Some(connection) = connection.filter(|connection| connection.proven >= since) else {
-            line.missed(now);
+        let Some(connection) = connection.filter(|connection| connection.verified_at >= sent_at)
+        else {
+            server_pool.missed(now);
             return None;
         };
         connection.state = State::Busy(now);
-        line.idle.pop();
-        line.taken(now);
+        server_pool.idle.pop();
+        server_pool.acquired(now);
         last
     }
 
@@ -382,22 +396,22 @@
     /// A connection is kept ready without need where one is in use all the time, which is at the servers
     /// nearby. Where every host kept one at every server, 89 hosts asked for more than the 76 that a
     /// server takes, and it ended 203,276 connections in a calm minute.
-    fn share_of(&self, server: BackendServerId) -> Share {
+    fn limits_for(&self, server: BackendServerId) -> Limits {
         let kept = self.division.kept(self.capacity.connections);
-        let is_drawn = kept >= 1.0 || placement::lot(self.identity, server) < kept;
-        let is_kept = is_drawn && !self.far.contains(&server);
-        Share {
-            floor: if is_kept { self.share.floor } else { 0 },
-            ..self.share
+        let is_selected = kept >= 1.0 || placement::lot(self.identity, server) < kept;
+        let keeps_idle = is_selected && !self.far.contains(&server);
+        Limits {
+            min_idle: if keeps_idle { self.limits.min_idle } else { 0 },
+            ..self.limits
         }
     }
 
     /// Makes place for a verified connection where idle ones stand in its way.
-    fn replace_stale(&mut self, server: BackendServerId, now: Time) {
-        let share = self.share_of(server);
-        let oldest = self.lines.get(&server).and_then(|line| {
-            let none_comes = line.opening == 0 && line.missing(share, now) == 0;
-            line.idle.first().copied().filter(|_| none_comes)
+    fn evict_stale(&mut self, server: BackendServerId, now: Time) {
+        let limits = self.limits_for(server);
+        let oldest = self.server_pools.get(&server).and_then(|server_pool| {
+            let none_comes = server_pool.opening == 0 && server_pool.to_open(limits, now) == 0;
+            server_pool.idle.first().copied().filter(|_| none_comes)
         });
         if let Some(id) = oldest {
             self.discard(id, now);
@@ -405,12 +419,12 @@
     }
 
     fn close_excess(&mut self, server: BackendServerId, now: Time) {
-        let share = self.share_of(server);
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.elapse(share, now);
+        let limits = self.limits_for(server);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.advance(limits, now);
         }
-        while let Some(line) = self.lines.get_mut(&server) {
-            let Some(id) = line.excess(share) else {
+        while let Some(server_pool) = self.server_pools.get_mut(&server) {
+            let Some(id) = server_pool.excess_idle(limits) else {
                 return;
             };
             self.discard(id, now);
@@ -418,14 +432,14 @@
     }
 
     fn open_missing(&mut self, server: BackendServerId, now: Time, opens: &mut Vec<Command>) {
-        let share = self.share_of(server);
-        let Some(line) = self.lines.get_mut(&server) else {
+        let limits = self.limits_for(server);
+        let Some(server_pool) = self.server_pools.get_mut(&server) else {
             return;
         };
-        for _ in 0..line.missing(share, now) {
+        for _ in 0..server_pool.to_open(limits, now) {
             let id = self.next;
             self.next += 1;
-            line.opening += 1;
+            server_pool.opening += 1;
             self.connections
                 .insert(id, Connection::opening(server, now));
             opens.push(Command::Open(id, server));
--- a/crates/decision/src/backend/pool/line.rs
+++ b/crates/decision/src/backend/pool/server_pool.rs
@@ -9,31 +9,31 @@
 /// Connections to one server that are being opened at the same time. After a restart of the server
 /// every home finds all its connections gone at once; without this bound they would all be opened
 /// again at once, seen as connect times far above the usual just when the server is cold.
-const OPENING_AT_MOST: usize = 2;
+const MAX_OPENING: usize = 2;
 
 /// Pause after a failed connect; it doubles with each further one.
-const PAUSE: Duration = Duration::from_millis(100);
-const PAUSE_DOUBLINGS: u32 = 6;
+const BASE_PAUSE: Duration = Duration::from_millis(100);
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
 /// How often the pause doubles where the server ends new connections at once.
-const ENDED_DOUBLINGS: u32 = 2;
+const MAX_REJECTED_DOUBLINGS: u32 = 2;
 
 /// Pause after the server said that its connection limit is reached.
-const CROWDED: Duration = Duration::from_secs(1);
+const LIMIT_PAUSE: Duration = Duration::from_secs(1);
 
 /// How many connections a line may have, and how many it has beyond its need.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Share {
-    pub(super) most: usize,
+pub(super) struct Limits {
+    pub(super) max: usize,
     pub(super) spare: usize,
-    pub(super) floor: usize,
+    pub(super) min_idle: usize,
     /// Time after which the connections kept ready shrink by one.
-    pub(super) held_for: Duration,
+    pub(super) idle_time: Duration,
 }
 
 /// The connections to one backend server.
 #[derive(Clone, Debug)]
-pub(super) struct Line {
+pub(super) struct ServerPool {
     pub(super) configured: bool,
     pub(super) leaving: bool,
     pub(super) reachable: bool,
@@ -42,24 +42,24 @@
     pub(super) busy: usize,
     pub(super) opening: usize,
     /// Time at which a connection last opened.
-    pub(super) connected: Time,
+    pub(super) last_opened: Time,
     /// Time at which an attempt was last answered.
-    pub(super) answered: Time,
+    pub(super) last_answered: Time,
     /// Latest time at which an attempt was sent that has been answered.
-    pub(super) overtaken: Time,
+    pub(super) latest_answered_send: Time,
     /// Most connections needed at once, lately.
     peak: usize,
     /// Needs that found no idle connection, since the last that did.
     misses: usize,
-    shrunk: Time,
+    peak_changed_at: Time,
     /// Time after which the peak shrinks.
-    held_for: Duration,
+    idle_time: Duration,
     /// Connects that failed in a row.
     failures: u32,
-    paused: Option<Time>,
+    paused_until: Option<Time>,
 }
 
-impl Line {
+impl ServerPool {
     pub(super) fn new(now: Time) -> Self {
         Self {
             configured: true,
@@ -69,15 +69,15 @@
             idle: Vec::new(),
             busy: 0,
             opening: 0,
-            connected: now,
-            answered: now,
-            overtaken: now,
+            last_opened: now,
+            last_answered: now,
+            latest_answered_send: now,
             peak: 0,
             misses: 0,
-            shrunk: now,
-            held_for: HELD_AT_MOST,
+            peak_changed_at: now,
+            idle_time: HELD_AT_MOST,
             failures: 0,
-            paused: None,
+            paused_until: None,
         }
     }
 
@@ -97,11 +97,11 @@
     }
 
     /// Tells whether a removed server's last connection has gone.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         !self.configured && self.len() == 0
     }
 
-    pub(super) fn taken(&mut self, now: Time) {
+    pub(super) fn acquired(&mut self, now: Time) {
         self.busy += 1;
         self.misses = 0;
         self.raise_peak(self.busy, now);
@@ -116,8 +116,8 @@
     pub(super) fn released(&mut self, id: ConnectionId, sent: Time, now: Time) {
         self.busy = self.busy.saturating_sub(1);
         self.idle.push(id);
-        self.answered = now;
-        self.overtaken = self.overtaken.max(sent);
+        self.last_answered = now;
+        self.latest_answered_send = self.latest_answered_send.max(sent);
     }
 
     pub(super) fn put_back(&mut self, id: ConnectionId) {
@@ -128,9 +128,9 @@
     pub(super) fn opened(&mut self, id: ConnectionId, now: Time) {
         self.opening = self.opening.saturating_sub(1);
         self.idle.push(id);
-        self.connected = now;
+        self.last_opened = now;
         self.failures = 0;
-        self.paused = None;
+        self.paused_until = None;
         self.reachable = true;
     }
 
@@ -161,7 +161,7 @@
             return;
         }
         // It is well, and has room again as soon as another home gives some up.
-        self.failures = self.failures.min(ENDED_DOUBLINGS);
+        self.failures = self.failures.min(MAX_REJECTED_DOUBLINGS);
         self.pause(now);
         self.reachable = false;
     }
@@ -175,77 +175,77 @@
     }
 
     pub(super) fn connection_limit_reached(&mut self, now: Time) {
-        self.paused = self.paused.max(Some(now + CROWDED));
+        self.paused_until = self.paused_until.max(Some(now + LIMIT_PAUSE));
     }
 
     /// Lets time act: a pause ends, the peak shrinks.
-    pub(super) fn elapse(&mut self, share: Share, now: Time) {
-        self.paused = self.paused.filter(|until| now < *until);
-        self.peak = self.peak.min(share.most);
-        self.held_for = share.held_for;
+    pub(super) fn advance(&mut self, limits: Limits, now: Time) {
+        self.paused_until = self.paused_until.filter(|until| now < *until);
+        self.peak = self.peak.min(limits.max);
+        self.idle_time = limits.idle_time;
         if !self.idle.is_empty() {
             // What waited has had its chance.
             self.misses = 0;
         }
-        if now >= self.shrunk + self.held_for && self.peak > self.needed() {
+        if now >= self.peak_changed_at + self.idle_time && self.peak > self.demand() {
             self.peak -= 1;
-            self.shrunk = now;
+            self.peak_changed_at = now;
         }
     }
 
     /// Returns how many connections are to be opened now.
-    pub(super) fn missing(&self, share: Share, now: Time) -> usize {
+    pub(super) fn to_open(&self, limits: Limits, now: Time) -> usize {
         let wanted = self.configured && !self.leaving;
-        if !wanted || self.paused.is_some_and(|until| now < until) {
+        if !wanted || self.paused_until.is_some_and(|until| now < until) {
             return 0;
         }
-        let at_once = if self.reachable { OPENING_AT_MOST } else { 1 };
-        self.target(share)
+        let max_opening = if self.reachable { MAX_OPENING } else { 1 };
+        self.target(limits)
             .saturating_sub(self.len())
-            .min(at_once.saturating_sub(self.opening))
+            .min(max_opening.saturating_sub(self.opening))
     }
 
     /// Returns the idle connection to be closed now, if there is one too many.
-    pub(super) fn excess(&self, share: Share) -> Option<ConnectionId> {
+    pub(super) fn excess_idle(&self, limits: Limits) -> Option<ConnectionId> {
         let wanted = self.configured && !self.leaving;
-        let target = if wanted { self.target(share) } else { 0 };
+        let target = if wanted { self.target(limits) } else { 0 };
         let oldest = self.idle.first().copied();
         oldest.filter(|_| self.len() > target)
     }
 
     /// Tells whether time alone has given it something to do.
     pub(super) fn is_due(&self, now: Time) -> bool {
-        self.wake().is_some_and(|wake| wake <= now)
+        self.next_wake().is_some_and(|next_wake| next_wake <= now)
     }
 
-    pub(super) fn wake(&self) -> Option<Time> {
-        let shrinks = (self.peak > self.needed()).then_some(self.shrunk + self.held_for);
-        shrinks.into_iter().chain(self.paused).min()
+    pub(super) fn next_wake(&self) -> Option<Time> {
+        let shrinks = (self.peak > self.demand()).then_some(self.peak_changed_at + self.idle_time);
+        shrinks.into_iter().chain(self.paused_until).min()
     }
 
-    fn target(&self, share: Share) -> usize {
-        let need = self.peak.max(self.busy) + share.spare;
-        need.max(share.floor).min(share.most)
+    fn target(&self, limits: Limits) -> usize {
+        let need = self.peak.max(self.busy) + limits.spare;
+        need.max(limits.min_idle).min(limits.max)
     }
 
     /// Returns the connections in use, and those that are waited for. Without the latter, where nothing is held without
     /// need the need would be over before a connection is asked for, and what waits would never be sent.
-    fn needed(&self) -> usize {
+    fn demand(&self) -> usize {
         self.busy + self.misses
     }
 
-    fn raise_peak(&mut self, needed: usize, now: Time) {
-        if needed >= self.peak {
-            self.peak = needed;
-            self.shrunk = now;
+    fn raise_peak(&mut self, demand: usize, now: Time) {
+        if demand >= self.peak {
+            self.peak = demand;
+            self.peak_changed_at = now;
         }
     }
 
     /// Leaves the server alone after a failed connect. What waited for it goes elsewhere, or waits for one in use.
     fn pause(&mut self, now: Time) {
         self.misses = 0;
-        let time = PAUSE * 2_u32.pow(self.failures.min(PAUSE_DOUBLINGS));
+        let time = BASE_PAUSE * 2_u32.pow(self.failures.min(MAX_PAUSE_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        self.paused = Some(now + time);
+        self.paused_until = Some(now + time);
     }
 }
--- a/crates/decision/src/backend/pool/silence.rs
+++ b/crates/decision/src/backend/pool/silence.rs
@@ -13,7 +13,7 @@
 
 /// Multiple of the silence_timeout after which a mere new connection, without an answer on it, is proof
 /// enough where nothing at all was answered meanwhile: all older connections may be silent.
-const LONE_FACTOR: u32 = 4;
+const UNANSWERED_FACTOR: u32 = 4;
 
 /// How a busy connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,19 +36,20 @@
         let Some(connection) = self.connections.get(&id) else {
             return Health::Healthy;
         };
-        let State::Busy(since) = connection.state else {
+        let State::Busy(sent_at) = connection.state else {
             return Health::Healthy;
         };
-        let Some(line) = self.lines.get(&connection.server) else {
+        let Some(server_pool) = self.server_pools.get(&connection.server) else {
             return Health::Healthy;
         };
-        let age = now.saturating_sub(since);
+        let age = now.saturating_sub(sent_at);
         if age < silence_timeout {
             return Health::Healthy;
         }
-        let overtaken = line.overtaken > since;
-        let opened = line.connected >= since + silence_timeout && line.answered <= since;
-        match overtaken || (opened && age >= silence_timeout * LONE_FACTOR) {
+        let latest_answered_send = server_pool.latest_answered_send > sent_at;
+        let opened = server_pool.last_opened >= sent_at + silence_timeout
+            && server_pool.last_answered <= sent_at;
+        match latest_answered_send || (opened && age >= silence_timeout * UNANSWERED_FACTOR) {
             true => Health::Silent,
             false => Health::Overdue,
         }
@@ -68,15 +69,15 @@
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
-        let State::Busy(since) = connection.state else {
+        let State::Busy(sent_at) = connection.state else {
             return;
         };
         let server = connection.server;
-        let unproven = |other: &Connection| {
-            other.server == server && other.state == State::Idle && other.proven < since
+        let is_unverified = |other: &Connection| {
+            other.server == server && other.state == State::Idle && other.verified_at < sent_at
         };
         let others = self.connections.iter();
-        let gone = others.filter(|(_, other)| unproven(other));
+        let gone = others.filter(|(_, other)| is_unverified(other));
         let mut gone: Vec<ConnectionId> = gone.map(|(other, _)| *other).collect();
         gone.sort_unstable();
         for other in gone {
--- a/crates/decision/src/backend/probe.rs
+++ b/crates/decision/src/backend/probe.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// How often the pause between two probes without an answer doubles.
-const DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// Probes of a server that has attempts overdue.
 ///
@@ -12,7 +12,7 @@
 /// time for its request where the server hangs. The pauses therefore grow.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Probe {
-    wanted: bool,
+    requested: bool,
     /// Probes since the last answer.
     unanswered: u32,
     /// Time before which none is wanted.
@@ -20,24 +20,24 @@
 }
 
 impl Probe {
-    pub(crate) fn is_wanted(&self) -> bool {
-        self.wanted
+    pub(crate) fn is_requested(&self) -> bool {
+        self.requested
     }
 
     /// Takes in that an attempt was found overdue by the `silence_timeout` with the server.
-    pub(crate) fn want(&mut self, silence_timeout: Duration, now: Time) {
+    pub(crate) fn request(&mut self, silence_timeout: Duration, now: Time) {
         if now < self.not_before {
             return;
         }
-        self.wanted = true;
-        let pause = silence_timeout * 2_u32.pow(self.unanswered.min(DOUBLINGS));
+        self.requested = true;
+        let pause = silence_timeout * 2_u32.pow(self.unanswered.min(MAX_DOUBLINGS));
         self.unanswered = self.unanswered.saturating_add(1);
         self.not_before = now + pause;
     }
 
     /// Takes in that an attempt was sent.
     pub(crate) fn sent(&mut self) {
-        self.wanted = false;
+        self.requested = false;
     }
 
     /// Takes in that an attempt was answered.
--- a/crates/decision/src/backend/server.rs
+++ b/crates/decision/src/backend/server.rs
@@ -1,11 +1,11 @@
 //! State of one backend server at one home.
 
-use super::cold::Warming;
+use super::baseline::Baseline;
+use super::cold::WarmUp;
 use super::latency::Latency;
+use super::load_regression::LoadRegression;
 use super::probe::Probe;
 use super::ramp::Ramp;
-use super::trust::Trust;
-use super::usual::Usual;
 use crate::Time;
 use crate::reply::{Load, Report};
 use monsoonring_configuration::id::{Incarnation, IndexVersion};
@@ -15,38 +15,38 @@
 const SERVICE_TIME_GAIN: f64 = 0.05;
 
 /// Weight of a new latency in the recent mean.
-const RECENT_GAIN: f64 = 0.2;
+const RECENT_LATENCY_GAIN: f64 = 0.2;
 
 /// Multiple of what is usual in its group from which a latency is out of the ordinary, and the weight of such a one
 /// that follows another: a server that has turned slow by ten shows after two attempts in place of four,
 /// and one attempt that met a pause moves nothing.
-const SURPRISING: f64 = 2.5;
-const SURPRISING_GAIN: f64 = 0.6;
+const OUTLIER_RATIO: f64 = 2.5;
+const REPEATED_OUTLIER_GAIN: f64 = 0.6;
 
 /// Weight of a new attempt in the share of those that failed.
-const FAILING_GAIN: f64 = 0.2;
+const FAILURE_RATE_GAIN: f64 = 0.2;
 
 /// Time after which a share of failed attempts has halved. A server that is avoided for it is tried
 /// again by a real request about once a second, and one that has recovered is in use again as soon
 /// as a few of these succeed.
-const FAILING_HALF_LIFE: Duration = Duration::from_secs(2);
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Time after which what a server reported of others' load has halved.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(200);
 
 /// Age up to which a report tells how a server stands.
-const REPORT_RECENT: Duration = Duration::from_millis(500);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
 
 /// Cap on a reported queueing delay, as a multiple of the recent latency. Reports run ahead of latencies while a queue builds up.
-const REPORT_CAP: f64 = 3.0;
+const MAX_REPORTED_WAIT_RATIO: f64 = 3.0;
 
 /// Share of an attempt that still counts as load while it is being cancelled: most servers drop a
 /// queued attempt at once and end a running one soon.
-const CANCELLING_LOAD: f64 = 0.5;
+const CANCELLING_WEIGHT: f64 = 0.5;
 
 /// Load that others have at a server, by its last report.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reported {
+pub(crate) struct ReportedLoad {
     pub(crate) others: f64,
     pub(crate) at: Time,
 }
@@ -65,11 +65,11 @@
     /// Own attempts that take far longer than is usual here.
     pub(crate) overdue: usize,
     pub(crate) latency: Latency,
-    pub(crate) trust: Trust,
-    pub(crate) reported: Option<Reported>,
+    pub(crate) load_regression: LoadRegression,
+    pub(crate) last_report: Option<ReportedLoad>,
     pub(crate) ramp: Option<Ramp>,
     /// Where it is cold, or was: what is sent to it in a second is bounded.
-    pub(crate) warming: Option<Warming>,
+    pub(crate) warm_up: Option<WarmUp>,
     pub(crate) probe: Probe,
     pub(crate) back_off: Option<Time>,
     /// Refusals for load since the last reply.
@@ -77,13 +77,13 @@
     pub(crate) start: Option<Incarnation>,
     pub(crate) versions: Vec<IndexVersion>,
     /// A connection was lost under an attempt, and no sign of the process was seen since.
-    pub(crate) lost: bool,
+    pub(crate) connection_lost: bool,
     /// Share of the recent attempts that failed, and when that was last added to.
-    failing: Option<(f64, Time)>,
+    failure_rate: Option<(f64, Time)>,
     /// Recent mean latency, in seconds, and when it was last added to.
-    pub(crate) recent: Option<(f64, Time)>,
+    pub(crate) recent_latency: Option<(f64, Time)>,
     /// Whether the last latency was out of the ordinary.
-    surprised: bool,
+    last_was_outlier: bool,
     /// Mean work time without waiting, in seconds.
     service_time: Option<f64>,
 }
@@ -99,30 +99,30 @@
             cancelling: 0,
             overdue: 0,
             latency: Latency::new(),
-            trust: Trust::default(),
-            reported: None,
+            load_regression: LoadRegression::default(),
+            last_report: None,
             ramp,
-            warming: None,
+            warm_up: None,
             probe: Probe::default(),
             back_off: None,
             sheds: 0,
             start: None,
             versions: Vec::new(),
-            lost: false,
-            failing: None,
-            recent: None,
-            surprised: false,
+            connection_lost: false,
+            failure_rate: None,
+            recent_latency: None,
+            last_was_outlier: false,
             service_time: None,
         }
     }
 
     /// Makes a server that may be cold.
-    pub(crate) fn warmed_by(self, warming: Option<Warming>) -> Self {
-        Self { warming, ..self }
+    pub(crate) fn with_warm_up(self, warm_up: Option<WarmUp>) -> Self {
+        Self { warm_up, ..self }
     }
 
     /// Returns the state of a new start at the same address: what is outstanding stays so.
-    pub(crate) fn replaced(&self) -> Self {
+    pub(crate) fn restarted(&self) -> Self {
         Self {
             configured: self.configured,
             far: self.far,
@@ -134,9 +134,9 @@
     }
 
     /// Returns own load: attempts outstanding, those being cancelled counted in part.
-    pub(crate) fn own(&self) -> f64 {
-        let gone = (1.0 - CANCELLING_LOAD) * self.cancelling as f64;
-        self.outstanding as f64 - gone
+    pub(crate) fn own_load(&self) -> f64 {
+        let discount = (1.0 - CANCELLING_WEIGHT) * self.cancelling as f64;
+        self.outstanding as f64 - discount
     }
 
     /// Returns how many own attempts may be outstanding, out of `share` connections.
@@ -164,73 +164,79 @@
 
     /// Records the latency of an attempt that left when `load` attempts of all homes were at the
     /// server's slots, where this is `usual` in its group.
-    pub(crate) fn measured(&mut self, latency: Duration, load: f64, usual: Usual, now: Time) {
+    pub(crate) fn record_latency(
+        &mut self,
+        latency: Duration,
+        load: f64,
+        baseline: Baseline,
+        now: Time,
+    ) {
         self.latency.record(latency);
-        let slots = usual.slots;
+        let slots = baseline.slots;
         let seconds = latency.as_secs_f64();
         // Behind `load` others each slot works off `load / slots` attempts before this one ends.
         let service_time = seconds / ((load + 1.0) / slots).max(1.0);
-        self.service_time = Some(blend(self.service_time, service_time, SERVICE_TIME_GAIN));
-        let recent = self.recent.map(|(recent, _)| recent);
-        let is_surprising = seconds > SURPRISING * usual.median.as_secs_f64();
-        let gain = match is_surprising && self.surprised {
-            true => SURPRISING_GAIN,
-            false => RECENT_GAIN,
+        self.service_time = Some(ewma(self.service_time, service_time, SERVICE_TIME_GAIN));
+        let recent = self.recent_latency.map(|(recent, _)| recent);
+        let is_outlier = seconds > OUTLIER_RATIO * baseline.median.as_secs_f64();
+        let gain = match is_outlier && self.last_was_outlier {
+            true => REPEATED_OUTLIER_GAIN,
+            false => RECENT_LATENCY_GAIN,
         };
-        self.surprised = is_surprising;
-        self.recent = Some((blend(recent, seconds, gain), now));
+        self.last_was_outlier = is_outlier;
+        self.recent_latency = Some((ewma(recent, seconds, gain), now));
     }
 
     /// Records whether an attempt failed by the server's doing.
-    pub(crate) fn ended(&mut self, failed: bool, now: Time) {
+    pub(crate) fn record_outcome(&mut self, failed: bool, now: Time) {
         let value = if failed { 1.0 } else { 0.0 };
-        let share = blend(Some(self.failing(now)), value, FAILING_GAIN);
-        self.failing = Some((share, now));
+        let share = ewma(Some(self.failure_rate(now)), value, FAILURE_RATE_GAIN);
+        self.failure_rate = Some((share, now));
     }
 
     /// Returns the share of the recent attempts that failed, less the longer ago they were.
-    pub(crate) fn failing(&self, now: Time) -> f64 {
-        let Some((share, at)) = self.failing else {
+    pub(crate) fn failure_rate(&self, now: Time) -> f64 {
+        let Some((share, at)) = self.failure_rate else {
             return 0.0;
         };
         let age = now.saturating_sub(at).as_secs_f64();
-        share * (-age / FAILING_HALF_LIFE.as_secs_f64()).exp2()
+        share * (-age / FAILURE_RATE_HALF_LIFE.as_secs_f64()).exp2()
     }
 
     /// Returns the queueing delay of a new attempt here, by the last report and this home's own attempts. It is capped by a multiple of
     /// the recent latency: a server that reports a long queue and answers quickly reports wrongly.
-    pub(crate) fn reported_wait(&self, usual: Usual, now: Time) -> Duration {
-        let own = usual.wait(self.own());
-        let said = usual.wait(self.reported_load(now));
-        let recent = self.recent.map_or(0.0, |(recent, _)| recent);
-        said.min(own.max(Duration::from_secs_f64(recent * REPORT_CAP)))
+    pub(crate) fn reported_wait(&self, baseline: Baseline, now: Time) -> Duration {
+        let own = baseline.wait(self.own_load());
+        let reported = baseline.wait(self.reported_load(now));
+        let recent = self.recent_latency.map_or(0.0, |(recent, _)| recent);
+        reported.min(own.max(Duration::from_secs_f64(recent * MAX_REPORTED_WAIT_RATIO)))
     }
 
     /// Tells whether it has reported its load recently.
-    pub(crate) fn is_reported(&self, now: Time) -> bool {
-        self.reported
-            .is_some_and(|reported| now.saturating_sub(reported.at) < REPORT_RECENT)
+    pub(crate) fn has_recent_report(&self, now: Time) -> bool {
+        self.last_report
+            .is_some_and(|report| now.saturating_sub(report.at) < MAX_REPORT_AGE)
     }
 
     /// Returns the attempts of all homes here, by its last report and what this home has here.
     pub(crate) fn reported_load(&self, now: Time) -> f64 {
-        let Some(reported) = self.reported else {
-            return self.own();
+        let Some(report) = self.last_report else {
+            return self.own_load();
         };
-        let age = now.saturating_sub(reported.at).as_secs_f64();
-        let fading = (-age / REPORT_HALF_LIFE.as_secs_f64()).exp2();
-        self.own() + reported.others * fading
+        let age = now.saturating_sub(report.at).as_secs_f64();
+        let decay = (-age / REPORT_HALF_LIFE.as_secs_f64()).exp2();
+        self.own_load() + report.others * decay
     }
 
     /// Takes in the load that the server reports.
-    pub(crate) fn take_load(&mut self, load: Load, now: Time) {
+    pub(crate) fn record_load(&mut self, load: Load, now: Time) {
         let all = f64::from(load.busy) + f64::from(load.queued);
-        let others = (all - self.own()).max(0.0);
-        self.reported = Some(Reported { others, at: now });
+        let others = (all - self.own_load()).max(0.0);
+        self.last_report = Some(ReportedLoad { others, at: now });
     }
 
     /// Takes in the index versions that the server reports.
-    pub(crate) fn take_versions(&mut self, report: &Report) {
+    pub(crate) fn record_versions(&mut self, report: &Report) {
         if !report.index_versions.is_empty() {
             self.versions.clone_from(&report.index_versions);
             self.versions.sort_unstable();
@@ -238,6 +244,6 @@
     }
 }
 
-fn blend(mean: Option<f64>, value: f64, gain: f64) -> f64 {
+fn ewma(mean: Option<f64>, value: f64, gain: f64) -> f64 {
     mean.map_or(value, |mean| mean + gain * (value - mean))
 }
--- a/crates/decision/src/backend/snapshot.rs
+++ b/crates/decision/src/backend/snapshot.rs
@@ -46,7 +46,7 @@
     }
 
     fn snapshot_of(&self, id: BackendServerId, server: &Server, now: Time) -> Snapshot {
-        let usual = self.usual(server.group);
+        let baseline = self.baseline(server.group);
         let back_off = server.back_off.unwrap_or(now).saturating_sub(now);
         Snapshot {
             server: id,
@@ -55,7 +55,9 @@
             start: server.start,
             outstanding: server.outstanding,
             limit: server.limit(self.share()),
-            trust: server.trust.weight(usual.service_time.div_f64(usual.slots)),
+            trust: server
+                .load_regression
+                .weight(baseline.service_time.div_f64(baseline.slots)),
             median_ms: milliseconds(self.quantile(id, 0.5)),
             p95_ms: milliseconds(self.quantile(id, 0.95)),
             versions: server.versions.clone(),
--- a/crates/decision/src/backend/suspect.rs
+++ b/crates/decision/src/backend/suspect.rs
@@ -28,30 +28,30 @@
 use std::time::Duration;
 
 /// Evidence from which a fingerprint is refused, in deaths.
-const REFUSED_AT: f64 = 1.2;
+const MIN_REFUSAL_WEIGHT: f64 = 1.2;
 
 /// Distinct deaths that the evidence must come from.
-const DEATHS: usize = 2;
+const MIN_DEATHS: usize = 2;
 
 /// Time for which a fingerprint is refused; it doubles with each further death, up to a bound.
-const REFUSED_FOR: Duration = Duration::from_secs(60);
-const REFUSED_AT_MOST: Duration = Duration::from_secs(600);
+const REFUSAL_TIME: Duration = Duration::from_secs(60);
+const MAX_REFUSAL_TIME: Duration = Duration::from_secs(600);
 
 /// Time for which evidence counts.
-const RETENTION: Duration = Duration::from_secs(600);
+const EVIDENCE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Losses this close together are one moment: the connections of a server that died end one by one.
-const MOMENT: Duration = Duration::from_millis(500);
+const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(500);
 
 /// An attempt sent this long after a loss at its server met another process: all connections to the
 /// dead one had ended. It is short, as a server may be back within a moment and be crashed again.
-const SAME_DEATH: Duration = Duration::from_millis(100);
+const SAME_DEATH_WINDOW: Duration = Duration::from_millis(100);
 
 /// Evidence that a fingerprint without any is taken to have when a death is shared out.
-const UNSUSPECTED: f64 = 0.1;
+const PRIOR_WEIGHT: f64 = 0.1;
 
 /// Time for which a lost connection waits for the crash_signal that its server died.
-const UNPROVED: Duration = Duration::from_secs(10);
+const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(10);
 
 /// What proves that a server died.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -90,7 +90,7 @@
     server: BackendServerId,
     sent: Time,
     /// Whether it was sent in quarantine.
-    alone: bool,
+    in_quarantine: bool,
 }
 
 /// The blame for the last death of a server, fixed when its first connection was lost.
@@ -106,7 +106,7 @@
     weight: f64,
     at: Time,
     /// Whether the death is proved; it counts for nothing before.
-    proved: bool,
+    confirmed: bool,
 }
 
 impl Detector {
@@ -133,16 +133,20 @@
         if self.crash_signal == CrashSignal::ConnectionLost {
             return Vec::new();
         }
-        let mut proved = Vec::new();
+        let mut confirmed = Vec::new();
         for (fingerprint, all) in &mut self.evidence {
             let lost = all.iter_mut().filter(|one| one.server == server);
-            for evidence in lost.filter(|one| !one.proved && now < one.at + UNPROVED) {
-                evidence.proved = true;
-                proved.push(*fingerprint);
+            for evidence in
+                lost.filter(|one| !one.confirmed && now < one.at + UNCONFIRMED_RETENTION)
+            {
+                evidence.confirmed = true;
+                confirmed.push(*fingerprint);
             }
         }
-        let refused = proved.into_iter();
-        refused.filter_map(|one| self.refuse(one, now)).collect()
+        let refused = confirmed.into_iter();
+        refused
+            .filter_map(|one| self.refuse_if_due(one, now))
+            .collect()
     }
 
     /// Returns what may be done with requests of a fingerprint.
@@ -162,7 +166,7 @@
     pub fn may_send(&self, fingerprint: Fingerprint, now: Time) -> bool {
         match self.status(fingerprint, now) {
             Status::Clear => true,
-            Status::Quarantined => !self.is_running(fingerprint),
+            Status::Quarantined => !self.has_quarantined_attempt(fingerprint),
             Status::Refused(_) => false,
         }
     }
@@ -179,7 +183,7 @@
             fingerprint,
             server,
             sent: now,
-            alone: self.status(fingerprint, now) != Status::Clear,
+            in_quarantine: self.status(fingerprint, now) != Status::Clear,
         };
         self.running.insert(attempt, running);
     }
@@ -190,7 +194,7 @@
         let Some(running) = self.running.remove(&attempt) else {
             return;
         };
-        self.withdraw(running.fingerprint, |evidence| {
+        self.remove_evidence(running.fingerprint, |evidence| {
             evidence.server == running.server || replicas.contains(&evidence.server)
         });
     }
@@ -210,20 +214,20 @@
             sent,
             ..
         } = self.running.get(&attempt).copied()?;
-        let weight = self.blame(fingerprint, server, sent, now);
+        let weight = self.blame_for(fingerprint, server, sent, now);
         self.running.remove(&attempt);
         let all = self.evidence.entry(fingerprint).or_default();
         // A second attempt of the same request at the same server tells of the same death, unless it
         // met another process.
-        let is_same = |one: &Evidence| one.server == server && sent < one.at + SAME_DEATH;
+        let is_same = |one: &Evidence| one.server == server && sent < one.at + SAME_DEATH_WINDOW;
         all.retain(|evidence| !is_same(evidence));
         all.push(Evidence {
             server,
             weight,
             at: now,
-            proved: self.crash_signal == CrashSignal::ConnectionLost,
+            confirmed: self.crash_signal == CrashSignal::ConnectionLost,
         });
-        self.refuse(fingerprint, now)
+        self.refuse_if_due(fingerprint, now)
     }
 
     /// Withdraws the evidence of a server whose process turned out to be alive.
@@ -231,13 +235,13 @@
         self.deaths.remove(&server);
         let fingerprints: Vec<Fingerprint> = self.evidence.keys().copied().collect();
         for fingerprint in fingerprints {
-            self.withdraw(fingerprint, |evidence| evidence.server == server);
+            self.remove_evidence(fingerprint, |evidence| evidence.server == server);
         }
     }
 
     /// Takes over another home's finding.
     pub fn apply_refusal(&mut self, fingerprint: Fingerprint, until: Time, now: Time) {
-        let until = until.min(now + REFUSED_AT_MOST);
+        let until = until.min(now + MAX_REFUSAL_TIME);
         let refused = self.refused.entry(fingerprint).or_insert(until);
         *refused = until.max(*refused);
     }
@@ -245,11 +249,12 @@
     /// Drops what is out of date.
     pub fn tick(&mut self, now: Time) {
         self.refused.retain(|_, until| now < *until);
-        self.deaths.retain(|_, death| now < death.at + MOMENT);
+        self.deaths
+            .retain(|_, death| now < death.at + SIMULTANEOUS_WINDOW);
         self.evidence.retain(|_, all| {
-            all.retain(|evidence| match evidence.proved {
-                true => now < evidence.at + RETENTION,
-                false => now < evidence.at + UNPROVED,
+            all.retain(|evidence| match evidence.confirmed {
+                true => now < evidence.at + EVIDENCE_RETENTION,
+                false => now < evidence.at + UNCONFIRMED_RETENTION,
             });
             !all.is_empty()
         });
@@ -259,13 +264,13 @@
     /// count: they are out already, and a search that lost one connection would otherwise wait for
     /// its slowest group before it may ask another replica, seen as a tail with each server that
     /// is replaced.
-    fn is_running(&self, fingerprint: Fingerprint) -> bool {
+    fn has_quarantined_attempt(&self, fingerprint: Fingerprint) -> bool {
         let mut running = self.running.values();
-        running.any(|running| running.alone && running.fingerprint == fingerprint)
+        running.any(|running| running.in_quarantine && running.fingerprint == fingerprint)
     }
 
     /// Returns the share of a fingerprint in the death of a server.
-    fn blame(
+    fn blame_for(
         &mut self,
         fingerprint: Fingerprint,
         server: BackendServerId,
@@ -273,9 +278,11 @@
         now: Time,
     ) -> f64 {
         let known = self.deaths.get(&server);
-        let is_over = |death: &Death| now >= death.at + MOMENT || sent >= death.at + SAME_DEATH;
+        let is_over = |death: &Death| {
+            now >= death.at + SIMULTANEOUS_WINDOW || sent >= death.at + SAME_DEATH_WINDOW
+        };
         if known.is_none_or(is_over) {
-            let death = self.share_out(server, now);
+            let death = self.apportion_blame(server, now);
             self.deaths.insert(server, death);
         }
         let death = self.deaths.get(&server);
@@ -285,13 +292,13 @@
         })
     }
 
-    fn share_out(&self, server: BackendServerId, now: Time) -> Death {
-        let there = self.running.values();
-        let fingerprints: BTreeSet<Fingerprint> = there
+    fn apportion_blame(&self, server: BackendServerId, now: Time) -> Death {
+        let running = self.running.values();
+        let fingerprints: BTreeSet<Fingerprint> = running
             .filter(|running| running.server == server)
             .map(|running| running.fingerprint)
             .collect();
-        let prior = |fingerprint| UNSUSPECTED + self.weight(fingerprint, now);
+        let prior = |fingerprint| PRIOR_WEIGHT + self.weight(fingerprint, now);
         let sum: f64 = fingerprints.iter().map(|one| prior(*one)).sum();
         let blame = fingerprints.iter().map(|one| (*one, prior(*one) / sum));
         Death {
@@ -307,46 +314,50 @@
             return 0.0;
         };
         let mut sum = 0.0;
-        let mut moment: Option<(Time, f64)> = None;
-        let counts = |one: &&Evidence| one.proved && now < one.at + RETENTION;
+        let mut window: Option<(Time, f64)> = None;
+        let counts = |one: &&Evidence| one.confirmed && now < one.at + EVIDENCE_RETENTION;
         for evidence in all.iter().filter(counts) {
             // Who knows few of a server's requests can't know that one was alone there.
             if evidence.weight >= 1.0 && self.crash_signal == CrashSignal::ConnectionLost {
                 sum += evidence.weight;
                 continue;
             }
-            match moment {
-                Some((start, most)) if evidence.at < start + MOMENT => {
-                    moment = Some((start, most.max(evidence.weight)));
+            match window {
+                Some((start, max)) if evidence.at < start + SIMULTANEOUS_WINDOW => {
+                    window = Some((start, max.max(evidence.weight)));
                 }
                 _ => {
-                    sum += moment.map_or(0.0, |(_, most)| most);
-                    moment = Some((evidence.at, evidence.weight));
+                    sum += window.map_or(0.0, |(_, max)| max);
+                    window = Some((evidence.at, evidence.weight));
                 }
             }
         }
-        sum + moment.map_or(0.0, |(_, most)| most)
+        sum + window.map_or(0.0, |(_, max)| max)
     }
 
-    fn refuse(&mut self, fingerprint: Fingerprint, now: Time) -> Option<(Fingerprint, Duration)> {
+    fn refuse_if_due(
+        &mut self,
+        fingerprint: Fingerprint,
+        now: Time,
+    ) -> Option<(Fingerprint, Duration)> {
         let all = self.evidence.get(&fingerprint)?;
-        let blames = |evidence: &&Evidence| evidence.proved && evidence.weight > 0.0;
+        let blames = |evidence: &&Evidence| evidence.confirmed && evidence.weight > 0.0;
         let blamed = all.iter().filter(blames).count();
         let refused = self.refused.get(&fingerprint);
         let is_new = refused.is_none_or(|until| *until <= now);
-        let enough = blamed >= DEATHS && self.weight(fingerprint, now) >= REFUSED_AT;
+        let enough = blamed >= MIN_DEATHS && self.weight(fingerprint, now) >= MIN_REFUSAL_WEIGHT;
         if !(is_new && enough) {
             return None;
         }
-        let doublings = u32::try_from(blamed - DEATHS).unwrap_or(u32::MAX);
-        let time = REFUSED_FOR
+        let doublings = u32::try_from(blamed - MIN_DEATHS).unwrap_or(u32::MAX);
+        let time = REFUSAL_TIME
             .saturating_mul(2_u32.saturating_pow(doublings))
-            .min(REFUSED_AT_MOST);
+            .min(MAX_REFUSAL_TIME);
         self.refused.insert(fingerprint, now + time);
         Some((fingerprint, time))
     }
 
-    fn withdraw(&mut self, fingerprint: Fingerprint, of: impl Fn(&Evidence) -> bool) {
+    fn remove_evidence(&mut self, fingerprint: Fingerprint, of: impl Fn(&Evidence) -> bool) {
         if let Some(all) = self.evidence.get_mut(&fingerprint) {
             all.retain(|evidence| !of(evidence));
             if all.is_empty() {
