--- a/crates/decision/src/backend/baseline.rs
+++ b/crates/decision/src/backend/baseline.rs
@@ -1,22 +1,23 @@
-//! What is usual in a group of replicas, which one of them is compared with.
+//! Baseline of a group, against which its replicas are compared.
 
 use std::time::Duration;
 
-/// What is known of the group when its servers are compared.
+/// Typical values of a group.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Baseline {
-    /// Mean service_time time of an attempt.
+    /// Mean service time of an attempt.
     pub(crate) service_time: Duration,
     /// Median latency.
     pub(crate) median: Duration,
-    /// Work slots of one server.
+    /// Slots of one server: attempts that it runs concurrently.
     pub(crate) slots: f64,
-    /// Time between two attempts of this home at the group.
+    /// Mean time between two attempts of this home at the group.
     pub(crate) interval: Duration,
 }
 
 impl Baseline {
-    /// Returns how long a new attempt waits at a server with so many attempts: it starts when all but `slots - 1` of them have ended.
+    /// Returns the queueing delay at a server with `load` attempts: a new one starts when all but
+    /// `slots - 1` of them have ended.
     pub(crate) fn wait(&self, load: f64) -> Duration {
         let ahead = (load + 1.0 - self.slots).max(0.0);
         self.service_time.mul_f64(ahead / self.slots)
--- a/crates/decision/src/backend/choice.rs
+++ b/crates/decision/src/backend/choice.rs
@@ -1,11 +1,11 @@
 //! Choice between replicas.
 //!
-//! The candidate with the least expected load is chosen, ties at random. Own outstanding attempts
-//! are exact and count in full. What others have there is known from reports only, which are late
-//! and may be wrong: they count by the weight that the server has earned (`trust`) and by their
-//! age, and only as a deviation from the usual. A server whose recent latency is far above its
-//! group's counts as more loaded than it seems, less so the longer ago that was measured, so that
-//! it is tried again.
+//! The candidate with the lowest expected load wins; ties are broken at random. The home knows its
+//! own outstanding attempts exactly and counts them in full. The load from other homes is known
+//! only from server reports, which arrive late and may be wrong. They are weighted by how well the
+//! server's reports have predicted latency (see `load_regression`) and by age, and count only as a
+//! deviation from the server's mean. Remote, failing and slow servers get a penalty. The penalty of
+//! a slow server decays, so that it is tried again.
 
 use super::baseline::Baseline;
 use super::server::Server;
@@ -15,42 +15,39 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Work times after which the deviation that a report shows has halved.
+/// Half-life of the deviation that a load report shows, in mean service times.
 const REPORT_HALF_LIFE_IN_SERVICE_TIMES: f64 = 4.0;
 
-/// Multiple of the group's usual latency from which a server counts as slow.
+/// Ratio of a server's recent latency to its group's median above which the server counts as slow.
 const SLOW_RATIO: f64 = 1.5;
 
-/// Time after which a slow server's extra load has halved, at least, and in times between two attempts of
-/// this home at its group. A slow server is tried again every few half-lives; where a home asks each
-/// group twice a second, a second alone would send it one attempt in six.
+/// Half-life of the penalty for a slow server: the greater of this time and a number of intervals
+/// between attempts of this home at the group. Homes that rarely send to a group keep the penalty
+/// for longer, otherwise a slow server would get a large part of their attempts.
 const MIN_SLOW_HALF_LIFE: Duration = Duration::from_secs(1);
 const SLOW_HALF_LIFE_IN_INTERVALS: f64 = 5.0;
 
-/// Load by which a server in another data centre counts as busier than it is. Bytes between data
-/// centres cost money and the way takes half a millisecond more. A server works on two or three
-/// attempts at the same time, so that one more there does not wait: the nearby one is taken until
-/// it has two of this home's. That halves the bytes between data centres against 0.9 with as many
-/// answers in time, measured over six days of high load; at 4.0 more are late on days on which
-/// servers fail.
+/// Penalty for a server in another data centre, in attempts. Traffic between data centres is
+/// expensive and slower, so a nearby replica is preferred until a few attempts of this home are
+/// outstanding there. A larger penalty leaves remote replicas unused when nearby servers fail, and
+/// requests miss their deadlines.
 const REMOTE_PENALTY: f64 = 1.9;
 
-/// The same as a share of a server's slots, where that is more: of four or five slots that many may be taken
-/// before one more waits. Bytes between data centres cost 0.014 of a calm day's worth in place of 0.020 (89
-/// hosts, four slots, one run each), with as many answers in time.
+/// Penalty for a remote server as a share of its slots; the greater of both penalties applies.
+/// Attempts don't queue at a nearby server while it has free slots.
 const REMOTE_PENALTY_PER_SLOT: f64 = 0.6;
 
-/// Load by which a server that fails everything counts as busier than it is. A server may turn away
-/// or break off half of what it gets for seconds while its health is good; the attempt that it fails
-/// costs an extra one elsewhere, of which only one in five is allowed.
+/// Penalty for a server at which every attempt fails, in attempts; scaled by the failure rate. A
+/// server may reject or abort many requests while its health check passes, and each failure costs a
+/// retry from a limited budget.
 const FAILURE_PENALTY: f64 = 6.0;
 
-/// Share of failed attempts that is of no account: a single one.
+/// Failure rate that is not penalised, so that a single failed attempt has no effect.
 const TOLERATED_FAILURE_RATE: f64 = 0.2;
 
-/// Load by which a server counts as busier for each attempt that is overdue there, where the choice
-/// is for the only attempt of a request. A server that has gone dark is not told from a slow one for
-/// seconds, and a request that may not run twice would wait there for its deadline.
+/// Penalty for each overdue attempt at a server, in attempts. Applies when the request can't be
+/// retried: it takes seconds to tell a hung server from a slow one, and the request would wait
+/// there until its deadline.
 const OVERDUE_PENALTY: f64 = 8.0;
 
 /// Scores closer than this are a tie.
@@ -59,13 +56,13 @@
 /// The backend server chosen for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The server.
+    /// The chosen server.
     pub server: BackendServerId,
-    /// Why it was chosen, with the numbers that decided.
+    /// The score that decided, and its components.
     pub why: Least,
 }
 
-/// Returns the load that others are believed to have at a server beyond the usual.
+/// Returns the load that other homes are estimated to have at a server, relative to its mean.
 pub(crate) fn excess_load(server: &Server, baseline: Baseline, now: Time) -> f64 {
     let Some(report) = server.last_report else {
         return 0.0;
@@ -80,16 +77,16 @@
     weight * decay(age, half_life) * (report.others - server.load_regression.mean())
 }
 
-/// Whether another attempt may follow the one that a server is chosen for.
+/// Whether a request may be sent again after the attempt for which a server is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// One may: this one also serves to find out how a server stands.
+    /// The request may be retried or hedged, so the attempt may also probe a server.
     Possible,
-    /// It is the only one.
+    /// The request must not be sent again.
     Never,
 }
 
-/// Returns the load to expect at a server, in attempts.
+/// Returns the load to expect at a server, in attempts; lower is better.
 pub(crate) fn score(server: &Server, baseline: Baseline, repeat: Repeat, now: Time) -> f64 {
     if repeat == Repeat::Possible && server.probe.is_requested() {
         return 0.0;
@@ -108,7 +105,7 @@
     own + excess_load(server, baseline, now) + remote_penalty + failure_penalty + overdue_penalty
 }
 
-/// Returns the index of the least score; among equals each is as likely.
+/// Returns the index of the lowest score; ties are broken uniformly at random.
 pub(crate) fn index_of_least(scores: &[f64], rng: &mut impl Rng) -> Option<usize> {
     let least = scores.iter().copied().reduce(f64::min)?;
     let tied = |score: &f64| *score - least < TIE_TOLERANCE;
@@ -123,8 +120,8 @@
         return 1.0;
     };
     let ratio = recent / baseline.median.as_secs_f64().max(f64::MIN_POSITIVE);
-    // Below its number of slots, attempts at another server do not wait for each other: it is still
-    // the faster one with all but one of them taken.
+    // Attempts don't queue while slots are free: with all but one slot taken, a server of normal
+    // speed is still faster than a slow one.
     let excess = (ratio / SLOW_RATIO - 1.0).max(0.0) * baseline.slots.max(1.0);
     let half_life = baseline.interval.mul_f64(SLOW_HALF_LIFE_IN_INTERVALS);
     let half_life = half_life.max(MIN_SLOW_HALF_LIFE);
--- a/crates/decision/src/backend/cold.rs
+++ b/crates/decision/src/backend/cold.rs
@@ -1,42 +1,43 @@
-//! Cold backend servers, which bear a bounded number of requests a second.
+//! Rate limit for cold backend servers.
 //!
-//! A server that has just started, or lost its caches, crashes when it gets too many requests in one second,
-//! summed over all homes. Nothing is shared that could count them, so each home has a fixed number that it may send
-//! in any second ([`Division::cold`](crate::placement::Division::cold)), and all numbers together stay below the
-//! bound. Without that a data centre that comes back cold would be sent its full load at once by every home, and
-//! its servers would go down together just when they are needed.
+//! A server that has just started, or has lost its caches, crashes if it receives too many requests
+//! within one second from all homes together. Homes share no counter, so each has a fixed quota per
+//! second ([`Division::cold`](crate::placement::Division::cold)), and the sum of all quotas stays
+//! below the server's limit. Without it, every home would send its full load to a data centre that
+//! comes back cold.
 
 use crate::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time over which a server counts what it gets, and a little: a request may take a moment less on its way than the
-/// one before it.
+/// Length of the sliding window. It is slightly longer than the second over which a server counts
+/// requests, because transmission times vary.
 const RATE_WINDOW: Duration = Duration::from_millis(1_050);
 
-/// A bound on what a server gets while it is cold.
+/// Rate limit of a server while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
-    /// Until when it is cold.
+    /// Time at which the server stops being cold.
     pub until: Time,
-    /// Requests that it max_rate in each second, from all homes together.
+    /// Requests per second that the server can take from all homes together.
     pub max_rate: f64,
 }
 
-/// What one home sends to a cold server.
+/// Attempts that this home sends to a cold server.
 #[derive(Clone, Debug)]
 pub(crate) struct WarmUp {
     limit: ColdLimit,
-    /// Attempts that are meant for it and have not left.
+    /// Attempts that wait for a connection to the server.
     queued: usize,
-    /// When those left that it may still count.
+    /// Transmission times within the last `RATE_WINDOW`, oldest first.
     sent: VecDeque<Time>,
-    /// Until when nothing may be sent, as it is not known what was sent in the second before.
+    /// Blocks sending until then, because attempts sent before the server was known to be cold were
+    /// not counted.
     blocked_until: Option<Time>,
 }
 
 impl WarmUp {
-    /// Begins with a server to which nothing was sent yet.
+    /// Creates the state for a server to which this home has sent nothing yet.
     pub(crate) fn new(limit: ColdLimit) -> Self {
         Self {
             limit,
@@ -46,8 +47,9 @@
         }
     }
 
-    /// Begins with a server that was in use, and for which `queued` attempts wait: it may count what it got before it
-    /// was known to be cold.
+    /// Creates the state for a server that was already in use, with `queued` attempts waiting for a
+    /// connection. Nothing is sent for one window, because earlier attempts may still count towards
+    /// the limit.
     pub(crate) fn in_use(limit: ColdLimit, queued: usize, now: Time) -> Self {
         Self {
             queued,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Takes over what is known of it now.
+    /// Replaces the rate limit.
     pub(crate) fn set_limit(&mut self, limit: ColdLimit) {
         self.limit = limit;
     }
@@ -69,7 +71,7 @@
         self.limit.until <= now
     }
 
-    /// Tells whether one more attempt may be made, where this home may send `share` in a second.
+    /// Returns whether another attempt may be made, given a quota of `share` attempts per second.
     pub(crate) fn is_open(&self, share: usize, now: Time) -> bool {
         if self.is_over(now) {
             return true;
@@ -82,30 +84,30 @@
         self.blocked_until.is_none_or(|until| until <= now) && self.queued + counted < share
     }
 
-    /// An attempt waits for a connection.
+    /// Records that an attempt waits for a connection.
     pub(crate) fn enqueue(&mut self) {
         self.queued += 1;
     }
 
-    /// An attempt has left.
+    /// Records that a waiting attempt was transmitted.
     pub(crate) fn record_sent(&mut self, now: Time) {
         self.dequeue();
         self.tick(now);
         self.sent.push_back(now);
     }
 
-    /// Forgets what the server counts no more.
+    /// Drops transmissions that have left the window.
     pub(crate) fn tick(&mut self, now: Time) {
         self.sent.retain(|at| now < *at + RATE_WINDOW);
         self.blocked_until.take_if(|until| *until <= now);
     }
 
-    /// An attempt that waited does not leave any more.
+    /// Records that a waiting attempt ended without being transmitted.
     pub(crate) fn dequeue(&mut self) {
         self.queued = self.queued.saturating_sub(1);
     }
 
-    /// Returns when one more attempt may be possible at the earliest, where none is now.
+    /// Returns the earliest time at which another attempt may be allowed, if none is allowed now.
     pub(crate) fn next_open(&self) -> Time {
         let oldest_expires = self.sent.front().map(|at| *at + RATE_WINDOW);
         let next = oldest_expires.into_iter().chain(self.blocked_until);
--- a/crates/decision/src/backend/events.rs
+++ b/crates/decision/src/backend/events.rs
@@ -1,4 +1,4 @@
-//! What happens to the attempts and servers of a fleet.
+//! Events of the attempts and servers of a fleet.
 
 use super::choice;
 use super::fleet::{Attempt, Fleet, MAX_WORK_KINDS};
@@ -12,26 +12,28 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Back-off after a refusal that names no time; it doubles with each further one.
+/// Back-off after a refusal without a `retry_after`; it doubles with each consecutive refusal.
 const BASE_BACK_OFF: Duration = Duration::from_millis(50);
 const MAX_BACK_OFF_DOUBLINGS: u32 = 5;
 
-/// Longest back-off that a server may ask for: a wrong number must not take it out for good.
+/// Upper bound on the back-off that a server may ask for, so that a wrong value doesn't exclude it
+/// forever.
 const MAX_BACK_OFF: Duration = Duration::from_secs(30);
 
-/// Largest part by which a back-off is lengthened, so that homes don't come back all at once.
+/// Maximum jitter, as a share of the back-off, so that homes don't return to a server
+/// simultaneously.
 const MAX_JITTER: f64 = 0.5;
 
-/// Time after which a cancelled attempt that was never confirmed is forgotten.
+/// Time after which a cancelled attempt counts as ended although its end was never confirmed.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Fleet {
-    /// Records that an attempt was sent.
+    /// Records that an attempt was assigned to a server; it may still wait for a connection.
     pub fn sent(&mut self, server: BackendServerId, attempt: AttemptId, now: Time) {
         self.sent_for(Work::default(), server, attempt, now);
     }
 
-    /// Records that an attempt was sent that asks for this kind of work.
+    /// Records that an attempt for this kind of work was assigned to a server.
     pub fn sent_for(&mut self, work: Work, server: BackendServerId, attempt: AttemptId, now: Time) {
         let Some(state) = self.servers.get(&server) else {
             return;
@@ -60,7 +62,7 @@
         self.attempts.insert(attempt, record);
     }
 
-    /// Records that an attempt has left for its server, for which it waited until now.
+    /// Records that an attempt was written to a connection of its server.
     pub fn transmitted(&mut self, attempt: AttemptId, now: Time) {
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
@@ -72,11 +74,12 @@
         }
     }
 
-    /// Records that an attempt takes far longer than its server usually does.
+    /// Records that an attempt has exceeded the silence timeout of its server.
     ///
-    /// Its connection may be silent, and the server be idle. While attempts that never end count as
-    /// load, the server would get no other one that could show it. So the next attempt goes there,
-    /// and only if that one is stuck too does the server count as loaded again.
+    /// The cause may be a dead connection to an idle server. Stuck attempts count as load, so the
+    /// server would get no further attempt that could prove it healthy. The next attempt is
+    /// therefore sent there as a probe, and the normal score applies again if that one gets stuck
+    /// too.
     pub fn overdue(&mut self, attempt: AttemptId, now: Time) {
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
@@ -94,8 +97,9 @@
 
     /// Records that an attempt is being cancelled; it stays outstanding until it ends.
     ///
-    /// The time that it took so far is a lower bound of its latency. Without it a straggler whose
-    /// attempts always lose against their hedges would look as fast as the few that it wins.
+    /// The time elapsed so far is recorded as a lower bound of the attempt's latency. Otherwise a
+    /// slow server whose attempts lose to their hedges would be measured only by the few attempts
+    /// that win.
     pub fn cancelling(&mut self, attempt: AttemptId, now: Time) {
         let Some(record) = self.attempts.get_mut(&attempt) else {
             return;
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Records a reply.
+    /// Records a reply and the server's report in it.
     pub fn replied(&mut self, attempt: AttemptId, report: &Report, now: Time) -> StatusChange {
         let Some(record) = self.remove_attempt(attempt) else {
             return StatusChange::default();
@@ -180,14 +184,15 @@
         verdict
     }
 
-    /// Forgets an attempt whose connection was found silent; no blame falls on the server.
+    /// Removes an attempt whose connection was found silent, without counting it as a failure of
+    /// the server.
     pub fn forget(&mut self, attempt: AttemptId, _now: Time) {
         self.remove_attempt(attempt);
     }
 
-    /// Takes in what the load endpoint says, `None` where it did not answer.
+    /// Records a poll of the load endpoint; `report` is `None` if the poll failed.
     ///
-    /// An endpoint without an answer says nothing about the server: requests may still be served.
+    /// A failed poll has no effect, because the server may still serve requests.
     pub fn polled(
         &mut self,
         server: BackendServerId,
@@ -199,7 +204,8 @@
         })
     }
 
-    /// Marks a server as leaving with the given start number. Returns whether that is new.
+    /// Marks the process with this incarnation as leaving. Returns whether the server was not
+    /// marked before.
     pub fn mark_leaving(
         &mut self,
         server: BackendServerId,
@@ -210,8 +216,8 @@
         self.leaving.add(server, start, known, now)
     }
 
-    /// Ends what is over: back-offs, and cancellations that were never confirmed. Returns the
-    /// servers that can take work again.
+    /// Ends expired back-offs, cold periods and unconfirmed cancellations. Returns the servers that
+    /// may be able to take work again.
     pub fn tick(&mut self, now: Time) -> Vec<BackendServerId> {
         let is_expired = |record: &Attempt| {
             record
@@ -230,7 +236,7 @@
         let mut open = Vec::new();
         for (id, server) in &mut self.servers {
             if let Some(warm_up) = &mut server.warm_up {
-                // One more may go there now, or any number.
+                // The quota may allow another attempt, or the cold period may have ended.
                 open.push(*id);
                 warm_up.tick(now);
                 server.warm_up.take_if(|warm_up| warm_up.is_over(now));
@@ -243,7 +249,7 @@
         open
     }
 
-    /// Returns the time at which [`Self::tick`] has something to do.
+    /// Returns the next time at which [`Self::tick`] has work to do.
     pub fn next_wake(&self) -> Option<Time> {
         let back_offs = self.servers.values().filter_map(|server| server.back_off);
         let cancelled = self.attempts.values().filter_map(|record| record.cancelled);
@@ -304,7 +310,8 @@
         }
     }
 
-    /// Holds the load that was reported when the attempt left against the latency that followed.
+    /// Records the load that was reported when the attempt was sent, together with the latency that
+    /// followed.
     fn record_prediction(&mut self, record: &Attempt, elapsed: Duration) {
         if let (Some(others), Some(state)) =
             (record.reported_others, self.servers.get_mut(&record.server))
@@ -322,7 +329,7 @@
         }
     }
 
-    /// Takes in what a server says of itself.
+    /// Updates the state of a server from its own report.
     fn apply_report(
         &mut self,
         server: BackendServerId,
@@ -332,7 +339,7 @@
         let Some(state) = self.servers.get_mut(&server) else {
             return StatusChange::default();
         };
-        // A report of an earlier start was overtaken on its way: it tells of a process that is gone.
+        // A delayed report from an earlier process.
         if report.start.is_some() && report.start < state.start {
             return StatusChange::default();
         }
@@ -400,8 +407,9 @@
         }
     }
 
-    /// Leaves a server alone for a time, and halves what it gets after that. Homes that were all
-    /// refused at the same time would otherwise all come back at the same time with all they had.
+    /// Starts a back-off and halves the limit on outstanding attempts. Together with jitter, this
+    /// keeps homes that were refused simultaneously from overloading the server again when the
+    /// back-off ends.
     fn shed(
         &mut self,
         server: BackendServerId,
@@ -429,14 +437,14 @@
         }
     }
 
-    /// Returns the load of all homes to expect at a server.
+    /// Returns the estimated load at a server from all homes, in attempts.
     pub(super) fn expected_load(&self, state: &super::server::Server, now: Time) -> f64 {
         let baseline = self.baseline(state.group);
         let report_weight = state
             .load_regression
             .weight(baseline.service_time.div_f64(baseline.slots));
-        // Homes get alike shares of the requests: where nothing better is known, each of the others
-        // has as much there as this one.
+        // Requests are spread evenly over homes: without trusted reports, assume that each other
+        // home has the same load there as this one.
         let assumed_others = state.own_load() * (self.division.alike() - 1.0).max(0.0);
         let reported_others = state.load_regression.mean() * report_weight
             + choice::excess_load(state, baseline, now);
@@ -445,8 +453,8 @@
     }
 }
 
-/// Returns a number from 0 to 1 that differs between homes: their processes did not start at the
-/// same nanosecond.
+/// Returns a jitter factor from 0 to 1. It differs between homes, because their clocks start at
+/// different times.
 fn jitter(server: BackendServerId, now: Time) -> f64 {
     let hash = xxh3_64(format!("{server} {}", now.as_nanos()).as_bytes());
     hash as f64 / u64::MAX as f64
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -1,4 +1,4 @@
-//! All backend servers of one route at one home.
+//! All backend servers of one route as seen by one home.
 
 use super::baseline::Baseline;
 use super::choice::{self, Choice, Repeat};
@@ -21,52 +21,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bounds of the time after which an attempt is hedged.
+/// Bounds of the hedge delay; the upper one is a share of the request deadline.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(1);
 const MAX_HEDGE_DELAY_SHARE: f64 = 0.5;
 
-/// Share of the deadline that stands in for a latency that nothing is known of.
+/// Latency to assume without measurements, as a share of the request deadline.
 const DEFAULT_LATENCY_SHARE: f64 = 0.25;
 
-/// A server's own quantile counts up to this multiple of its group's. A replica that is always
-/// slow would otherwise be hedged late, by its own standard, although the others answer long
-/// before: seen as a tail that hedging does not cut.
+/// Cap on a server's own latency quantile, as a multiple of its group's. Without it, attempts at a
+/// consistently slow replica would be hedged late, although the other replicas answer long before.
 const MAX_OWN_QUANTILE_RATIO: f64 = 2.0;
 
-/// Bound of the factor by which a group may be slower or faster than all: beyond it the group is in
-/// trouble, and waiting longer for it would only hide that.
+/// Bound on the ratio of a group's median latency to the route's, and on its inverse. Beyond it the
+/// group is in trouble, and longer hedge delays would only hide that.
 const MAX_RELATIVE_LATENCY: f64 = 1.5;
 
-/// Kinds of work whose latencies are kept apart; beyond them, those of all together stand in.
+/// Maximum number of work kinds with their own latency histogram; others use the route's.
 pub(super) const MAX_WORK_KINDS: usize = 32;
 
-/// Silence that is out of the ordinary: a multiple of a high quantile.
+/// Silence timeout: a multiple of a high latency quantile, with a lower bound.
 const SILENCE_QUANTILE: f64 = 0.99;
 const SILENCE_QUANTILE_FACTOR: f64 = 2.0;
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Multiple of a server's recent mean latency that is waited in any case: one that has just become
-/// slow is not silent.
+/// Lower bound of the silence timeout as a multiple of the server's recent mean latency, so that a
+/// server that has just become slow doesn't count as silent.
 const SILENCE_MEAN_FACTOR: f64 = 6.0;
 
-/// Weight of a new time between two attempts in the mean, and what one counts at most: a quiet night says
-/// nothing of the morning.
+/// Weight of a new interval between two attempts in the moving average, and the cap on one
+/// interval, which keeps an idle period from dominating the average.
 const INTERVAL_GAIN: f64 = 0.1;
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Replicas that a group usually has at most; more of them take an allocation.
+/// Replicas of a group for which the temporary lists need no heap allocation.
 const INLINE_REPLICAS: usize = 4;
 
-/// All backend servers of one route at one home.
+/// All backend servers of one route as seen by one home.
 pub struct Fleet {
     pub(super) servers: FxHashMap<BackendServerId, Server>,
     pub(super) groups: Vec<Group>,
     pub(super) latency: Latency,
-    /// By kind of work: how long attempts take, at all servers together.
+    /// Latency by kind of work, over all servers.
     pub(super) latency_by_work: FxHashMap<Work, Latency>,
     pub(super) attempts: FxHashMap<AttemptId, Attempt>,
     pub(super) leaving: LeavingServers,
-    /// The servers that are cold, of this route or not.
+    /// Rate limits of all cold servers, including those of other routes.
     cold: BTreeMap<BackendServerId, ColdLimit>,
     pub(super) capacity: Capacity,
     pub(super) division: Division,
@@ -74,22 +73,22 @@
     pub(super) policy: Policy,
 }
 
-/// Replicas of the same part of the data.
+/// The replicas of one shard.
 pub(super) struct Group {
     pub(super) servers: Vec<BackendServerId>,
     pub(super) latency: Latency,
-    /// What is usual, until an attempt in the group is measured. It is asked for more than ten
-    /// times for each attempt.
+    /// Cached baseline, cleared when an attempt in the group is measured. It is read many times per
+    /// attempt.
     pub(super) baseline: Cell<Option<Baseline>>,
-    /// Whether a server counts as one of another group.
+    /// Whether a server of this group is accounted under another group.
     pub(super) is_shared: bool,
-    /// Mean time between two attempts, in seconds, and when the last one left.
+    /// Mean time between two attempts, in seconds, and the time of the last one.
     pub(super) interval: f64,
     pub(super) last_sent: Option<Time>,
 }
 
 impl Group {
-    /// Records that an attempt leaves.
+    /// Updates the mean interval between attempts.
     pub(super) fn record_sent(&mut self, now: Time) {
         if let Some(last) = self.last_sent.replace(now) {
             let interval = now.saturating_sub(last).min(MAX_INTERVAL).as_secs_f64();
@@ -98,28 +97,28 @@
     }
 }
 
-/// An attempt that is outstanding.
+/// An outstanding attempt.
 pub(super) struct Attempt {
     pub(super) server: BackendServerId,
     pub(super) sent: Time,
     pub(super) work: Work,
-    /// Time from which on it is being cancelled.
+    /// Time at which cancellation began.
     pub(super) cancelled: Option<Time>,
-    /// Whether it takes far longer than its server usually does.
+    /// Whether the attempt has exceeded the silence timeout.
     pub(super) overdue: bool,
-    /// Whether it has left for its server.
+    /// Whether the attempt was written to a connection.
     pub(super) is_transmitted: bool,
-    /// Whether another start has come to its server's address since it left: how it ends says nothing
-    /// of that one.
+    /// Whether the server's process was replaced after the attempt was sent; its outcome then says
+    /// nothing about the new process.
     pub(super) stale: bool,
-    /// What was reported of the others' load when it left.
+    /// Load from other homes that the server had last reported when the attempt was sent.
     pub(super) reported_others: Option<f64>,
-    /// Load of all homes to be expected at the server when it left.
+    /// Estimated load from all homes at the server when the attempt was sent.
     pub(super) load: f64,
 }
 
 impl Fleet {
-    /// Makes the fleet of a route at a home that takes its part of the `division`.
+    /// Creates the fleet of a route at a home with the given share of each server.
     pub fn new(route: &Route, division: impl Into<Division>, now: Time) -> Self {
         let mut fleet = Self {
             servers: FxHashMap::default(),
@@ -134,37 +133,37 @@
             deadline: Duration::from_millis(route.deadline_ms),
             policy: Policy::default(),
         };
-        // It is this home that is new and not the servers: no ramp.
+        // The home is new, not the servers: they need no ramp.
         fleet.apply_route(route, None, now);
         fleet
     }
 
-    /// Takes over a new configuration. Servers that stay keep their state; removed ones get no new
-    /// work; new ones are ramped up.
+    /// Applies a new configuration. Servers that stay keep their state, removed ones get no new
+    /// attempts, and new ones start with a ramp.
     pub fn reconfigure(&mut self, route: &Route, now: Time) {
         self.capacity = route.capacity;
         self.deadline = Duration::from_millis(route.deadline_ms);
         self.apply_route(route, Some(Ramp::cold()), now);
     }
 
-    /// Replaces decisions by simpler ones.
+    /// Sets the policy, which can replace decisions by simpler ones for comparison.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Takes over the homes of the route.
+    /// Sets the homes of the route.
     pub fn set_homes(&mut self, homes: impl Into<Homes>, _now: Time) {
         self.division = self.division.with_homes(homes);
     }
 
-    /// Takes over which servers are in other data centres.
+    /// Sets which servers are in other data centres.
     pub fn set_far(&mut self, far: &BTreeSet<BackendServerId>) {
         for (id, server) in &mut self.servers {
             server.far = far.contains(id);
         }
     }
 
-    /// Takes over which servers are cold, and for how long.
+    /// Replaces the rate limits of cold servers.
     pub fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, ColdLimit>, now: Time) {
         self.cold.clone_from(cold);
         for (&server, &cold) in cold {
@@ -181,26 +180,26 @@
         }
     }
 
-    /// Tells whether what is sent to a server in a second is bounded.
+    /// Returns whether a server's request rate is limited because it is cold.
     pub fn is_cold(&self, server: BackendServerId) -> bool {
         let state = self.servers.get(&server);
         state.is_some_and(|state| state.warm_up.is_some())
     }
 
-    /// Returns until when a server is cold and max_rate nothing of this home.
+    /// Returns the end of a server's cold period if this home has no quota for it, else `None`.
     pub fn excluded_until(&self, server: BackendServerId, now: Time) -> Option<Time> {
         let warm_up = self.servers.get(&server)?.warm_up.as_ref()?;
         let is_excluded = !warm_up.is_over(now) && self.cold_share(server, warm_up.limit()) == 0;
         is_excluded.then(|| warm_up.limit().until)
     }
 
-    /// Returns the attempts at a server that have not left.
+    /// Returns the number of attempts that wait for a connection to a server.
     fn queued(&self, server: BackendServerId) -> usize {
         let is_queued = |record: &&Attempt| record.server == server && !record.is_transmitted;
         self.attempts.values().filter(is_queued).count()
     }
 
-    /// Returns how many attempts this home may send to a cold server in a second.
+    /// Returns how many attempts per second this home may send to a cold server.
     fn cold_share(&self, server: BackendServerId, cold: ColdLimit) -> usize {
         let is_far = self.servers.get(&server).is_none_or(|state| state.far);
         match is_far {
@@ -209,7 +208,7 @@
         }
     }
 
-    /// Tells whether a cold server max_rate one more attempt of this home now.
+    /// Returns whether the cold-server quota allows another attempt; always true for a warm server.
     fn allows_cold_attempt(&self, id: BackendServerId, server: &Server, now: Time) -> bool {
         let Some(warm_up) = &server.warm_up else {
             return true;
@@ -217,8 +216,8 @@
         warm_up.is_open(self.cold_share(id, warm_up.limit()), now)
     }
 
-    /// Another start is at the address of a server: everything learned of the earlier one is
-    /// forgotten, and it is ramped up as a new one. Only the attempts that are outstanding stay.
+    /// Records that a new process runs at the address of a server. Its state is reset and it starts
+    /// with a ramp; only the outstanding attempts are kept.
     pub fn replaced(&mut self, server: BackendServerId, now: Time) {
         if let Some(state) = self.servers.get_mut(&server) {
             *state = state.restarted();
@@ -235,10 +234,10 @@
         }
     }
 
-    /// Takes over from the pool whether a server can be reached.
+    /// Sets whether a server can be reached, as reported by the pool.
     pub fn set_reachable(&mut self, server: BackendServerId, reachable: bool, _now: Time) {
         if let Some(state) = self.servers.get_mut(&server) {
-            // What was down may come back cold, and all homes come back to it at the same time.
+            // The server may come back cold, and all homes return to it simultaneously.
             if reachable && !state.reachable {
                 state.ramp = Some(Ramp::cold());
             }
@@ -246,8 +245,8 @@
         }
     }
 
-    /// Chooses a server among `candidates` that is not in `tried` and serves `version`, if one is
-    /// given. Returns `None` if none can take work now.
+    /// Chooses a server among `candidates` that is not in `tried` and serves `version`, if given.
+    /// Returns `None` if no candidate can take an attempt now.
     pub fn choose(
         &mut self,
         candidates: &[BackendServerId],
@@ -259,7 +258,7 @@
         self.choose_with(candidates, tried, version, Repeat::Possible, now, rng)
     }
 
-    /// Chooses a server as [`Self::choose`] does, for an attempt on which more or less depends.
+    /// Chooses a server like [`Self::choose`], given whether the request may be sent again.
     pub fn choose_with(
         &mut self,
         candidates: &[BackendServerId],
@@ -282,17 +281,16 @@
         })
     }
 
-    /// Returns the time after which an attempt at `server` is slower than the given quantile.
+    /// Returns the hedge delay of an attempt at `server`: a latency quantile within the bounds.
     pub fn hedge_delay(&self, server: BackendServerId, quantile: f64, _now: Time) -> Duration {
         self.clamp_hedge_delay(self.quantile(server, quantile))
     }
 
-    /// Returns the time after which an attempt at `server` that asks for this kind of work is slower
-    /// than the given quantile of such attempts.
+    /// Returns the hedge delay of an attempt at `server` for this kind of work.
     ///
-    /// Where short and long requests share servers, the latency of all together hedges the short ones
-    /// after the long ones' time: suggestions that had to be there in 80 ms and take 9 were hedged after
-    /// 60, and 0.72 of their worth was earned in place of 0.81 (89 hosts, 36 shards, a calm day, one run).
+    /// Uses the latency of the same kind of work at all servers, scaled by the latency of the
+    /// server's group relative to the whole route. Kinds of work with too few measurements use the
+    /// server's own latency.
     pub fn hedge_delay_of(
         &self,
         work: Work,
@@ -300,14 +298,15 @@
         quantile: f64,
         now: Time,
     ) -> Duration {
-        let baseline = self.latency_by_work.get(&work);
-        let Some(baseline) = baseline.and_then(|latency| latency.quantile(quantile)) else {
+        let work_quantile = self.latency_by_work.get(&work);
+        let Some(work_quantile) = work_quantile.and_then(|latency| latency.quantile(quantile))
+        else {
             return self.hedge_delay(server, quantile, now);
         };
-        self.clamp_hedge_delay(baseline.mul_f64(self.relative_latency(server)))
+        self.clamp_hedge_delay(work_quantile.mul_f64(self.relative_latency(server)))
     }
 
-    /// Returns the time that attempts for this kind of work usually take, where it is known.
+    /// Returns the median latency of a kind of work, or `None` with too few measurements.
     pub fn median_latency(&self, work: Work) -> Option<Duration> {
         self.latency_by_work.get(&work)?.quantile(0.5)
     }
@@ -323,7 +322,7 @@
         quantile.clamp(MIN_HEDGE_DELAY, at_most)
     }
 
-    /// Returns how long attempts usually take in a server's group, relative to all groups.
+    /// Returns the median latency of a server's group relative to the whole route.
     fn relative_latency(&self, server: BackendServerId) -> f64 {
         let Some(state) = self.servers.get(&server) else {
             return 1.0;
@@ -336,43 +335,43 @@
         }
     }
 
-    /// Returns the time after which an attempt at `server` is suspiciously silent.
+    /// Returns the time after which an unanswered attempt at `server` is overdue.
     pub fn silence_timeout(&self, server: BackendServerId, _now: Time) -> Duration {
-        let baseline = self.quantile(server, SILENCE_QUANTILE);
+        let quantile = self.quantile(server, SILENCE_QUANTILE);
         let recent = self
             .servers
             .get(&server)
             .and_then(|state| state.recent_latency);
         let recent = recent.map_or(0.0, |(mean, _)| mean * SILENCE_MEAN_FACTOR);
-        baseline
+        quantile
             .mul_f64(SILENCE_QUANTILE_FACTOR)
             .max(Duration::from_secs_f64(recent))
             .max(MIN_SILENCE_TIMEOUT)
     }
 
-    /// Tells whether a server is leaving.
+    /// Returns whether a server is leaving.
     pub fn is_leaving(&self, server: BackendServerId) -> bool {
         self.leaving.contains(server)
     }
 
-    /// Returns the start number of a server, as far as known.
+    /// Returns the incarnation of a server's process, if known.
     pub fn start(&self, server: BackendServerId) -> Option<Incarnation> {
         self.servers.get(&server)?.start
     }
 
-    /// Returns the index versions that a server serves, in order; empty where it did not say.
+    /// Returns the index versions that a server serves, in ascending order; empty if unknown.
     pub fn versions(&self, server: BackendServerId) -> &[IndexVersion] {
         self.servers
             .get(&server)
             .map_or(&[], |state| state.versions.as_slice())
     }
 
-    /// Returns how many own attempts are outstanding.
+    /// Returns the number of outstanding attempts of this home.
     pub fn outstanding(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Returns the own attempts that a server may have at once.
+    /// Returns the maximum number of outstanding attempts of this home per server.
     pub(super) fn share(&self) -> usize {
         self.division.connections(self.capacity.connections)
     }
@@ -381,7 +380,7 @@
         f64::from(self.capacity.slots.max(1))
     }
 
-    /// Tells whether a server can take an attempt now.
+    /// Returns whether a server can take an attempt now.
     pub(super) fn is_open(&self, server: BackendServerId, now: Time) -> bool {
         let Some(state) = self.servers.get(&server) else {
             return false;
@@ -390,15 +389,16 @@
         !self.is_leaving(server) && allows_cold_attempt && state.is_open(self.share(), now)
     }
 
-    /// Returns what is usual in a group.
+    /// Returns the baseline of a group.
     pub(super) fn baseline(&self, group: usize) -> Baseline {
         let state = &self.groups[group];
         if let Some(baseline) = state.baseline.get() {
             return baseline;
         }
         let baseline = self.compute_baseline(group);
-        // Otherwise it would miss what is measured elsewhere: all groups stand in for one of which
-        // little is known, and a shared server is measured in the last of its groups.
+        // Don't cache a baseline that depends on attempts outside the group: one with few
+        // measurements falls back to the whole route, and a shared server is measured in the last
+        // of its groups.
         if state.latency.has_enough_samples() && !state.is_shared {
             state.baseline.set(Some(baseline));
         }
@@ -492,7 +492,7 @@
         }
     }
 
-    /// Takes over the groups; servers that are new start with `ramp`.
+    /// Applies the groups of a route; new servers start with `ramp`.
     fn apply_route(&mut self, route: &Route, ramp: Option<Ramp>, now: Time) {
         self.servers
             .values_mut()
@@ -526,18 +526,18 @@
             .retain(now, |server| servers.contains_key(&server));
     }
 
-    /// Returns the latency of the group, before the change, of the first server that was in one.
+    /// Returns the latency of the first previous group that shares a server with `servers`.
     fn inherited_latency(&self, servers: &[BackendServerId]) -> Latency {
         let overlaps = |group: &&Group| servers.iter().any(|id| group.servers.contains(id));
         let old = self.groups.iter().find(overlaps);
         old.map_or_else(Latency::new, |group| group.latency.clone())
     }
 
-    /// Drops removed servers that have nothing outstanding any more.
+    /// Drops removed servers without outstanding attempts.
     pub(super) fn drop_removed(&mut self) {
         self.servers
             .retain(|_, server| server.configured || server.outstanding > 0);
-        // A removed server that still works belongs to no group; its old index may be out of range.
+        // A removed server with outstanding attempts belongs to no group: keep its index in range.
         let last = self.groups.len().saturating_sub(1);
         for server in self.servers.values_mut() {
             server.group = server.group.min(last);
--- a/crates/decision/src/backend/group_load.rs
+++ b/crates/decision/src/backend/group_load.rs
@@ -1,4 +1,4 @@
-//! GroupLoad that the backend servers of a route have for this home.
+//! Load and queueing delay of the groups of a route.
 
 use super::fleet::Fleet;
 use super::server::Server;
@@ -6,24 +6,24 @@
 use monsoonring_configuration::id::BackendServerId;
 use std::time::Duration;
 
-/// Attempts sent to a server beyond its slots, so that none is idle for the time of a round trip.
+/// Attempts in flight beyond a server's slots, so that no slot idles for a round trip.
 const PIPELINED_ATTEMPTS: f64 = 1.0;
 
-/// The time that a new attempt would wait in a group.
+/// Queueing delay of a new attempt in a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Wait {
-    /// The time.
+    /// Queueing delay before the attempt gets a slot.
     pub time: Duration,
     /// Index of the group.
     pub group: usize,
 }
 
-/// Times that a new attempt would wait in each group, the longest first.
+/// Queueing delay of a new attempt in each group, longest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Waits(Vec<Wait>);
 
 impl Waits {
-    /// Returns the wait in the tightest group that is left when so many of the tightest are left out.
+    /// Returns the longest delay after dropping the `dispensable` longest ones; at least one stays.
     pub fn without(&self, dispensable: usize) -> Wait {
         let last = self.0.len().saturating_sub(1);
         self.0
@@ -41,30 +41,30 @@
     }
 }
 
-/// GroupLoad for service_time, taken from the group that has the least of it.
+/// Load of the busiest group.
 ///
-/// A search needs every group, so the busiest group decides how long a query waits.
+/// A search needs every group, so the busiest one determines its queueing delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GroupLoad {
-    /// Work slots of the usable servers in the tightest group, shared by all homes.
+    /// Slots of the usable servers in the group, shared by all homes.
     pub slots: f64,
-    /// Attempts of all homes expected at those servers.
+    /// Estimated number of attempts from all homes at those servers.
     pub busy: f64,
-    /// Time that a new attempt would wait in that group before it is worked on.
+    /// Queueing delay of a new attempt in the group.
     pub wait: Duration,
-    /// Measured mean time that an attempt in that group is worked on, waiting not included.
+    /// Mean service time of an attempt in the group, without queueing.
     pub service_time: Duration,
 }
 
 impl Fleet {
-    /// Returns the room in the tightest group. A group none of whose servers is usable is left out:
-    /// queries don't wait for it.
+    /// Returns the load of the busiest group. Groups without usable servers are skipped, because
+    /// requests don't wait for them.
     pub fn busiest_group(&self, now: Time) -> GroupLoad {
         self.busiest_group_without(0, now)
     }
 
-    /// Returns the room in the tightest group that is left when so many of the tightest are left
-    /// out: a query that can do without them does not wait for them.
+    /// Returns the load of the busiest group after dropping the `dispensable` busiest ones, which a
+    /// request can do without.
     pub fn busiest_group_without(&self, dispensable: usize, now: Time) -> GroupLoad {
         let groups = 0..self.groups.len();
         let mut loads: Vec<GroupLoad> = groups
@@ -79,8 +79,7 @@
         busiest.copied().unwrap_or_default()
     }
 
-    /// Returns the time that a new attempt would wait at the least busy server of each group that has usable
-    /// ones, the longest first. One of them may have paused with much before it, and the next is idle.
+    /// Returns the queueing delay at the least loaded usable server of each group, longest first.
     pub fn expected_waits(&self, now: Time) -> Vec<(usize, Duration)> {
         let groups = 0..self.groups.len();
         let mut waits: Vec<(usize, Duration)> = groups
@@ -90,14 +89,14 @@
         waits
     }
 
-    /// Returns the share of the recent attempts that failed, as the mean over all servers.
+    /// Returns the failure rate of recent attempts, averaged over all servers.
     pub fn failure_rate(&self, now: Time) -> f64 {
         let shares = self.servers.values().map(|server| server.failure_rate(now));
         shares.sum::<f64>() / self.servers.len().max(1) as f64
     }
 
-    /// Returns the time that a new attempt would wait in each group, at its least busy server, by what servers report of all
-    /// homes' service_time.
+    /// Returns the queueing delay at the least loaded usable server of each group, based on the
+    /// load that servers report for all homes.
     pub fn reported_waits(&self, now: Time) -> Vec<Wait> {
         let groups = 0..self.groups.len();
         let wait = |group| {
@@ -107,13 +106,13 @@
         groups.filter_map(wait).collect()
     }
 
-    /// Returns the time until so many attempts of this home have left for a group, at the rate of the recent ones: that shows what share
-    /// of the servers other homes leave to this one.
+    /// Returns the time in which this home sends `attempts` attempts to a group at its recent rate.
+    /// The rate reflects the share of the servers that other homes leave to this one.
     pub fn time_to_send(&self, group: usize, attempts: usize) -> Duration {
         Duration::from_secs_f64(self.groups[group].interval).mul_f64(attempts as f64)
     }
 
-    /// Tells whether most servers have reported their load recently.
+    /// Returns whether most servers have reported their load recently.
     pub fn has_recent_reports(&self, now: Time) -> bool {
         let reported = self
             .servers
@@ -122,8 +121,9 @@
         reported.count() * 2 > self.servers.len()
     }
 
-    /// Tells whether a server has a slot free, or will soon, by its reported load. A server without attempts of this home always counts as
-    /// free: it sends no replies, so its report would never be renewed.
+    /// Returns whether a server has a free slot, or will have one soon, by its reported load. A
+    /// server without attempts of this home always counts as free: it sends no replies, so its last
+    /// report would never be updated.
     pub fn has_free_slot(&self, server: BackendServerId, now: Time) -> bool {
         self.servers.get(&server).is_some_and(|state| {
             state.own_load() == 0.0 || state.reported_load(now) < self.slots() + PIPELINED_ATTEMPTS
@@ -167,7 +167,7 @@
         }
         let slots = f64::from(usable) * self.slots();
         let service_time = self.baseline(group).service_time;
-        // The new attempt starts when all but `slots - 1` of those before it have ended.
+        // A new attempt starts when all but `slots - 1` of those before it have ended.
         let ahead = (busy + 1.0 - slots).max(0.0);
         Some(GroupLoad {
             slots,
--- a/crates/decision/src/backend/latency.rs
+++ b/crates/decision/src/backend/latency.rs
@@ -1,9 +1,8 @@
-//! Decaying histogram of latencies.
+//! Decaying latency histogram.
 //!
-//! Buckets grow geometrically, so that a quantile is right to about nine per cent over the whole
-//! scale from a tenth of a millisecond to a minute and a half, in a fixed 640 bytes a server. All
-//! counts are halved when they reach a limit: old latencies fade by use and not by time, and a
-//! server that is rarely asked keeps what is known of it.
+//! Buckets grow geometrically, with a relative error of about 9 % from 0.1 ms to 100 s. All counts
+//! are halved when their sum reaches a limit. Old latencies thus decay with new samples and not
+//! with time, and a rarely used server keeps its statistics.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -12,19 +11,18 @@
 const BUCKETS: usize = 160;
 const SMALLEST: Duration = Duration::from_micros(100);
 
-/// Weight at which all counts are halved.
+/// Sum of the counts at which all of them are halved.
 const MAX_WEIGHT: f32 = 512.0;
 
-/// Weight below which a quantile says too little.
+/// Sum of the counts below which quantiles are unreliable.
 const MIN_WEIGHT: f32 = 20.0;
 
-/// Latencies of one server, one group or one route.
+/// Latencies of a server, a group, a kind of work or a route.
 #[derive(Clone, Debug)]
 pub(crate) struct Latency {
     counts: Box<[f32; BUCKETS]>,
     weight: f32,
-    /// The first bucket with a count, and the one after the last: quantiles are asked for several
-    /// times an attempt, and look only at these.
+    /// Range of the buckets with a count, so that quantiles scan only these.
     used: Range<usize>,
 }
 
@@ -52,13 +50,12 @@
         self.weight += 1.0;
     }
 
-    /// Tells whether enough was seen for quantiles.
+    /// Returns whether there are enough samples for quantiles.
     pub(crate) fn has_enough_samples(&self) -> bool {
         self.weight >= MIN_WEIGHT
     }
 
-    /// Returns the latency that a share `quantile` of the attempts stays within, or `None` where
-    /// too few were seen.
+    /// Returns a quantile, rounded up to the bound of its bucket, or `None` with too few samples.
     pub(crate) fn quantile(&self, quantile: f64) -> Option<Duration> {
         if !self.has_enough_samples() {
             return None;
--- a/crates/decision/src/backend/leaving.rs
+++ b/crates/decision/src/backend/leaving.rs
@@ -1,35 +1,34 @@
-//! Which backend servers are leaving.
+//! Tracks which backend servers are leaving.
 //!
-//! The host list, the health endpoint, a mark on a reply and other homes all say so, each with its
-//! own lag. Any of them counts at once and none of them can take it back: a lagging list that still
-//! says `live` would otherwise send new work to a server that is about to stop, seen as lost
-//! connections some seconds after its first drain mark. Only a higher start number, which a server
-//! gets by starting again, ends it.
+//! The host list, the health endpoint, draining flags in replies and other homes all report it,
+//! each with its own delay. The first report takes effect, and none of these sources can revoke it:
+//! an outdated list that still says `live` would otherwise send new attempts to a server that is
+//! about to stop. Only a higher incarnation, reported after the server has restarted, clears it.
 
 use crate::Time;
 use monsoonring_configuration::id::{BackendServerId, Incarnation};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// Time for which the mark of a server that isn't configured is kept.
+/// Time for which the entry of a server outside the configuration is kept.
 const RETENTION: Duration = Duration::from_secs(600);
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// Start number that is leaving; `None` until one is heard.
+    /// Incarnation that is leaving; `None` until one is known.
     start: Option<Incarnation>,
     at: Time,
 }
 
-/// Marks of the servers that are leaving.
+/// The servers that are leaving.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeavingServers {
     entries: FxHashMap<BackendServerId, Entry>,
 }
 
 impl LeavingServers {
-    /// Marks `server`, of which `known` is the start number last heard. Returns whether that is
-    /// new.
+    /// Marks `server` as leaving, given the incarnation reported as leaving and the highest one
+    /// `known`. Returns whether the server was not marked before.
     pub(crate) fn add(
         &mut self,
         server: BackendServerId,
@@ -37,7 +36,7 @@
         known: Option<Incarnation>,
         now: Time,
     ) -> bool {
-        // A sign from before the last restart arrived late: the process that was leaving is gone.
+        // A delayed report about a process that has been replaced.
         if start.is_some() && start < known {
             return false;
         }
@@ -54,12 +53,12 @@
         }
     }
 
-    /// Takes in a start number that the server itself gave. Returns whether it ended the mark.
+    /// Records an incarnation reported by the server itself. Returns whether it clears the entry.
     pub(crate) fn observe_start(&mut self, server: BackendServerId, start: Incarnation) -> bool {
         let Some(entry) = self.entries.get_mut(&server) else {
             return false;
         };
-        // Without a number in the mark the first one heard may well be the process that leaves.
+        // Without a known incarnation, the first one reported may be that of the leaving process.
         let leaving_start = *entry.start.get_or_insert(start);
         if start > leaving_start {
             self.entries.remove(&server);
@@ -67,7 +66,7 @@
         start > leaving_start
     }
 
-    /// Drops the mark of a server at whose address another start is.
+    /// Clears the entry of a server whose process was replaced.
     pub(crate) fn remove(&mut self, server: BackendServerId) {
         self.entries.remove(&server);
     }
@@ -76,7 +75,7 @@
         self.entries.contains_key(&server)
     }
 
-    /// Drops old marks of servers for which `keep` is false.
+    /// Drops expired entries of servers for which `keep` returns false.
     pub(crate) fn retain(&mut self, now: Time, keep: impl Fn(BackendServerId) -> bool) {
         self.entries
             .retain(|server, entry| keep(*server) || now < entry.at + RETENTION);
--- a/crates/decision/src/backend/load_regression.rs
+++ b/crates/decision/src/backend/load_regression.rs
@@ -1,30 +1,28 @@
-//! How far a server's load reports are believed.
+//! Weight of a server's load reports, learned from how well they predict latency.
 //!
-//! A report is worth what it has predicted. For each reply the load that was reported when the
-//! attempt left is held against the latency that followed; the slope of the one over the other,
-//! relative to what a slot's work time makes of one more request, is the weight that reports get.
-//! Reports that are made up, inverted, late or constant show no slope and weigh nothing; inflated
-//! ones show a flat slope and are scaled back. From the slope its own uncertainty is taken off:
-//! numbers that are made up show some slope by chance, up and down, and only the positive part would
-//! count. Only the deviation from the server's own mean is
-//! used, so a constant bias can neither attract nor repel work.
+//! A linear regression of latency over reported load yields a slope. Relative to the slope expected
+//! from the service time, it is the weight of the reports. Random, inverted, outdated or constant
+//! reports have no positive slope and get no weight; inflated ones have a flat slope and a low
+//! weight. A multiple of the standard error is subtracted, since random reports show a positive
+//! slope by chance. Users of a report consider only its deviation from the server's mean, so that a
+//! constant bias has no effect.
 
 use std::time::Duration;
 
-/// Share of the sums that survives each further observation; about a hundred count.
+/// Factor by which all sums decay with each observation.
 const DECAY: f64 = 0.99;
 
-/// Observations before reports are believed at all.
+/// Effective number of observations below which reports have no weight.
 const MIN_SAMPLES: f64 = 15.0;
 
-/// Standard errors of the slope that are taken off it.
+/// Number of standard errors subtracted from the slope.
 const STANDARD_ERRORS: f64 = 2.0;
 
-/// A server with free slots answers no slower for one more request, so even honest reports show
-/// less than the full slope; a weight is reached at this fraction of it.
+/// Share of the expected slope that gives full weight. Attempts don't queue while slots are free,
+/// so that even accurate reports show less than the full slope.
 const FULL_WEIGHT_SLOPE: f64 = 0.5;
 
-/// Decaying regression of latency over reported load.
+/// Linear regression of latency over reported load, with exponential decay.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadRegression {
     weight: f64,
@@ -36,8 +34,7 @@
 }
 
 impl LoadRegression {
-    /// Records the load that others had at the server by its last report before the attempt, and
-    /// the latency of the attempt.
+    /// Records an attempt's latency and the load from other homes last reported before the attempt.
     pub(crate) fn observe(&mut self, load: f64, latency: Duration) {
         let latency = latency.as_secs_f64();
         self.weight = self.weight * DECAY + 1.0;
@@ -48,7 +45,7 @@
         self.product = self.product * DECAY + load * latency;
     }
 
-    /// Returns the mean of the loads reported.
+    /// Returns the mean reported load.
     pub(crate) fn mean(&self) -> f64 {
         if self.weight > 0.0 {
             self.load / self.weight
@@ -57,8 +54,8 @@
         }
     }
 
-    /// Returns the weight of a report, from 0 to 1, at a server where one more request is expected
-    /// to cost `step`.
+    /// Returns the weight of a report, from 0 to 1, if each additional request is expected to
+    /// increase the latency by `expected_slope`.
     pub(crate) fn weight(&self, expected_slope: Duration) -> f64 {
         if self.weight < MIN_SAMPLES || expected_slope.is_zero() {
             return 0.0;
--- a/crates/decision/src/backend/mod.rs
+++ b/crates/decision/src/backend/mod.rs
@@ -1,10 +1,13 @@
-//! What a home knows of its backend servers and decides about them.
+//! Backend servers as seen by a home: load tracking, replica choice, connections and crash
+//! detection.
 //!
-//! Three machines share the work, because they change for different reasons. [`Fleet`] knows how
-//! loaded and how fast each server is and chooses between replicas. [`pool::Pool`] keeps the
-//! connections inside the home's share of each server's limit. [`suspect::Detector`] finds requests
-//! that crash the servers that run them. The home wires them together: it tells the fleet when the
-//! pool finds a server unreachable, and asks the table before it sends.
+//! - [`Fleet`] tracks the load and the latency of each server and chooses between replicas.
+//! - [`pool::Pool`] keeps connections open within the home's share of each server's connection
+//!   limit.
+//! - [`suspect::Detector`] finds requests that crash the servers that run them.
+//!
+//! The three are independent state machines. The home connects them: it reports unreachable servers
+//! from the pool to the fleet, and consults the detector before it sends an attempt.
 
 mod baseline;
 mod choice;
--- a/crates/decision/src/backend/pool/connection.rs
+++ b/crates/decision/src/backend/pool/connection.rs
@@ -1,27 +1,27 @@
-//! One connection.
+//! State of one connection.
 
 use crate::Time;
 use monsoonring_configuration::id::BackendServerId;
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// It is being opened.
+    /// The connection is being opened.
     Opening,
-    /// It is ready.
+    /// The connection is ready for an attempt.
     Idle,
-    /// An attempt was put on it at the given time.
+    /// An attempt has used the connection since the given time.
     Busy(Time),
 }
 
-/// One connection.
+/// A connection to a backend server.
 #[derive(Clone, Debug)]
 pub(super) struct Connection {
     pub(super) server: BackendServerId,
     pub(super) state: State,
-    /// Time at which it was last seen to work: opened, or answered on.
+    /// Time at which the connection last worked: when it was opened, or a reply arrived.
     pub(super) verified_at: Time,
-    /// Whether it leads to a start that is gone: it is not used again.
+    /// Whether the server's process was replaced; the connection is closed after its attempt.
     pub(super) retired: bool,
 }
 
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -1,12 +1,13 @@
-//! Connections to the backend servers of one route.
+//! Connection pool for the backend servers of one route.
 //!
-//! A new connection costs milliseconds and a server takes few, so they are opened ahead of need: as
-//! many as were lately in use at once and one to spare, within this home's share of the server's
-//! limit, and never more than a few at the same time. They are closed one by one, long after the
-//! need has gone.
+//! Opening a connection takes milliseconds and servers accept few, so connections are opened ahead
+//! of demand: as many as were recently in use concurrently, plus spare ones, within this home's
+//! share of the server's limit. Only a few are opened at a time, and idle ones are closed one by
+//! one long after demand has dropped.
 //!
-//! Invariant: no server has more connections open or being opened than the share, except those in
-//! use when the share shrank, which are closed as soon as they are idle.
+//! Invariant: the number of connections to a server, open or opening, never exceeds the share. The
+//! only exception are connections in use when the share shrinks, which are closed when they become
+//! idle.
 
 mod connection;
 mod server_pool;
@@ -28,12 +29,13 @@
 /// Age up to which an idle connection counts as verified by its last use.
 const MAX_VERIFIED_AGE: Duration = Duration::from_secs(1);
 
-/// Something that the home does for the pool.
+/// A command for the driver of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Open a connection; answered by [`Pool::opened`] or [`Pool::closed`].
+    /// Open a connection; the result is reported with [`Pool::opened`], [`Pool::closed`] or
+    /// [`Pool::rejected`].
     Open(ConnectionId, BackendServerId),
-    /// Close a connection; the pool has forgotten it already.
+    /// Close a connection, which the pool has already removed.
     Close(ConnectionId),
 }
 
@@ -49,9 +51,9 @@
 /// The end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnect {
-    /// The server at its other end.
+    /// Server of the connection.
     pub server: BackendServerId,
-    /// Whether the server counts as unreachable from now on; to be told to
+    /// Whether the server has just become unreachable; must be passed to
     /// [`Fleet::set_reachable`](super::Fleet::set_reachable).
     pub became_unreachable: bool,
 }
@@ -64,20 +66,20 @@
     limits: Limits,
     capacity: Capacity,
     division: Division,
-    /// Servers in other data centres: nothing is kept ready there without need.
+    /// Servers in other data centres, for which no idle connections are kept without demand.
     far: BTreeSet<BackendServerId>,
-    /// What tells this home from the others when it is decided who keeps connections ready.
+    /// Identity of this home, used to select the servers for which it keeps idle connections.
     identity: u64,
-    /// Servers that something has happened to since the last [`Pool::reconcile`].
+    /// Servers with events since the last [`Pool::reconcile`].
     changed: BTreeSet<BackendServerId>,
     closing: Vec<ConnectionId>,
-    /// Time at which time alone may have given some line something to do; never too late.
+    /// Lower bound of the next time at which a timer of some server expires.
     due: Option<Time>,
 }
 
 impl Pool {
-    /// Makes the empty pool of a route at a home that takes its part of the `division`; connection
-    /// ids count from `first`.
+    /// Creates an empty pool for a route, at a home with the given share of each server; connection
+    /// ids start at `first`.
     pub fn new(
         route: &Route,
         division: impl Into<Division>,
@@ -102,14 +104,14 @@
         pool
     }
 
-    /// Takes over a new configuration. Connections to removed servers are closed when idle.
+    /// Applies a new configuration. Connections to removed servers are closed once idle.
     pub fn reconfigure(&mut self, route: &Route, now: Time) {
         self.capacity = route.capacity;
         self.apply_route(route, now);
         self.update_limits();
     }
 
-    /// Takes over the homes of the route.
+    /// Sets the homes of the route, which determine this home's share.
     pub fn set_homes(&mut self, homes: impl Into<Homes>, _now: Time) {
         self.division = self.division.with_homes(homes);
         self.update_limits();
@@ -120,23 +122,24 @@
         self.changed.extend(self.server_pools.keys());
     }
 
-    /// Takes over what tells this home from others.
+    /// Sets the identity of this home; it must differ between homes.
     pub fn set_identity(&mut self, identity: u64) {
         self.identity = identity;
     }
 
-    /// Takes over which servers are in other data centres.
+    /// Sets which servers are in other data centres.
     pub fn set_far(&mut self, far: BTreeSet<BackendServerId>) {
         self.far = far;
         self.changed.extend(self.server_pools.keys());
     }
 
-    /// Returns how the servers are divided among the homes.
+    /// Returns how server capacity is divided among the homes.
     pub fn division(&self) -> Division {
         self.division
     }
 
-    /// Takes over whether a server is leaving: no connection is opened, idle ones are closed.
+    /// Sets whether a server is leaving. No connections are opened to one that is, and idle ones
+    /// are closed.
     pub fn set_leaving(&mut self, server: BackendServerId, leaving: bool, _now: Time) {
         if let Some(server_pool) = self.server_pools.get_mut(&server) {
             server_pool.leaving = leaving;
@@ -144,17 +147,16 @@
         }
     }
 
-    /// Takes an idle connection to `server`. Where there is none the miss counts as demand.
+    /// Takes an idle connection to `server`. A miss counts as demand.
     pub fn acquire(&mut self, server: BackendServerId, now: Time) -> Option<ConnectionId> {
         self.take(server, Time::ZERO, now)
     }
 
-    /// Takes an idle connection that was opened or used a moment ago, fit for a non-idempotent
-    /// request. Where there is none the miss counts as demand for a new one.
+    /// Takes an idle connection that was opened or used recently, for a non-idempotent request. A
+    /// miss counts as demand.
     ///
-    /// A connection that was idle for long may have been forgotten by something between the two
-    /// ends. A request put on it gets no answer, and one that must not be sent twice could then
-    /// only end as unknown.
+    /// A middlebox may have dropped a connection that was idle for long. A request sent on it gets
+    /// no reply, and one that must not be repeated would end with an unknown outcome.
     pub fn acquire_fresh(&mut self, server: BackendServerId, now: Time) -> Option<ConnectionId> {
         let fresh = self.take(server, now.saturating_sub(MAX_VERIFIED_AGE), now);
         if fresh.is_none() {
@@ -163,10 +165,10 @@
         fresh
     }
 
-    /// Returns what is to be opened and closed now.
+    /// Returns the connections to open and close.
     ///
-    /// It is asked after each event: only servers to which something happened are looked at, and
-    /// all of them only when time has given some of them something to do.
+    /// Called after each event: it visits only servers with events since the last call, or whose
+    /// timers have expired.
     pub fn reconcile(&mut self, now: Time) -> Vec<Command> {
         self.collect_due(now);
         let mut opens = Vec::new();
@@ -199,7 +201,7 @@
         self.due = later.filter_map(ServerPool::next_wake).min();
     }
 
-    /// Notes when a server is to be looked at again, or forgets it if it has gone for good.
+    /// Schedules the next visit of a server, or removes a server that is no longer needed.
     fn schedule(&mut self, server: BackendServerId) {
         let Some(server_pool) = self.server_pools.get(&server) else {
             return;
@@ -211,7 +213,7 @@
         self.due = self.due.into_iter().chain(server_pool.next_wake()).min();
     }
 
-    /// Records that a connection is ready. Returns its server.
+    /// Records that a connection is open. Returns its server.
     pub fn opened(&mut self, id: ConnectionId, now: Time) -> Option<BackendServerId> {
         let connection = self.connections.get_mut(&id)?;
         if connection.state != State::Opening {
@@ -226,8 +228,7 @@
         Some(server)
     }
 
-    /// Records that a connection could not be made or has ended by itself, under an attempt
-    /// (`Failure::Lost`) or idle.
+    /// Records that a connection could not be opened, or was lost while idle or during an attempt.
     pub fn closed(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
@@ -241,8 +242,8 @@
         })
     }
 
-    /// Another start is at the address of a server: the idle connections lead to one that is gone and
-    /// are closed, those in use are when they are given back.
+    /// Records that a new process runs at the address of a server. Idle connections to the old
+    /// process are closed; busy ones are closed when they are released.
     pub fn replaced(&mut self, server: BackendServerId, now: Time) {
         let mut idle = Vec::new();
         for (id, connection) in &mut self.connections {
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Gives back a connection on which an attempt was answered.
+    /// Returns a connection to the pool after a reply on it.
     pub fn release(&mut self, id: ConnectionId, now: Time) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -284,7 +285,7 @@
         self.changed.insert(server);
     }
 
-    /// Gives back a connection that was taken and on which nothing was sent.
+    /// Returns a connection to the pool on which nothing was sent.
     pub fn put_back(&mut self, id: ConnectionId, _now: Time) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -299,7 +300,7 @@
         self.changed.insert(connection.server);
     }
 
-    /// Gives up a connection that can't be used again; [`Self::reconcile`] returns its `Close`.
+    /// Discards a connection that can't be reused; [`Self::reconcile`] returns its `Close`.
     pub fn discard(&mut self, id: ConnectionId, _now: Time) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -311,8 +312,8 @@
         self.closing.push(id);
     }
 
-    /// Records that a server ended a new connection at once because it has too many. It counts as
-    /// unreachable for a while if there is no other connection to it.
+    /// Records that a server closed a new connection immediately because of its connection limit.
+    /// The server becomes unreachable for a while if there are no other connections to it.
     pub fn rejected(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
@@ -326,8 +327,8 @@
         })
     }
 
-    /// Takes in that a server refused a connection because its limit is reached: no more are
-    /// opened for a while.
+    /// Records that a server refused a request because of its connection limit: opening connections
+    /// is paused.
     pub fn connection_limit_reached(&mut self, server: BackendServerId, now: Time) {
         if let Some(server_pool) = self.server_pools.get_mut(&server) {
             server_pool.connection_limit_reached(now);
@@ -335,26 +336,26 @@
         }
     }
 
-    /// Tells whether a server can be reached.
+    /// Returns whether a server can be reached.
     pub fn is_reachable(&self, server: BackendServerId) -> bool {
         self.server_pools
             .get(&server)
             .is_some_and(|server_pool| server_pool.reachable)
     }
 
-    /// Returns how many connections to `server` are open or being opened.
+    /// Returns the number of connections to `server` that are open or opening.
     pub fn connections(&self, server: BackendServerId) -> usize {
         self.server_pools.get(&server).map_or(0, ServerPool::len)
     }
 
-    /// Returns how many connections to `server` are idle and ready.
+    /// Returns the number of idle connections to `server`.
     pub fn idle(&self, server: BackendServerId) -> usize {
         self.server_pools
             .get(&server)
             .map_or(0, |server_pool| server_pool.idle.len())
     }
 
-    /// Returns the time at which [`Self::reconcile`] has something to do, if nothing else happens.
+    /// Returns the next time at which [`Self::reconcile`] has work to do without further events.
     pub fn next_wake(&self) -> Option<Time> {
         self.due
     }
@@ -374,13 +375,20 @@
         self.changed.extend(self.server_pools.keys());
     }
 
-    /// Takes the idle connection that was used last, if it was proven at or after `since`.
-    fn take(&mut self, server: BackendServerId, sent_at: Time, now: Time) -> Option<ConnectionId> {
+    /// Takes the most recently used idle connection, if it was verified at or after
+    /// `verified_since`.
+    fn take(
+        &mut self,
+        server: BackendServerId,
+        verified_since: Time,
+        now: Time,
+    ) -> Option<ConnectionId> {
         let server_pool = self.server_pools.get_mut(&server)?;
         self.changed.insert(server);
         let last = server_pool.idle.last().copied();
         let connection = last.and_then(|id| self.connections.get_mut(&id));
-        let Some(connection) = connection.filter(|connection| connection.verified_at >= sent_at)
+        let Some(connection) =
+            connection.filter(|connection| connection.verified_at >= verified_since)
         else {
             server_pool.missed(now);
             return None;
@@ -391,11 +399,11 @@
         last
     }
 
-    /// Returns what a server may have of this home.
+    /// Returns the connection limits for a server.
     ///
-    /// A connection is kept ready without need where one is in use all the time, which is at the servers
-    /// nearby. Where every host kept one at every server, 89 hosts asked for more than the 76 that a
-    /// server takes, and it ended 203,276 connections in a calm minute.
+    /// A minimum of idle connections is kept only at nearby servers, and with many homes only at a
+    /// selected part of them. If every home kept one at every server, their number could exceed the
+    /// servers' connection limits.
     fn limits_for(&self, server: BackendServerId) -> Limits {
         let kept = self.division.kept(self.capacity.connections);
         let is_selected = kept >= 1.0 || placement::lot(self.identity, server) < kept;
@@ -406,7 +414,7 @@
         }
     }
 
-    /// Makes place for a verified connection where idle ones stand in its way.
+    /// Closes an idle connection that is not verified, if it prevents a new one from being opened.
     fn evict_stale(&mut self, server: BackendServerId, now: Time) {
         let limits = self.limits_for(server);
         let oldest = self.server_pools.get(&server).and_then(|server_pool| {
--- a/crates/decision/src/backend/pool/server_pool.rs
+++ b/crates/decision/src/backend/pool/server_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one backend server.
+//! Connections to one backend server.
 
 use super::connection::{Connection, State};
 use crate::Time;
@@ -6,55 +6,55 @@
 use crate::placement::HELD_AT_MOST;
 use std::time::Duration;
 
-/// Connections to one server that are being opened at the same time. After a restart of the server
-/// every home finds all its connections gone at once; without this bound they would all be opened
-/// again at once, seen as connect times far above the usual just when the server is cold.
+/// Maximum number of connections to a server that are opened concurrently. When a server restarts,
+/// all homes lose their connections simultaneously; the limit keeps them from overloading it with
+/// connects while it is cold.
 const MAX_OPENING: usize = 2;
 
-/// Pause after a failed connect; it doubles with each further one.
+/// Pause after a failed connect; it doubles with each consecutive failure.
 const BASE_PAUSE: Duration = Duration::from_millis(100);
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
-/// How often the pause doubles where the server ends new connections at once.
+/// Maximum number of doublings of the pause if the server closes new connections immediately.
 const MAX_REJECTED_DOUBLINGS: u32 = 2;
 
-/// Pause after the server said that its connection limit is reached.
+/// Pause after the server has reported that its connection limit is reached.
 const LIMIT_PAUSE: Duration = Duration::from_secs(1);
 
-/// How many connections a line may have, and how many it has beyond its need.
+/// Limits on the connections to one server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     pub(super) max: usize,
     pub(super) spare: usize,
     pub(super) min_idle: usize,
-    /// Time after which the connections kept ready shrink by one.
+    /// Time without demand after which the target shrinks by one connection.
     pub(super) idle_time: Duration,
 }
 
-/// The connections to one backend server.
+/// Connections to one backend server.
 #[derive(Clone, Debug)]
 pub(super) struct ServerPool {
     pub(super) configured: bool,
     pub(super) leaving: bool,
     pub(super) reachable: bool,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, the most recently used last.
     pub(super) idle: Vec<ConnectionId>,
     pub(super) busy: usize,
     pub(super) opening: usize,
-    /// Time at which a connection last opened.
+    /// Time at which a connection was last opened.
     pub(super) last_opened: Time,
-    /// Time at which an attempt was last answered.
+    /// Time of the last reply.
     pub(super) last_answered: Time,
     /// Latest time at which an attempt was sent that has been answered.
     pub(super) latest_answered_send: Time,
-    /// Most connections needed at once, lately.
+    /// Recent maximum of concurrent demand.
     peak: usize,
-    /// Needs that found no idle connection, since the last that did.
+    /// Requests that have found no idle connection since the last one that did.
     misses: usize,
     peak_changed_at: Time,
     /// Time after which the peak shrinks.
     idle_time: Duration,
-    /// Connects that failed in a row.
+    /// Consecutive failed connects.
     failures: u32,
     paused_until: Option<Time>,
 }
@@ -64,7 +64,7 @@
         Self {
             configured: true,
             leaving: false,
-            // Until a connect has failed nothing speaks against the server.
+            // Servers count as reachable until a connect fails.
             reachable: true,
             idle: Vec::new(),
             busy: 0,
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Another start is at the address: failures to connect were the earlier one's.
+    /// Resets the state after the server's process was replaced, except for connections in use and
+    /// being opened.
     pub(super) fn replaced(&mut self, now: Time) {
         *self = Self {
             configured: self.configured,
@@ -96,7 +97,7 @@
         self.idle.len() + self.busy + self.opening
     }
 
-    /// Tells whether a removed server's last connection has gone.
+    /// Returns whether the server was removed and has no connections left.
     pub(super) fn is_finished(&self) -> bool {
         !self.configured && self.len() == 0
     }
@@ -112,7 +113,7 @@
         self.raise_peak(self.busy + self.misses, now);
     }
 
-    /// Takes back a connection on which an attempt sent at `sent` was answered.
+    /// Returns a connection to the pool after a reply to the attempt sent at `sent`.
     pub(super) fn released(&mut self, id: ConnectionId, sent: Time, now: Time) {
         self.busy = self.busy.saturating_sub(1);
         self.idle.push(id);
@@ -134,11 +135,11 @@
         self.reachable = true;
     }
 
-    /// Takes out a connection that has ended by itself.
+    /// Removes a connection that has ended.
     ///
-    /// A failed connect with none left makes the server unreachable, and so does the loss of the
-    /// last connection under an attempt. One lost connection among others says nothing of the
-    /// server, and an idle one may simply have been closed by it.
+    /// The server becomes unreachable if no open connection is left after a failed connect or a
+    /// loss during an attempt. The loss of an idle connection doesn't change that, because the
+    /// server may just have closed it.
     pub(super) fn closed(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
         self.remove(id, connection);
         let left = self.idle.len() + self.busy;
@@ -152,15 +153,16 @@
         }
     }
 
-    /// Takes out a new connection that the server has ended at once. With others open it is left
-    /// alone for longer: it serves over those, and each try takes one of its slots for a while.
+    /// Removes a new connection that the server closed immediately. If others are open, connects
+    /// are paused for longer: the server can be used through those, and each new connect occupies
+    /// one of its connections for a while.
     pub(super) fn rejected(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
         self.remove(id, connection);
         if self.idle.len() + self.busy > 0 {
             self.connection_limit_reached(now);
             return;
         }
-        // It is well, and has room again as soon as another home gives some up.
+        // The server is healthy, and accepts connections again when another home closes some.
         self.failures = self.failures.min(MAX_REJECTED_DOUBLINGS);
         self.pause(now);
         self.reachable = false;
@@ -178,13 +180,13 @@
         self.paused_until = self.paused_until.max(Some(now + LIMIT_PAUSE));
     }
 
-    /// Lets time act: a pause ends, the peak shrinks.
+    /// Updates the timers: ends an expired pause and shrinks the peak.
     pub(super) fn advance(&mut self, limits: Limits, now: Time) {
         self.paused_until = self.paused_until.filter(|until| now < *until);
         self.peak = self.peak.min(limits.max);
         self.idle_time = limits.idle_time;
         if !self.idle.is_empty() {
-            // What waited has had its chance.
+            // Waiting requests have had a chance to take the idle connection.
             self.misses = 0;
         }
         if now >= self.peak_changed_at + self.idle_time && self.peak > self.demand() {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Returns how many connections are to be opened now.
+    /// Returns the number of connections to open now.
     pub(super) fn to_open(&self, limits: Limits, now: Time) -> usize {
         let wanted = self.configured && !self.leaving;
         if !wanted || self.paused_until.is_some_and(|until| now < until) {
@@ -205,7 +207,8 @@
             .min(max_opening.saturating_sub(self.opening))
     }
 
-    /// Returns the idle connection to be closed now, if there is one too many.
+    /// Returns the least recently used idle connection if there are more connections than the
+    /// target.
     pub(super) fn excess_idle(&self, limits: Limits) -> Option<ConnectionId> {
         let wanted = self.configured && !self.leaving;
         let target = if wanted { self.target(limits) } else { 0 };
@@ -213,7 +216,7 @@
         oldest.filter(|_| self.len() > target)
     }
 
-    /// Tells whether time alone has given it something to do.
+    /// Returns whether a timer has expired.
     pub(super) fn is_due(&self, now: Time) -> bool {
         self.next_wake().is_some_and(|next_wake| next_wake <= now)
     }
@@ -228,8 +231,8 @@
         need.max(limits.min_idle).min(limits.max)
     }
 
-    /// Returns the connections in use, and those that are waited for. Without the latter, where nothing is held without
-    /// need the need would be over before a connection is asked for, and what waits would never be sent.
+    /// Returns the connections in use plus the misses. Without the misses, the peak could shrink
+    /// before a connection is opened for a waiting request, and the request would never be sent.
     fn demand(&self) -> usize {
         self.busy + self.misses
     }
@@ -241,7 +244,8 @@
         }
     }
 
-    /// Leaves the server alone after a failed connect. What waited for it goes elsewhere, or waits for one in use.
+    /// Pauses connects after a failure. Waiting requests go to another server or wait for a
+    /// connection in use.
     fn pause(&mut self, now: Time) {
         self.misses = 0;
         let time = BASE_PAUSE * 2_u32.pow(self.failures.min(MAX_PAUSE_DOUBLINGS));
--- a/crates/decision/src/backend/pool/silence.rs
+++ b/crates/decision/src/backend/pool/silence.rs
@@ -1,9 +1,9 @@
-//! Connections that went silent.
+//! Detection of silent connections.
 //!
-//! Something between the two ends can lose track of an open connection: what is sent on it gets no
-//! answer and no error, for good, while new connections to the same server work. Blaming the server
-//! would take a healthy replica out, seen as all homes marking servers down after a restart of a
-//! network element. What tells the two apart is the other connections to the same server.
+//! A middlebox may lose track of an open connection. Requests sent on it then get neither a reply
+//! nor an error, while new connections to the same server work. This must not be blamed on the
+//! server, or healthy replicas would be taken out of use after a restart of a network element. The
+//! other connections to the same server make the difference.
 
 use super::connection::State;
 use super::{Connection, Pool};
@@ -11,27 +11,27 @@
 use crate::attempt::ConnectionId;
 use std::time::Duration;
 
-/// Multiple of the silence_timeout after which a mere new connection, without an answer on it, is proof
-/// enough where nothing at all was answered meanwhile: all older connections may be silent.
+/// Multiple of the silence timeout after which a newly opened connection is sufficient evidence, if
+/// no reply has arrived since: all older connections may be silent.
 const UNANSWERED_FACTOR: u32 = 4;
 
-/// How a busy connection stands.
+/// Health of a busy connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Nothing out of the ordinary.
+    /// No reply is overdue.
     Healthy,
-    /// No answer within the silence_timeout, and no proof of why.
+    /// No reply within the silence timeout, for unknown reasons.
     Overdue,
-    /// Its attempt was overtaken: the connection is silent.
+    /// The connection is silent: a later attempt at the same server was answered first.
     Silent,
 }
 
 impl Pool {
-    /// Looks at a busy connection. It is silent if it is overdue by the `silence_timeout` with its server
-    /// and an attempt that was sent later to the same server has been answered.
+    /// Returns the health of a busy connection. It is silent if its reply is overdue and an attempt
+    /// that was sent later to the same server has been answered.
     ///
-    /// That one was sent later is the point: a server that is slow, or that pauses, answers in about
-    /// the order of sending, and its connections must not be closed for it.
+    /// A slow or paused server answers approximately in the order of sending, so its connections
+    /// don't count as silent.
     pub fn health(&self, id: ConnectionId, silence_timeout: Duration, now: Time) -> Health {
         let Some(connection) = self.connections.get(&id) else {
             return Health::Healthy;
@@ -55,16 +55,16 @@
         }
     }
 
-    /// Gives up a silent connection, and with it the idle ones to the same server that were not
-    /// seen to work since the attempt was put on it.
+    /// Discards a silent connection, together with the idle connections to the same server that
+    /// were not verified since the attempt was sent.
     pub fn discard_silent(&mut self, id: ConnectionId, now: Time) {
         self.discard_unverified(id, now);
         self.discard(id, now);
     }
 
-    /// Gives up the idle connections to the server of a busy one that were not seen to work since
-    /// the attempt was put on that: what lost track of the one has probably lost track of them too,
-    /// and each would cost a further request its silence_timeout.
+    /// Discards the idle connections to the server of a busy one that were not verified since its
+    /// attempt was sent. They have probably become silent too, and each would delay another request
+    /// by the silence timeout.
     pub fn discard_unverified(&mut self, id: ConnectionId, now: Time) {
         let Some(connection) = self.connections.get(&id) else {
             return;
--- a/crates/decision/src/backend/probe.rs
+++ b/crates/decision/src/backend/probe.rs
@@ -1,21 +1,21 @@
-//! Whether the next attempt goes to a server to find out about it.
+//! Probes of a server that has overdue attempts.
 
 use crate::Time;
 use std::time::Duration;
 
-/// How often the pause between two probes without an answer doubles.
+/// Maximum number of doublings of the pause between probes.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Probes of a server that has attempts overdue.
+/// Decides whether the next attempt should go to a server as a probe.
 ///
-/// Each probe is an attempt that had to be made anyway, so that probing adds no load; but it is lost
-/// time for its request where the server hangs. The pauses therefore grow.
+/// Probes are ordinary attempts, so they add no load, but each one may stall its request. Pauses
+/// between probes without a reply grow exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Probe {
     requested: bool,
-    /// Probes since the last answer.
+    /// Probes since the last reply.
     unanswered: u32,
-    /// Time before which none is wanted.
+    /// Time before which no further probe is requested.
     not_before: Time,
 }
 
@@ -24,7 +24,7 @@
         self.requested
     }
 
-    /// Takes in that an attempt was found overdue by the `silence_timeout` with the server.
+    /// Requests a probe after an attempt has exceeded the silence timeout.
     pub(crate) fn request(&mut self, silence_timeout: Duration, now: Time) {
         if now < self.not_before {
             return;
@@ -35,12 +35,12 @@
         self.not_before = now + pause;
     }
 
-    /// Takes in that an attempt was sent.
+    /// Records that an attempt was sent, which serves as the probe.
     pub(crate) fn sent(&mut self) {
         self.requested = false;
     }
 
-    /// Takes in that an attempt was answered.
+    /// Records a reply, which resets the pause.
     pub(crate) fn answered(&mut self) {
         self.unanswered = 0;
     }
--- a/crates/decision/src/backend/ramp.rs
+++ b/crates/decision/src/backend/ramp.rs
@@ -1,11 +1,10 @@
-//! Ramp of a cold server, or of one that has just shed load.
+//! Ramp-up of a cold server, or of one that has just shed load.
 //!
-//! A server that started a moment ago has empty caches: given its full share at once it answers
-//! slowly or refuses, seen as a latency peak after each restart. The ramp allows one attempt at
-//! first and one more after as many replies as are allowed at once, which doubles the limit per
-//! round trip and is over in a few dozen replies.
+//! A server that has just started has empty caches and would respond slowly, or refuse requests,
+//! under its full load. The limit starts at one outstanding attempt and doubles with each round
+//! trip.
 
-/// Limit on own outstanding attempts that grows with replies.
+/// Limit on outstanding attempts of this home that grows with replies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ramp {
     limit: f64,
@@ -17,7 +16,7 @@
         Self { limit: 1.0 }
     }
 
-    /// Starts at half of what was outstanding.
+    /// Starts at half of the outstanding attempts.
     pub(crate) fn halved(outstanding: usize) -> Self {
         Self {
             limit: (outstanding as f64 / 2.0).max(1.0),
@@ -28,7 +27,7 @@
         self.limit as usize
     }
 
-    /// Records a reply. Returns `None` once the ramp has reached `ceiling`.
+    /// Records a reply. Returns `None` once the limit has reached `ceiling`.
     pub(crate) fn replied(self, ceiling: usize) -> Option<Self> {
         let limit = self.limit + 1.0 / self.limit;
         (limit < ceiling as f64).then_some(Self { limit })
--- a/crates/decision/src/backend/server.rs
+++ b/crates/decision/src/backend/server.rs
@@ -1,4 +1,4 @@
-//! State of one backend server at one home.
+//! State of one backend server as seen by one home.
 
 use super::baseline::Baseline;
 use super::cold::WarmUp;
@@ -11,40 +11,40 @@
 use monsoonring_configuration::id::{Incarnation, IndexVersion};
 use std::time::Duration;
 
-/// Weight of a new work time in the mean.
+/// Weight of a new sample in the mean service time.
 const SERVICE_TIME_GAIN: f64 = 0.05;
 
-/// Weight of a new latency in the recent mean.
+/// Weight of a new sample in the recent latency.
 const RECENT_LATENCY_GAIN: f64 = 0.2;
 
-/// Multiple of what is usual in its group from which a latency is out of the ordinary, and the weight of such a one
-/// that follows another: a server that has turned slow by ten shows after two attempts in place of four,
-/// and one attempt that met a pause moves nothing.
+/// Ratio to the group's median above which a latency is an outlier, and the weight of an outlier
+/// that follows another one. A single outlier has the usual weight, while a server that has become
+/// slow is detected after two attempts.
 const OUTLIER_RATIO: f64 = 2.5;
 const REPEATED_OUTLIER_GAIN: f64 = 0.6;
 
-/// Weight of a new attempt in the share of those that failed.
+/// Weight of a new attempt in the failure rate.
 const FAILURE_RATE_GAIN: f64 = 0.2;
 
-/// Time after which a share of failed attempts has halved. A server that is avoided for it is tried
-/// again by a real request about once a second, and one that has recovered is in use again as soon
-/// as a few of these succeed.
+/// Half-life of the failure rate. An avoided server is tried again as its rate decays, and a few
+/// successes bring it back into use.
 const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Time after which what a server reported of others' load has halved.
+/// Half-life of the reported load of other homes.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(200);
 
-/// Age up to which a report tells how a server stands.
+/// Age up to which a load report counts as recent.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
 
-/// Cap on a reported queueing delay, as a multiple of the recent latency. Reports run ahead of latencies while a queue builds up.
+/// Cap on a reported queueing delay, as a multiple of the recent latency. Reports rise before
+/// latencies do while a queue builds up.
 const MAX_REPORTED_WAIT_RATIO: f64 = 3.0;
 
-/// Share of an attempt that still counts as load while it is being cancelled: most servers drop a
-/// queued attempt at once and end a running one soon.
+/// Load that an attempt being cancelled still counts for: most servers drop a queued attempt
+/// immediately and stop a running one soon.
 const CANCELLING_WEIGHT: f64 = 0.5;
 
-/// Load that others have at a server, by its last report.
+/// Load from other homes, by the last report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) others: f64,
@@ -55,36 +55,36 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     pub(crate) group: usize,
-    /// Whether the configuration names it; otherwise it only finishes its attempts.
+    /// Whether the server is in the configuration. One that was removed only finishes its attempts.
     pub(crate) configured: bool,
     pub(crate) reachable: bool,
-    /// Whether it is in another data centre than this home.
+    /// Whether the server is in another data centre than this home.
     pub(crate) far: bool,
     pub(crate) outstanding: usize,
     pub(crate) cancelling: usize,
-    /// Own attempts that take far longer than is usual here.
+    /// Outstanding attempts that have exceeded the silence timeout.
     pub(crate) overdue: usize,
     pub(crate) latency: Latency,
     pub(crate) load_regression: LoadRegression,
     pub(crate) last_report: Option<ReportedLoad>,
     pub(crate) ramp: Option<Ramp>,
-    /// Where it is cold, or was: what is sent to it in a second is bounded.
+    /// Rate limit while the server is cold.
     pub(crate) warm_up: Option<WarmUp>,
     pub(crate) probe: Probe,
     pub(crate) back_off: Option<Time>,
-    /// Refusals for load since the last reply.
+    /// Consecutive refusals because of load.
     pub(crate) sheds: u32,
     pub(crate) start: Option<Incarnation>,
     pub(crate) versions: Vec<IndexVersion>,
-    /// A connection was lost under an attempt, and no sign of the process was seen since.
+    /// Whether a connection was lost during an attempt and no report has arrived since.
     pub(crate) connection_lost: bool,
-    /// Share of the recent attempts that failed, and when that was last added to.
+    /// Failure rate of recent attempts, and when it was last updated.
     failure_rate: Option<(f64, Time)>,
-    /// Recent mean latency, in seconds, and when it was last added to.
+    /// Moving average of latency in seconds, and when it was last updated.
     pub(crate) recent_latency: Option<(f64, Time)>,
-    /// Whether the last latency was out of the ordinary.
+    /// Whether the last latency was an outlier.
     last_was_outlier: bool,
-    /// Mean work time without waiting, in seconds.
+    /// Mean service time in seconds, without queueing.
     service_time: Option<f64>,
 }
 
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Makes a server that may be cold.
+    /// Sets the rate limit of a cold server.
     pub(crate) fn with_warm_up(self, warm_up: Option<WarmUp>) -> Self {
         Self { warm_up, ..self }
     }
 
-    /// Returns the state of a new start at the same address: what is outstanding stays so.
+    /// Returns the state after a restart of the server's process; outstanding attempts are kept.
     pub(crate) fn restarted(&self) -> Self {
         Self {
             configured: self.configured,
@@ -133,18 +133,19 @@
         }
     }
 
-    /// Returns own load: attempts outstanding, those being cancelled counted in part.
+    /// Returns the load of this home: outstanding attempts, with those being cancelled counted in
+    /// part.
     pub(crate) fn own_load(&self) -> f64 {
         let discount = (1.0 - CANCELLING_WEIGHT) * self.cancelling as f64;
         self.outstanding as f64 - discount
     }
 
-    /// Returns how many own attempts may be outstanding, out of `share` connections.
+    /// Returns the limit on outstanding attempts of this home, given its share of connections.
     pub(crate) fn limit(&self, share: usize) -> usize {
         self.ramp.map_or(share, |ramp| ramp.limit().min(share))
     }
 
-    /// Tells whether it can take an attempt now, as far as it is itself concerned.
+    /// Returns whether the server can take an attempt, apart from leaving and cold-server limits.
     pub(crate) fn is_open(&self, share: usize, now: Time) -> bool {
         self.configured
             && self.reachable
@@ -152,18 +153,18 @@
             && self.outstanding < self.limit(share)
     }
 
-    /// Tells whether it may serve `version`; a server that never named its versions may.
+    /// Returns whether the server may serve `version`; true if its versions are unknown.
     pub(crate) fn serves(&self, version: Option<IndexVersion>) -> bool {
         version.is_none_or(|version| self.versions.is_empty() || self.versions.contains(&version))
     }
 
-    /// Returns the mean work time, where it is known.
+    /// Returns the mean service time, if known.
     pub(crate) fn service_time(&self) -> Option<Duration> {
         self.service_time.map(Duration::from_secs_f64)
     }
 
-    /// Records the latency of an attempt that left when `load` attempts of all homes were at the
-    /// server's slots, where this is `usual` in its group.
+    /// Records the latency of an attempt that was sent when the server had `load` attempts from all
+    /// homes.
     pub(crate) fn record_latency(
         &mut self,
         latency: Duration,
@@ -174,7 +175,7 @@
         self.latency.record(latency);
         let slots = baseline.slots;
         let seconds = latency.as_secs_f64();
-        // Behind `load` others each slot works off `load / slots` attempts before this one ends.
+        // Each slot completes `load / slots` other attempts before this one ends.
         let service_time = seconds / ((load + 1.0) / slots).max(1.0);
         self.service_time = Some(ewma(self.service_time, service_time, SERVICE_TIME_GAIN));
         let recent = self.recent_latency.map(|(recent, _)| recent);
@@ -187,14 +188,14 @@
         self.recent_latency = Some((ewma(recent, seconds, gain), now));
     }
 
-    /// Records whether an attempt failed by the server's doing.
+    /// Updates the failure rate with an attempt that failed because of the server or succeeded.
     pub(crate) fn record_outcome(&mut self, failed: bool, now: Time) {
         let value = if failed { 1.0 } else { 0.0 };
         let share = ewma(Some(self.failure_rate(now)), value, FAILURE_RATE_GAIN);
         self.failure_rate = Some((share, now));
     }
 
-    /// Returns the share of the recent attempts that failed, less the longer ago they were.
+    /// Returns the failure rate of recent attempts, decayed since the last one.
     pub(crate) fn failure_rate(&self, now: Time) -> f64 {
         let Some((share, at)) = self.failure_rate else {
             return 0.0;
@@ -203,8 +204,8 @@
         share * (-age / FAILURE_RATE_HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    /// Returns the queueing delay of a new attempt here, by the last report and this home's own attempts. It is capped by a multiple of
-    /// the recent latency: a server that reports a long queue and answers quickly reports wrongly.
+    /// Returns the queueing delay of a new attempt by the last load report. It is capped by a
+    /// multiple of the recent latency, since a server that replies quickly can't have a long queue.
     pub(crate) fn reported_wait(&self, baseline: Baseline, now: Time) -> Duration {
         let own = baseline.wait(self.own_load());
         let reported = baseline.wait(self.reported_load(now));
@@ -212,13 +213,13 @@
         reported.min(own.max(Duration::from_secs_f64(recent * MAX_REPORTED_WAIT_RATIO)))
     }
 
-    /// Tells whether it has reported its load recently.
+    /// Returns whether the server has reported its load recently.
     pub(crate) fn has_recent_report(&self, now: Time) -> bool {
         self.last_report
             .is_some_and(|report| now.saturating_sub(report.at) < MAX_REPORT_AGE)
     }
 
-    /// Returns the attempts of all homes here, by its last report and what this home has here.
+    /// Returns the load from all homes: this home's own, plus the decayed report about the others.
     pub(crate) fn reported_load(&self, now: Time) -> f64 {
         let Some(report) = self.last_report else {
             return self.own_load();
@@ -228,14 +229,14 @@
         self.own_load() + report.others * decay
     }
 
-    /// Takes in the load that the server reports.
+    /// Records the load in a report. The load beyond this home's own is attributed to other homes.
     pub(crate) fn record_load(&mut self, load: Load, now: Time) {
         let all = f64::from(load.busy) + f64::from(load.queued);
         let others = (all - self.own_load()).max(0.0);
         self.last_report = Some(ReportedLoad { others, at: now });
     }
 
-    /// Takes in the index versions that the server reports.
+    /// Records the index versions in a report, if it has any.
     pub(crate) fn record_versions(&mut self, report: &Report) {
         if !report.index_versions.is_empty() {
             self.versions.clone_from(&report.index_versions);
--- a/crates/decision/src/backend/snapshot.rs
+++ b/crates/decision/src/backend/snapshot.rs
@@ -1,4 +1,4 @@
-//! State of the backend servers, for operators.
+//! Snapshot of the backend servers for operators.
 
 use super::fleet::Fleet;
 use super::server::Server;
@@ -7,35 +7,35 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// State of one backend server, for operators.
+/// State of one backend server, shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// The server.
+    /// Id of the server.
     pub server: BackendServerId,
-    /// Whether connections to it can be made.
+    /// Whether the server can be connected to.
     pub reachable: bool,
-    /// Whether it is leaving.
+    /// Whether the server is leaving and gets no new attempts.
     pub leaving: bool,
-    /// Start number of its process, as far as known.
+    /// Incarnation of its process; `None` if unknown.
     pub start: Option<Incarnation>,
-    /// Own attempts outstanding.
+    /// Outstanding attempts of this home.
     pub outstanding: usize,
-    /// Own attempts that may be outstanding at once.
+    /// Limit on outstanding attempts of this home.
     pub limit: usize,
-    /// Weight given to its load reports, from 0 to 1.
+    /// Weight of its load reports, from 0 to 1.
     pub trust: f64,
-    /// Median of its latency, in milliseconds.
+    /// Median latency in milliseconds.
     pub median_ms: f64,
-    /// 95th percentile of its latency, in milliseconds.
+    /// 95th percentile of latency in milliseconds.
     pub p95_ms: f64,
-    /// Index versions that it serves, as far as known.
+    /// Index versions that it serves; empty if unknown.
     pub versions: Vec<IndexVersion>,
-    /// Milliseconds for which it gets no new work because it shed load.
+    /// Remaining back-off after shedding load, in milliseconds.
     pub back_off_ms: u64,
 }
 
 impl Fleet {
-    /// Returns the state of every server, for operators.
+    /// Returns a snapshot of every server, ordered by id.
     pub fn snapshot(&self, now: Time) -> Vec<Snapshot> {
         let servers = self.servers.iter();
         let mut snapshots: Vec<Snapshot> = servers
--- a/crates/decision/src/backend/suspect.rs
+++ b/crates/decision/src/backend/suspect.rs
@@ -1,24 +1,22 @@
-//! Requests that crash the backend servers that run them.
+//! Detection of requests that crash the backend servers that run them.
 //!
-//! A server that dies under several requests was crashed by at most one of them. Its death is
-//! shared out over the fingerprints that were running on it, in proportion to the evidence that
-//! each has already: a request that was there before takes most of the blame, and a first death
-//! under many requests says little about any one. A request that was running alone takes it all.
+//! The death of a server is blamed on the fingerprints that were running there, in proportion to
+//! the evidence that each already has. A request that ran alone gets the full blame; a first death
+//! with many requests running says little about each of them.
 //!
-//! A fingerprint with evidence is quarantined: no hedge, no retry, one attempt at a time, so that
-//! it meets the next server alone or nearly so. Evidence of two deaths that adds up to more than
-//! one refuses it, be it of two servers or of one that was started again: a group may have only one. Deaths at the same moment, as of a rack, count once for requests that were
-//! not alone: the requests of that moment ran on all those servers, and none of them did it.
+//! A fingerprint with evidence is quarantined: no hedges or retries, and one attempt at a time, so
+//! that it runs alone on the next server if possible. It is refused when the evidence from two
+//! deaths adds up to more than one. Both may be deaths of the same server, since a group may have
+//! just one. Simultaneous deaths, such as a rack failure, count once unless the request ran alone.
 //!
-//! What counts as a death depends on what can be known. A home that has most of a server's requests
-//! takes a lost connection for one ([`CrashSignal::ConnectionLost`]). Where many homes share a server and nothing in
-//! its replies tells its processes apart, a connection may be lost for many reasons, and only a
-//! server that can't be connected to any more counts as dead ([`CrashSignal::ConnectFailed`]). Without that,
-//! a network that resets connections would get hundreds of harmless requests refused for a minute
-//! each.
+//! The evidence of a death depends on the deployment ([`CrashSignal`]). A home that sends most of a
+//! server's requests takes a lost connection as a death. If many homes share a server and its
+//! replies don't identify the process, connections may be lost for other reasons, and the death
+//! must be confirmed by a failed connect. Otherwise a network that resets connections would get
+//! harmless requests refused.
 //!
-//! A success of the fingerprint on a replica of the dead server clears it, and so does a sign of
-//! life of the process whose connection was lost.
+//! A success on a replica of the dead server clears the fingerprint, and so does a report from the
+//! process whose connection was lost.
 
 use crate::attempt::AttemptId;
 use crate::{Fingerprint, Time};
@@ -30,51 +28,52 @@
 /// Evidence from which a fingerprint is refused, in deaths.
 const MIN_REFUSAL_WEIGHT: f64 = 1.2;
 
-/// Distinct deaths that the evidence must come from.
+/// Minimum number of deaths that contribute to the evidence.
 const MIN_DEATHS: usize = 2;
 
-/// Time for which a fingerprint is refused; it doubles with each further death, up to a bound.
+/// Time for which a fingerprint is refused; it doubles with each further death up to the maximum.
 const REFUSAL_TIME: Duration = Duration::from_secs(60);
 const MAX_REFUSAL_TIME: Duration = Duration::from_secs(600);
 
 /// Time for which evidence counts.
 const EVIDENCE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Losses this close together are one moment: the connections of a server that died end one by one.
+/// Deaths within this time are simultaneous: connections of a dead server are lost one after
+/// another.
 const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(500);
 
-/// An attempt sent this long after a loss at its server met another process: all connections to the
-/// dead one had ended. It is short, as a server may be back within a moment and be crashed again.
+/// Time after a loss from which attempts at the same server reach a new process: all connections to
+/// the dead one are closed by then. Kept short, since a server may restart and crash again quickly.
 const SAME_DEATH_WINDOW: Duration = Duration::from_millis(100);
 
-/// Evidence that a fingerprint without any is taken to have when a death is shared out.
+/// Evidence assumed for a fingerprint without any when blame is apportioned.
 const PRIOR_WEIGHT: f64 = 0.1;
 
-/// Time for which a lost connection waits for the crash_signal that its server died.
+/// Time for which a lost connection waits for a confirmation of the server's death.
 const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(10);
 
-/// What proves that a server died.
+/// What counts as the death of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CrashSignal {
-    /// The loss of a connection under an attempt.
+    /// A connection lost during an attempt.
     #[default]
     ConnectionLost,
-    /// A connect that failed after such a loss.
+    /// A failed connect after such a loss.
     ConnectFailed,
 }
 
-/// What may be done with requests of a fingerprint.
+/// Whether requests with a fingerprint may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing speaks against it.
+    /// No evidence: requests may be sent.
     Clear,
-    /// It may have crashed a server: no hedge, no retry, one attempt at a time.
+    /// May have crashed a server: no hedges or retries, one attempt at a time.
     Quarantined,
-    /// It crashes servers: refused until the given time.
+    /// Crashes servers: refused until the given time.
     Refused(Time),
 }
 
-/// Evidence against fingerprints.
+/// Collects evidence against fingerprints.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     crash_signal: CrashSignal,
@@ -89,11 +88,11 @@
     fingerprint: Fingerprint,
     server: BackendServerId,
     sent: Time,
-    /// Whether it was sent in quarantine.
+    /// Whether the attempt was sent in quarantine.
     in_quarantine: bool,
 }
 
-/// The blame for the last death of a server, fixed when its first connection was lost.
+/// The latest death of a server. Blame is apportioned when the first connection is lost.
 #[derive(Clone, Debug)]
 struct Death {
     at: Time,
@@ -105,17 +104,17 @@
     server: BackendServerId,
     weight: f64,
     at: Time,
-    /// Whether the death is proved; it counts for nothing before.
+    /// Whether the death is confirmed; unconfirmed evidence does not count.
     confirmed: bool,
 }
 
 impl Detector {
-    /// Makes a table without evidence.
+    /// Creates a detector that takes lost connections for deaths.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes a table without evidence that takes `crash_signal` for a death.
+    /// Creates a detector that takes `crash_signal` for a death.
     pub fn with_crash_signal(crash_signal: CrashSignal) -> Self {
         Self {
             crash_signal,
@@ -123,8 +122,8 @@
         }
     }
 
-    /// Records that a server can't be connected to. Returns the fingerprints that are refused from
-    /// now on, and for how long.
+    /// Records that a server can't be connected to, which confirms its death. Returns the
+    /// fingerprints that are refused from now on, each with the duration.
     pub fn unreachable(
         &mut self,
         server: BackendServerId,
@@ -149,7 +148,7 @@
             .collect()
     }
 
-    /// Returns what may be done with requests of a fingerprint.
+    /// Returns whether requests with a fingerprint may be sent.
     pub fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
         let refused = self.refused.get(&fingerprint);
         if let Some(until) = refused.copied().filter(|until| now < *until) {
@@ -161,8 +160,8 @@
         }
     }
 
-    /// Tells whether another attempt of this fingerprint may be sent now: always when it is clear,
-    /// one at a time in quarantine, never when refused.
+    /// Returns whether another attempt may be sent now: always for a clear fingerprint, one at a
+    /// time in quarantine, never when refused.
     pub fn may_send(&self, fingerprint: Fingerprint, now: Time) -> bool {
         match self.status(fingerprint, now) {
             Status::Clear => true,
@@ -188,8 +187,8 @@
         self.running.insert(attempt, running);
     }
 
-    /// Records that an attempt was answered, which clears the evidence of the servers in
-    /// `replicas`, those that hold the same part of the data.
+    /// Records that an attempt succeeded. This clears the evidence from its server and from the
+    /// other `replicas` of the shard.
     pub fn succeeded(&mut self, attempt: AttemptId, replicas: &[BackendServerId], _now: Time) {
         let Some(running) = self.running.remove(&attempt) else {
             return;
@@ -199,14 +198,14 @@
         });
     }
 
-    /// Records that an attempt ended in a way that says nothing about crashes.
+    /// Records that an attempt ended without information about crashes.
     pub fn ended(&mut self, attempt: AttemptId, _now: Time) {
         self.running.remove(&attempt);
     }
 
-    /// Records that the connection of an attempt was lost while it may have been running. Returns
-    /// how long its fingerprint is refused from now on, if that is new: the other homes are to be
-    /// told.
+    /// Records that a connection was lost while an attempt may have been running. Returns the
+    /// fingerprint and the duration for which it is refused, if that is new; other homes must then
+    /// be notified.
     pub fn lost(&mut self, attempt: AttemptId, now: Time) -> Option<(Fingerprint, Duration)> {
         let Running {
             fingerprint,
@@ -217,8 +216,8 @@
         let weight = self.blame_for(fingerprint, server, sent, now);
         self.running.remove(&attempt);
         let all = self.evidence.entry(fingerprint).or_default();
-        // A second attempt of the same request at the same server tells of the same death, unless it
-        // met another process.
+        // Several attempts of one request at the same server are evidence of the same death, unless
+        // a later one reached a new process.
         let is_same = |one: &Evidence| one.server == server && sent < one.at + SAME_DEATH_WINDOW;
         all.retain(|evidence| !is_same(evidence));
         all.push(Evidence {
@@ -230,7 +229,7 @@
         self.refuse_if_due(fingerprint, now)
     }
 
-    /// Withdraws the evidence of a server whose process turned out to be alive.
+    /// Removes the evidence from a server whose process is still running.
     pub fn survived(&mut self, server: BackendServerId, _now: Time) {
         self.deaths.remove(&server);
         let fingerprints: Vec<Fingerprint> = self.evidence.keys().copied().collect();
@@ -239,14 +238,14 @@
         }
     }
 
-    /// Takes over another home's finding.
+    /// Applies a refusal that another home has decided.
     pub fn apply_refusal(&mut self, fingerprint: Fingerprint, until: Time, now: Time) {
         let until = until.min(now + MAX_REFUSAL_TIME);
         let refused = self.refused.entry(fingerprint).or_insert(until);
         *refused = until.max(*refused);
     }
 
-    /// Drops what is out of date.
+    /// Drops expired refusals, deaths and evidence.
     pub fn tick(&mut self, now: Time) {
         self.refused.retain(|_, until| now < *until);
         self.deaths
@@ -260,16 +259,15 @@
         });
     }
 
-    /// Tells whether an attempt that was sent in quarantine is running. Those sent before don't
-    /// count: they are out already, and a search that lost one connection would otherwise wait for
-    /// its slowest group before it may ask another replica, seen as a tail with each server that
-    /// is replaced.
+    /// Returns whether an attempt sent in quarantine is running. Attempts sent earlier don't count:
+    /// otherwise a search that lost a connection would wait for its slowest group before it can
+    /// retry on another replica.
     fn has_quarantined_attempt(&self, fingerprint: Fingerprint) -> bool {
         let mut running = self.running.values();
         running.any(|running| running.in_quarantine && running.fingerprint == fingerprint)
     }
 
-    /// Returns the share of a fingerprint in the death of a server.
+    /// Returns a fingerprint's part of the blame for the death of a server.
     fn blame_for(
         &mut self,
         fingerprint: Fingerprint,
@@ -286,7 +284,7 @@
             self.deaths.insert(server, death);
         }
         let death = self.deaths.get(&server);
-        // Without a share it was sent after the death: it came upon a dead server.
+        // No part: the attempt was sent after the death, to a dead server.
         death.map_or(0.0, |death| {
             death.blame.get(&fingerprint).copied().unwrap_or(0.0)
         })
@@ -307,8 +305,8 @@
         }
     }
 
-    /// Returns the evidence against a fingerprint, in deaths. Deaths of one moment count once,
-    /// unless nothing else was running.
+    /// Returns the evidence against a fingerprint, in deaths. Simultaneous deaths count once unless
+    /// the request ran alone.
     fn weight(&self, fingerprint: Fingerprint, now: Time) -> f64 {
         let Some(all) = self.evidence.get(&fingerprint) else {
             return 0.0;
@@ -317,7 +315,7 @@
         let mut window: Option<(Time, f64)> = None;
         let counts = |one: &&Evidence| one.confirmed && now < one.at + EVIDENCE_RETENTION;
         for evidence in all.iter().filter(counts) {
-            // Who knows few of a server's requests can't know that one was alone there.
+            // A home that sends only a part of a server's requests can't tell that one ran alone.
             if evidence.weight >= 1.0 && self.crash_signal == CrashSignal::ConnectionLost {
                 sum += evidence.weight;
                 continue;
--- a/crates/decision/src/backend/verdict.rs
+++ b/crates/decision/src/backend/verdict.rs
@@ -1,33 +1,33 @@
-//! What an event says about a server, its connection and the request.
+//! Conclusions from the outcome of an attempt about the server, its connection and the request.
 
 use crate::Time;
 use monsoonring_configuration::id::BackendServerId;
 
-/// What the failure of an attempt means.
+/// Consequences of a failed attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// The server of the attempt; `None` where the attempt is not known.
+    /// Server of the attempt; `None` for an unknown attempt.
     pub server: Option<BackendServerId>,
-    /// Whether the connection can't be used again.
+    /// Whether the connection can't be reused.
     pub discard_connection: bool,
-    /// Whether the request provably did not run.
+    /// Whether it is certain that the request did not run.
     pub not_run: bool,
     /// Whether the request may have crashed the server.
     pub crash_evidence: bool,
-    /// Time until which the server gets no new work.
+    /// End of the back-off during which the server gets no new attempts.
     pub back_off: Option<Time>,
-    /// What is new in what the server said of itself.
+    /// Changes in the status that the server reports.
     pub status_change: StatusChange,
 }
 
-/// What is new in something that a server said of itself.
+/// Changes in the status that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StatusChange {
-    /// First sign that the server is leaving: the other homes are to be told.
+    /// The server is reported as leaving for the first time; other homes must be notified.
     pub leaving: bool,
-    /// The server has a higher start number than before.
+    /// The server reported a higher incarnation than before.
     pub restarted: bool,
-    /// The process that lost a connection still runs: the loss was no crash, and
-    /// [`suspect::Detector::survived`](super::suspect::Detector::survived) is to be told.
+    /// The process is still running after a lost connection, so it did not crash. Must be passed to
+    /// [`suspect::Detector::survived`](super::suspect::Detector::survived).
     pub survived: bool,
 }
