--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -36,7 +36,7 @@
 /// group is in trouble, and longer hedge delays would only hide that.
 const MAX_RELATIVE_LATENCY: f64 = 1.5;
 
-/// Maximum number of work kinds with their own latency histogram; others use the route's.
+/// Maximum number of work kinds with their own latency histogram.
 pub(super) const MAX_WORK_KINDS: usize = 32;
 
 /// Silence timeout: a multiple of a high latency quantile, with a lower bound.
@@ -166,12 +166,12 @@
     /// Replaces the rate limits of cold servers.
     pub fn set_cold(&mut self, cold: &BTreeMap<BackendServerId, ColdLimit>, now: Time) {
         self.cold.clone_from(cold);
-        for (&server, &cold) in cold {
+        for (&server, &limit) in cold {
             let queued = self.queued(server);
             if let Some(state) = self.servers.get_mut(&server) {
                 match &mut state.warm_up {
-                    Some(warm_up) if !warm_up.is_over(now) => warm_up.set_limit(cold),
-                    other => *other = Some(WarmUp::in_use(cold, queued, now)),
+                    Some(warm_up) if !warm_up.is_over(now) => warm_up.set_limit(limit),
+                    warm_up => *warm_up = Some(WarmUp::in_use(limit, queued, now)),
                 }
             }
         }
@@ -189,7 +189,7 @@
     /// Returns the end of a server's cold period if this home has no quota for it, else `None`.
     pub fn excluded_until(&self, server: BackendServerId, now: Time) -> Option<Time> {
         let warm_up = self.servers.get(&server)?.warm_up.as_ref()?;
-        let is_excluded = !warm_up.is_over(now) && self.cold_share(server, warm_up.limit()) == 0;
+        let is_excluded = !warm_up.is_over(now) && self.cold_quota(server, warm_up.limit()) == 0;
         is_excluded.then(|| warm_up.limit().until)
     }
 
@@ -200,11 +200,11 @@
     }
 
     /// Returns how many attempts per second this home may send to a cold server.
-    fn cold_share(&self, server: BackendServerId, cold: ColdLimit) -> usize {
+    fn cold_quota(&self, server: BackendServerId, limit: ColdLimit) -> usize {
         let is_far = self.servers.get(&server).is_none_or(|state| state.far);
         match is_far {
             true => 0,
-            false => self.division.cold(cold.max_rate, server),
+            false => self.division.cold(limit.max_rate, server),
         }
     }
 
@@ -213,7 +213,7 @@
         let Some(warm_up) = &server.warm_up else {
             return true;
         };
-        warm_up.is_open(self.cold_share(id, warm_up.limit()), now)
+        warm_up.is_open(self.cold_quota(id, warm_up.limit()), now)
     }
 
     /// Records that a new process runs at the address of a server. Its state is reset and it starts
@@ -223,9 +223,9 @@
             *state = state.restarted();
         }
         let queued = self.queued(server);
-        let cold = self.cold.get(&server).copied();
-        if let (Some(state), Some(cold)) = (self.servers.get_mut(&server), cold) {
-            state.warm_up = Some(WarmUp::in_use(cold, queued, now));
+        let limit = self.cold.get(&server).copied();
+        if let (Some(state), Some(limit)) = (self.servers.get_mut(&server), limit) {
+            state.warm_up = Some(WarmUp::in_use(limit, queued, now));
         }
         self.leaving.remove(server);
         let at_server = |record: &&mut Attempt| record.server == server;
@@ -315,11 +315,11 @@
         if let Some(fixed) = self.policy.hedge_after {
             return fixed;
         }
-        let at_most = self
+        let max_delay = self
             .deadline
             .mul_f64(MAX_HEDGE_DELAY_SHARE)
             .max(MIN_HEDGE_DELAY);
-        quantile.clamp(MIN_HEDGE_DELAY, at_most)
+        quantile.clamp(MIN_HEDGE_DELAY, max_delay)
     }
 
     /// Returns the median latency of a server's group relative to the whole route.
@@ -329,7 +329,7 @@
         };
         let of_group = self.groups[state.group].latency.quantile(0.5);
         match (of_group, self.latency.quantile(0.5)) {
-            (Some(of_group), Some(of_all)) => (of_group.as_secs_f64() / of_all.as_secs_f64())
+            (Some(of_group), Some(of_route)) => (of_group.as_secs_f64() / of_route.as_secs_f64())
                 .clamp(MAX_RELATIVE_LATENCY.recip(), MAX_RELATIVE_LATENCY),
             _ => 1.0,
         }
--- a/crates/decision/src/backend/group_load.rs
+++ b/crates/decision/src/backend/group_load.rs
@@ -91,8 +91,8 @@
 
     /// Returns the failure rate of recent attempts, averaged over all servers.
     pub fn failure_rate(&self, now: Time) -> f64 {
-        let shares = self.servers.values().map(|server| server.failure_rate(now));
-        shares.sum::<f64>() / self.servers.len().max(1) as f64
+        let rates = self.servers.values().map(|server| server.failure_rate(now));
+        rates.sum::<f64>() / self.servers.len().max(1) as f64
     }
 
     /// Returns the queueing delay at the least loaded usable server of each group, based on the
--- a/crates/decision/src/backend/load_regression.rs
+++ b/crates/decision/src/backend/load_regression.rs
@@ -15,14 +15,14 @@
 /// Effective number of observations below which reports have no weight.
 const MIN_SAMPLES: f64 = 15.0;
 
-/// Number of standard errors subtracted from the slope.
+/// Standard errors that are subtracted from the slope.
 const STANDARD_ERRORS: f64 = 2.0;
 
 /// Share of the expected slope that gives full weight. Attempts don't queue while slots are free,
 /// so that even accurate reports show less than the full slope.
 const FULL_WEIGHT_SLOPE: f64 = 0.5;
 
-/// Linear regression of latency over reported load, with exponential decay.
+/// Decaying regression of latency over reported load.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadRegression {
     weight: f64,
@@ -34,7 +34,8 @@
 }
 
 impl LoadRegression {
-    /// Records an attempt's latency and the load from other homes last reported before the attempt.
+    /// Records the load that others had at the server by its last report before the attempt, and
+    /// the latency of the attempt.
     pub(crate) fn observe(&mut self, load: f64, latency: Duration) {
         let latency = latency.as_secs_f64();
         self.weight = self.weight * DECAY + 1.0;
@@ -45,7 +46,7 @@
         self.product = self.product * DECAY + load * latency;
     }
 
-    /// Returns the mean reported load.
+    /// Returns the mean of the loads reported.
     pub(crate) fn mean(&self) -> f64 {
         if self.weight > 0.0 {
             self.load / self.weight
@@ -54,22 +55,22 @@
         }
     }
 
-    /// Returns the weight of a report, from 0 to 1, if each additional request is expected to
-    /// increase the latency by `expected_slope`.
+    /// Returns the weight of a report, from 0 to 1, at a server where one more request is expected
+    /// to increase the latency by `expected_slope`.
     pub(crate) fn weight(&self, expected_slope: Duration) -> f64 {
         if self.weight < MIN_SAMPLES || expected_slope.is_zero() {
             return 0.0;
         }
         let mean = self.mean();
-        let load_variance = self.load_squared / self.weight - mean * mean;
-        if load_variance < f64::EPSILON {
+        let variance = self.load_squared / self.weight - mean * mean;
+        if variance < f64::EPSILON {
             return 0.0;
         }
         let mean_latency = self.latency / self.weight;
-        let slope = (self.product / self.weight - mean * mean_latency) / load_variance;
+        let slope = (self.product / self.weight - mean * mean_latency) / variance;
         let latency_variance = self.latency_squared / self.weight - mean_latency * mean_latency;
-        let unexplained = (latency_variance - slope * slope * load_variance).max(0.0);
-        let error = (unexplained / (load_variance * self.weight)).sqrt();
+        let unexplained = (latency_variance - slope * slope * variance).max(0.0);
+        let error = (unexplained / (variance * self.weight)).sqrt();
         let lower_bound = slope - STANDARD_ERRORS * error;
         (lower_bound / (FULL_WEIGHT_SLOPE * expected_slope.as_secs_f64())).clamp(0.0, 1.0)
     }
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The end of a connection.
+/// A connection that has ended or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnect {
     /// Server of the connection.
@@ -62,7 +62,7 @@
 pub struct Pool {
     server_pools: FxHashMap<BackendServerId, ServerPool>,
     connections: FxHashMap<ConnectionId, Connection>,
-    next: ConnectionId,
+    next_id: ConnectionId,
     limits: Limits,
     capacity: Capacity,
     division: Division,
@@ -90,7 +90,7 @@
         let mut pool = Self {
             server_pools: FxHashMap::default(),
             connections: FxHashMap::default(),
-            next: first,
+            next_id: first,
             limits: limits(&division, route.capacity),
             identity: 0,
             capacity: route.capacity,
@@ -247,10 +247,10 @@
     pub fn replaced(&mut self, server: BackendServerId, now: Time) {
         let mut idle = Vec::new();
         for (id, connection) in &mut self.connections {
-            let is_there = connection.server == server;
+            let is_same_server = connection.server == server;
             match connection.state {
-                State::Idle if is_there => idle.push(*id),
-                State::Busy(_) if is_there => connection.retired = true,
+                State::Idle if is_same_server => idle.push(*id),
+                State::Busy(_) if is_same_server => connection.retired = true,
                 _ => {}
             }
         }
@@ -405,8 +405,8 @@
     /// selected part of them. If every home kept one at every server, their number could exceed the
     /// servers' connection limits.
     fn limits_for(&self, server: BackendServerId) -> Limits {
-        let kept = self.division.kept(self.capacity.connections);
-        let is_selected = kept >= 1.0 || placement::lot(self.identity, server) < kept;
+        let idle_share = self.division.kept(self.capacity.connections);
+        let is_selected = idle_share >= 1.0 || placement::lot(self.identity, server) < idle_share;
         let keeps_idle = is_selected && !self.far.contains(&server);
         Limits {
             min_idle: if keeps_idle { self.limits.min_idle } else { 0 },
@@ -418,8 +418,8 @@
     fn evict_stale(&mut self, server: BackendServerId, now: Time) {
         let limits = self.limits_for(server);
         let oldest = self.server_pools.get(&server).and_then(|server_pool| {
-            let none_comes = server_pool.opening == 0 && server_pool.to_open(limits, now) == 0;
-            server_pool.idle.first().copied().filter(|_| none_comes)
+            let none_opening = server_pool.opening == 0 && server_pool.to_open(limits, now) == 0;
+            server_pool.idle.first().copied().filter(|_| none_opening)
         });
         if let Some(id) = oldest {
             self.discard(id, now);
@@ -445,8 +445,8 @@
             return;
         };
         for _ in 0..server_pool.to_open(limits, now) {
-            let id = self.next;
-            self.next += 1;
+            let id = self.next_id;
+            self.next_id += 1;
             server_pool.opening += 1;
             self.connections
                 .insert(id, Connection::opening(server, now));
--- a/crates/decision/src/backend/pool/server_pool.rs
+++ b/crates/decision/src/backend/pool/server_pool.rs
@@ -27,7 +27,7 @@
     pub(super) max: usize,
     pub(super) spare: usize,
     pub(super) min_idle: usize,
-    /// Time without demand after which the target shrinks by one connection.
+    /// Time without demand after which the target shrink_at by one connection.
     pub(super) idle_time: Duration,
 }
 
@@ -52,7 +52,7 @@
     /// Requests that have found no idle connection since the last one that did.
     misses: usize,
     peak_changed_at: Time,
-    /// Time after which the peak shrinks.
+    /// Time after which the peak shrink_at.
     idle_time: Duration,
     /// Consecutive failed connects.
     failures: u32,
@@ -142,13 +142,13 @@
     /// server may just have closed it.
     pub(super) fn closed(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
         self.remove(id, connection);
-        let left = self.idle.len() + self.busy;
+        let open = self.idle.len() + self.busy;
         match connection.state {
             State::Opening => {
                 self.pause(now);
-                self.reachable &= left > 0;
+                self.reachable &= open > 0;
             }
-            State::Busy(_) => self.reachable &= left > 0,
+            State::Busy(_) => self.reachable &= open > 0,
             State::Idle => {}
         }
     }
@@ -180,7 +180,7 @@
         self.paused_until = self.paused_until.max(Some(now + LIMIT_PAUSE));
     }
 
-    /// Updates the timers: ends an expired pause and shrinks the peak.
+    /// Updates the timers: ends an expired pause and shrink_at the peak.
     pub(super) fn advance(&mut self, limits: Limits, now: Time) {
         self.paused_until = self.paused_until.filter(|until| now < *until);
         self.peak = self.peak.min(limits.max);
@@ -197,8 +197,8 @@
 
     /// Returns the number of connections to open now.
     pub(super) fn to_open(&self, limits: Limits, now: Time) -> usize {
-        let wanted = self.configured && !self.leaving;
-        if !wanted || self.paused_until.is_some_and(|until| now < until) {
+        let is_active = self.configured && !self.leaving;
+        if !is_active || self.paused_until.is_some_and(|until| now < until) {
             return 0;
         }
         let max_opening = if self.reachable { MAX_OPENING } else { 1 };
@@ -210,8 +210,8 @@
     /// Returns the least recently used idle connection if there are more connections than the
     /// target.
     pub(super) fn excess_idle(&self, limits: Limits) -> Option<ConnectionId> {
-        let wanted = self.configured && !self.leaving;
-        let target = if wanted { self.target(limits) } else { 0 };
+        let is_active = self.configured && !self.leaving;
+        let target = if is_active { self.target(limits) } else { 0 };
         let oldest = self.idle.first().copied();
         oldest.filter(|_| self.len() > target)
     }
@@ -222,13 +222,14 @@
     }
 
     pub(super) fn next_wake(&self) -> Option<Time> {
-        let shrinks = (self.peak > self.demand()).then_some(self.peak_changed_at + self.idle_time);
-        shrinks.into_iter().chain(self.paused_until).min()
+        let shrink_at =
+            (self.peak > self.demand()).then_some(self.peak_changed_at + self.idle_time);
+        shrink_at.into_iter().chain(self.paused_until).min()
     }
 
     fn target(&self, limits: Limits) -> usize {
-        let need = self.peak.max(self.busy) + limits.spare;
-        need.max(limits.min_idle).min(limits.max)
+        let target = self.peak.max(self.busy) + limits.spare;
+        target.max(limits.min_idle).min(limits.max)
     }
 
     /// Returns the connections in use plus the misses. Without the misses, the peak could shrink
--- a/crates/decision/src/backend/pool/silence.rs
+++ b/crates/decision/src/backend/pool/silence.rs
@@ -46,10 +46,10 @@
         if age < silence_timeout {
             return Health::Healthy;
         }
-        let latest_answered_send = server_pool.latest_answered_send > sent_at;
-        let opened = server_pool.last_opened >= sent_at + silence_timeout
+        let answered_later = server_pool.latest_answered_send > sent_at;
+        let opened_since = server_pool.last_opened >= sent_at + silence_timeout
             && server_pool.last_answered <= sent_at;
-        match latest_answered_send || (opened && age >= silence_timeout * UNANSWERED_FACTOR) {
+        match answered_later || (opened_since && age >= silence_timeout * UNANSWERED_FACTOR) {
             true => Health::Silent,
             false => Health::Overdue,
         }
@@ -77,10 +77,10 @@
             other.server == server && other.state == State::Idle && other.verified_at < sent_at
         };
         let others = self.connections.iter();
-        let gone = others.filter(|(_, other)| is_unverified(other));
-        let mut gone: Vec<ConnectionId> = gone.map(|(other, _)| *other).collect();
-        gone.sort_unstable();
-        for other in gone {
+        let unverified = others.filter(|(_, other)| is_unverified(other));
+        let mut unverified: Vec<ConnectionId> = unverified.map(|(other, _)| *other).collect();
+        unverified.sort_unstable();
+        for other in unverified {
             self.discard(other, now);
         }
     }
--- a/crates/decision/src/backend/ramp.rs
+++ b/crates/decision/src/backend/ramp.rs
@@ -1,8 +1,8 @@
 //! Ramp-up of a cold server, or of one that has just shed load.
 //!
 //! A server that has just started has empty caches and would respond slowly, or refuse requests,
-//! under its full load. The limit starts at one outstanding attempt and doubles with each round
-//! trip.
+//! under its full load. The limit starts at one outstanding attempt and grows by one after as many
+//! replies as it allows attempts.
 
 /// Limit on outstanding attempts of this home that grows with replies.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/decision/src/backend/server.rs
+++ b/crates/decision/src/backend/server.rs
@@ -191,17 +191,17 @@
     /// Updates the failure rate with an attempt that failed because of the server or succeeded.
     pub(crate) fn record_outcome(&mut self, failed: bool, now: Time) {
         let value = if failed { 1.0 } else { 0.0 };
-        let share = ewma(Some(self.failure_rate(now)), value, FAILURE_RATE_GAIN);
-        self.failure_rate = Some((share, now));
+        let rate = ewma(Some(self.failure_rate(now)), value, FAILURE_RATE_GAIN);
+        self.failure_rate = Some((rate, now));
     }
 
     /// Returns the failure rate of recent attempts, decayed since the last one.
     pub(crate) fn failure_rate(&self, now: Time) -> f64 {
-        let Some((share, at)) = self.failure_rate else {
+        let Some((rate, at)) = self.failure_rate else {
             return 0.0;
         };
         let age = now.saturating_sub(at).as_secs_f64();
-        share * (-age / FAILURE_RATE_HALF_LIFE.as_secs_f64()).exp2()
+        rate * (-age / FAILURE_RATE_HALF_LIFE.as_secs_f64()).exp2()
     }
 
     /// Returns the queueing delay of a new attempt by the last load report. It is capped by a
--- a/crates/decision/src/backend/suspect.rs
+++ b/crates/decision/src/backend/suspect.rs
@@ -77,14 +77,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     crash_signal: CrashSignal,
-    running: FxHashMap<AttemptId, Running>,
+    running: FxHashMap<AttemptId, RunningAttempt>,
     deaths: BTreeMap<BackendServerId, Death>,
     evidence: BTreeMap<Fingerprint, Vec<Evidence>>,
     refused: BTreeMap<Fingerprint, Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Running {
+struct RunningAttempt {
     fingerprint: Fingerprint,
     server: BackendServerId,
     sent: Time,
@@ -133,10 +133,12 @@
             return Vec::new();
         }
         let mut confirmed = Vec::new();
-        for (fingerprint, all) in &mut self.evidence {
-            let lost = all.iter_mut().filter(|one| one.server == server);
-            for evidence in
-                lost.filter(|one| !one.confirmed && now < one.at + UNCONFIRMED_RETENTION)
+        for (fingerprint, entries) in &mut self.evidence {
+            let lost = entries
+                .iter_mut()
+                .filter(|evidence| evidence.server == server);
+            for evidence in lost
+                .filter(|evidence| !evidence.confirmed && now < evidence.at + UNCONFIRMED_RETENTION)
             {
                 evidence.confirmed = true;
                 confirmed.push(*fingerprint);
@@ -144,7 +146,7 @@
         }
         let refused = confirmed.into_iter();
         refused
-            .filter_map(|one| self.refuse_if_due(one, now))
+            .filter_map(|fingerprint| self.refuse_if_due(fingerprint, now))
             .collect()
     }
 
@@ -178,7 +180,7 @@
         server: BackendServerId,
         now: Time,
     ) {
-        let running = Running {
+        let running = RunningAttempt {
             fingerprint,
             server,
             sent: now,
@@ -207,7 +209,7 @@
     /// fingerprint and the duration for which it is refused, if that is new; other homes must then
     /// be notified.
     pub fn lost(&mut self, attempt: AttemptId, now: Time) -> Option<(Fingerprint, Duration)> {
-        let Running {
+        let RunningAttempt {
             fingerprint,
             server,
             sent,
@@ -215,12 +217,14 @@
         } = self.running.get(&attempt).copied()?;
         let weight = self.blame_for(fingerprint, server, sent, now);
         self.running.remove(&attempt);
-        let all = self.evidence.entry(fingerprint).or_default();
+        let entries = self.evidence.entry(fingerprint).or_default();
         // Several attempts of one request at the same server are evidence of the same death, unless
         // a later one reached a new process.
-        let is_same = |one: &Evidence| one.server == server && sent < one.at + SAME_DEATH_WINDOW;
-        all.retain(|evidence| !is_same(evidence));
-        all.push(Evidence {
+        let is_same = |evidence: &Evidence| {
+            evidence.server == server && sent < evidence.at + SAME_DEATH_WINDOW
+        };
+        entries.retain(|evidence| !is_same(evidence));
+        entries.push(Evidence {
             server,
             weight,
             at: now,
@@ -250,12 +254,12 @@
         self.refused.retain(|_, until| now < *until);
         self.deaths
             .retain(|_, death| now < death.at + SIMULTANEOUS_WINDOW);
-        self.evidence.retain(|_, all| {
-            all.retain(|evidence| match evidence.confirmed {
+        self.evidence.retain(|_, entries| {
+            entries.retain(|evidence| match evidence.confirmed {
                 true => now < evidence.at + EVIDENCE_RETENTION,
                 false => now < evidence.at + UNCONFIRMED_RETENTION,
             });
-            !all.is_empty()
+            !entries.is_empty()
         });
     }
 
@@ -297,8 +301,13 @@
             .map(|running| running.fingerprint)
             .collect();
         let prior = |fingerprint| PRIOR_WEIGHT + self.weight(fingerprint, now);
-        let sum: f64 = fingerprints.iter().map(|one| prior(*one)).sum();
-        let blame = fingerprints.iter().map(|one| (*one, prior(*one) / sum));
+        let sum: f64 = fingerprints
+            .iter()
+            .map(|fingerprint| prior(*fingerprint))
+            .sum();
+        let blame = fingerprints
+            .iter()
+            .map(|fingerprint| (*fingerprint, prior(*fingerprint) / sum));
         Death {
             at: now,
             blame: blame.collect(),
@@ -308,13 +317,14 @@
     /// Returns the evidence against a fingerprint, in deaths. Simultaneous deaths count once unless
     /// the request ran alone.
     fn weight(&self, fingerprint: Fingerprint, now: Time) -> f64 {
-        let Some(all) = self.evidence.get(&fingerprint) else {
+        let Some(entries) = self.evidence.get(&fingerprint) else {
             return 0.0;
         };
         let mut sum = 0.0;
         let mut window: Option<(Time, f64)> = None;
-        let counts = |one: &&Evidence| one.confirmed && now < one.at + EVIDENCE_RETENTION;
-        for evidence in all.iter().filter(counts) {
+        let counts =
+            |evidence: &&Evidence| evidence.confirmed && now < evidence.at + EVIDENCE_RETENTION;
+        for evidence in entries.iter().filter(counts) {
             // A home that sends only a part of a server's requests can't tell that one ran alone.
             if evidence.weight >= 1.0 && self.crash_signal == CrashSignal::ConnectionLost {
                 sum += evidence.weight;
@@ -338,9 +348,9 @@
         fingerprint: Fingerprint,
         now: Time,
     ) -> Option<(Fingerprint, Duration)> {
-        let all = self.evidence.get(&fingerprint)?;
+        let entries = self.evidence.get(&fingerprint)?;
         let blames = |evidence: &&Evidence| evidence.confirmed && evidence.weight > 0.0;
-        let blamed = all.iter().filter(blames).count();
+        let blamed = entries.iter().filter(blames).count();
         let refused = self.refused.get(&fingerprint);
         let is_new = refused.is_none_or(|until| *until <= now);
         let enough = blamed >= MIN_DEATHS && self.weight(fingerprint, now) >= MIN_REFUSAL_WEIGHT;
@@ -356,9 +366,9 @@
     }
 
     fn remove_evidence(&mut self, fingerprint: Fingerprint, of: impl Fn(&Evidence) -> bool) {
-        if let Some(all) = self.evidence.get_mut(&fingerprint) {
-            all.retain(|evidence| !of(evidence));
-            if all.is_empty() {
+        if let Some(entries) = self.evidence.get_mut(&fingerprint) {
+            entries.retain(|evidence| !of(evidence));
+            if entries.is_empty() {
                 self.evidence.remove(&fingerprint);
             }
         }
