--- a/crates/daemon/src/backend/codec/mod.rs
+++ b/crates/daemon/src/backend/codec/mod.rs
@@ -173,7 +173,7 @@
         StatusCode::OK if send.execute_key.is_some() => executed(body, report),
         StatusCode::OK => reply(&head.headers, body, report),
         status if is_abandoned(status) => Answer::Failed(Failure::Cancelled { report }),
-        status if status.is_server_error() => Answer::Failed(Failure::Ran { report }),
+        status if status.is_server_error() => Answer::Failed(Failure::ServerError { report }),
         _ => Answer::Failed(Failure::Mismatched),
     }
 }
--- a/crates/daemon/src/backend/codec/tests.rs
+++ b/crates/daemon/src/backend/codec/tests.rs
@@ -77,5 +77,8 @@
 #[test]
 fn answer_other_server_error_ran() {
     let failure = failure(&head(500, Some(ATTEMPT), None));
-    assert!(matches!(failure, Failure::Ran { .. }), "{failure:?}");
+    assert!(
+        matches!(failure, Failure::ServerError { .. }),
+        "{failure:?}"
+    );
 }
--- a/crates/daemon/src/backend/connection.rs
+++ b/crates/daemon/src/backend/connection.rs
@@ -11,7 +11,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use monsoonring_configuration::id::BackendServerId;
-use monsoonring_decision::attempt::{ConnectionId, Failure, Unopened};
+use monsoonring_decision::attempt::{ConnectFailure, ConnectionId, Failure};
 use monsoonring_decision::content::Content;
 use monsoonring_decision::home::Event;
 use monsoonring_decision::home::action::Send;
@@ -37,14 +37,14 @@
 const QUEUED_JOBS: usize = 1;
 
 /// Returns what the failure to open a connection tells of the server.
-fn unopened(error: &client::Error) -> Unopened {
+fn unopened(error: &client::Error) -> ConnectFailure {
     match error {
         client::Error::Connect { source, .. } => match source.kind() {
-            ErrorKind::ConnectionRefused => Unopened::Refused,
-            ErrorKind::ConnectionReset => Unopened::Ended,
-            _ => Unopened::Silent,
+            ErrorKind::ConnectionRefused => ConnectFailure::Refused,
+            ErrorKind::ConnectionReset => ConnectFailure::Closed,
+            _ => ConnectFailure::TimedOut,
         },
-        client::Error::Handshake { .. } => Unopened::Ended,
+        client::Error::Handshake { .. } => ConnectFailure::Closed,
     }
 }
 
@@ -96,10 +96,10 @@
                     serve(sender, driver, queue, clock, &codec, &report).await;
                     Event::Closed(id)
                 }
-                None => Event::Unopened(id, Unopened::Ended),
+                None => Event::Unopened(id, ConnectFailure::Closed),
             },
             Ok(Err(error)) => Event::Unopened(id, unopened(&error)),
-            Err(_) => Event::Unopened(id, Unopened::Silent),
+            Err(_) => Event::Unopened(id, ConnectFailure::TimedOut),
         };
         let _ = report.send(ended);
     });
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -20,7 +20,7 @@
 use monsoonring_decision::gateway::table::{Route, Target};
 use monsoonring_decision::home::event::{self, Scope};
 use monsoonring_decision::outcome::{Answer, Outcome, Reason};
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use monsoonring_decision::query::greatest::greatest;
 use monsoonring_decision::{Fingerprint, RequestId};
 use rand::Rng;
@@ -218,7 +218,7 @@
         asking: &Asking<'_>,
         forward: Forward,
         on_the_way: Duration,
-        only: Option<&Set>,
+        only: Option<&KeySet>,
     ) -> event::Request<Opaque> {
         let route = asking.route;
         let terms = route.terms(on_the_way);
@@ -240,7 +240,7 @@
     }
 
     /// Writes how a request ended.
-    fn reply(&self, outcome: Ending, route: &Route, only: Option<&Set>) -> Reply {
+    fn reply(&self, outcome: Ending, route: &Route, only: Option<&KeySet>) -> Reply {
         match outcome {
             Outcome::Answered(answer) => self.answered(answer, route, only),
             Outcome::Executed(whole) => Reply {
@@ -269,8 +269,8 @@
         }
     }
 
-    fn answered(&self, answer: Answer<Whole>, route: &Route, only: Option<&Set>) -> Reply {
-        let lacking: Set = answer.missing.iter().copied().collect();
+    fn answered(&self, answer: Answer<Whole>, route: &Route, only: Option<&KeySet>) -> Reply {
+        let lacking: KeySet = answer.missing.iter().copied().collect();
         let missing = lacking.len() as usize;
         let version = answer.index_version;
         let ended = match missing {
--- a/crates/daemon/src/gateway/relay/share.rs
+++ b/crates/daemon/src/gateway/relay/share.rs
@@ -13,7 +13,7 @@
 use monsoonring_decision::gateway::helper::{Ended, Share};
 use monsoonring_decision::home::event::Begun;
 use monsoonring_decision::member::MemberId;
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use monsoonring_decision::reply::{Item, Reply, Report};
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 
 /// The keys that a search of another host is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Only(pub(in crate::gateway) Set);
+pub(in crate::gateway) struct Only(pub(in crate::gateway) KeySet);
 
 impl Only {
     /// Takes the keys out of the headers of a search, as they are no backend server's concern.
@@ -39,7 +39,7 @@
 /// A part of a search that a host was chosen for.
 pub(in crate::gateway) struct Sharing<'a> {
     chosen: Chosen<'a>,
-    keys: Set,
+    keys: KeySet,
 }
 
 /// What the other host covers, or whether it may have begun.
@@ -73,7 +73,7 @@
     }
 
     /// Returns the keys.
-    pub(in crate::gateway) fn keys(&self) -> &Set {
+    pub(in crate::gateway) fn keys(&self) -> &KeySet {
         &self.keys
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Returns what an answer says that it covers, if that was asked for.
-    fn covered(&self, headers: &HeaderMap) -> Option<(Set, IndexVersion)> {
+    fn covered(&self, headers: &HeaderMap) -> Option<(KeySet, IndexVersion)> {
         let covered = keys(headers.get(COVERED)?)?;
         let is_asked = covered.difference(&self.keys).is_empty();
         let snapshot = number(headers, &SNAPSHOT)?;
@@ -149,7 +149,7 @@
 }
 
 /// Makes a reply of one merged answer, which stands for all keys that it covers.
-async fn reply(response: Response<Full<Bytes>>, covered: &Set, snapshot: IndexVersion) -> Part {
+async fn reply(response: Response<Full<Bytes>>, covered: &KeySet, snapshot: IndexVersion) -> Part {
     let (head, body) = response.into_parts();
     let Ok(body) = body.collect().await;
     let value = Whole {
@@ -172,7 +172,7 @@
 /// Writes into the answer for a part of a search what it covers.
 pub(in crate::gateway) fn set_covered(
     headers: &mut HeaderMap,
-    covered: &Set,
+    covered: &KeySet,
     snapshot: IndexVersion,
 ) {
     if let Ok(covered) = HeaderValue::from_str(&text(covered)) {
@@ -181,7 +181,7 @@
     }
 }
 
-fn text(keys: &Set) -> String {
+fn text(keys: &KeySet) -> String {
     let ranges = keys.ranges().iter();
     let ranges: Vec<String> = ranges
         .map(|range| format!("{}-{}", range.start, range.end))
@@ -189,7 +189,7 @@
     ranges.join(",")
 }
 
-fn keys(value: &HeaderValue) -> Option<Set> {
+fn keys(value: &HeaderValue) -> Option<KeySet> {
     let ranges = value.to_str().ok()?.split(',');
     let ranges = ranges.map(|range| {
         let (start, end) = range.split_once('-')?;
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -7,7 +7,7 @@
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
 use monsoonring_decision::gateway::shards::{self, Expected};
 use monsoonring_decision::gateway::{InstanceId, Shards, Table};
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, PoisonError, RwLock};
 
@@ -41,7 +41,7 @@
 }
 
 /// Shards by the data centre where they have servers.
-pub(super) type Elsewhere = BTreeMap<DataCentreId, Set>;
+pub(super) type Elsewhere = BTreeMap<DataCentreId, KeySet>;
 
 /// What is in force.
 #[derive(Clone, Debug)]
--- a/crates/daemon/src/metrics/home.rs
+++ b/crates/daemon/src/metrics/home.rs
@@ -286,7 +286,7 @@
             Refusal::Malformed => "malformed",
         },
         Failure::NotSent => "not_sent",
-        Failure::Ran { .. } => "ran",
+        Failure::ServerError { .. } => "ran",
         Failure::Lost => "lost",
         Failure::Mismatched => "mismatched",
         Failure::Cancelled { .. } => "cancelled",
--- a/crates/daemon/src/node/decided.rs
+++ b/crates/daemon/src/node/decided.rs
@@ -14,7 +14,7 @@
             let why = "the key names that incarnation".to_owned();
             ("pass on", Some(fence.member), why)
         }
-        Decision::Ask => {
+        Decision::LookUp => {
             let why = "a later send of a key that is not known here".to_owned();
             ("ask members", None, why)
         }
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -10,10 +10,10 @@
 use crate::service::{Call, Execution};
 use futures::stream::{FuturesUnordered, StreamExt};
 use monsoonring_decision::attempt::Failure;
-use monsoonring_decision::idempotency::ledger::Ended;
-use monsoonring_decision::idempotency::lookup::{Answer, Conclusion, Question};
+use monsoonring_decision::idempotency::ledger::Completion;
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup, Resolution};
 use monsoonring_decision::idempotency::{
-    Decision, Fence, Key, Ledger, Permit, Poll, Refusal, Request, Run, Unsent,
+    AnyPermit, Decision, Fence, Key, Ledger, Permit, Poll, Refusal, Request, Unsent,
 };
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::outcome::{Outcome, Reason};
@@ -57,7 +57,7 @@
     }
 
     /// Gives the outcome to the sends that joined, and returns it.
-    fn tell(&self, ended: Ended) -> Outcome {
+    fn tell(&self, ended: Completion) -> Outcome {
         let outcome = Outcome::from(ended.outcome);
         let mut joined = self.joined();
         for request in ended.joined {
@@ -176,14 +176,14 @@
             Decision::Refuse(refusal) => Sent::Refused(refusal),
             // A send that waited in the socket of a paused process may be far beyond its deadline, which
             // another daemon could not know. Its caller finds out by sending again.
-            Decision::PassTo(_) | Decision::Ask if self.control.ready().is_err() => {
+            Decision::PassTo(_) | Decision::LookUp if self.control.ready().is_err() => {
                 Sent::Ended(Outcome::Unknown {
                     reason: Reason::Unavailable,
                 })
             }
             Decision::PassTo(fence) => self.pass_to(fence, call, key, send).await,
-            Decision::Ask => {
-                let question = Question::Own {
+            Decision::LookUp => {
+                let question = Lookup::Own {
                     caller: call.caller.clone(),
                     key: key.to_string().into(),
                     fingerprint: call.fingerprint,
@@ -210,9 +210,9 @@
         // A process that was paused, or has just started, may hold old facts: whom to send to, which
         // servers are leaving. The key is recorded as not run, so that this stays true.
         if self.control.ready().is_err() {
-            return self.conclude(Run::Unsent(permit), unavailable());
+            return self.conclude(AnyPermit::Unsent(permit), unavailable());
         }
-        let (run, may) = Run::Unsent(permit).sent(self.clock.now());
+        let (run, may) = AnyPermit::Unsent(permit).mark_sent(self.clock.now());
         if !may {
             let outcome = Outcome::NotRun {
                 reason: Reason::Deadline,
@@ -228,7 +228,7 @@
             let outcome = node.run_at_home(&call, &key).await;
             // A home says "not run" only where that is proven, so the permit goes back.
             let run = match &outcome {
-                Outcome::NotRun { .. } => run.failed(&Failure::NotSent),
+                Outcome::NotRun { .. } => run.on_failure(&Failure::NotSent),
                 _ => run,
             };
             node.conclude(run, outcome)
@@ -238,7 +238,7 @@
         })
     }
 
-    fn conclude(&self, run: Run, outcome: Outcome) -> Outcome {
+    fn conclude(&self, run: AnyPermit, outcome: Outcome) -> Outcome {
         let ended = self
             .ledger
             .ledger()
@@ -315,7 +315,7 @@
                 sent.unwrap_or(unknown())
             }
             Some(Sent::Refused(Refusal::Gone)) | None => {
-                self.ask(Question::Fence(fence), call, key, send).await
+                self.ask(Lookup::Fence(fence), call, key, send).await
             }
             Some(sent) => sent,
         }
@@ -347,14 +347,14 @@
     /// Asks members what they know of a key, and does what follows.
     async fn ask(
         self: &Arc<Self>,
-        question: Question,
+        question: Lookup,
         call: Call,
         key: Key,
         send: Option<u32>,
     ) -> Sent {
         let members = self.asked(&call);
         let mut poll = Poll::new(members.iter().copied());
-        let mut conclusion = poll.conclude();
+        let mut conclusion = poll.resolve();
         let asking = members.into_iter().map(|member| {
             let answer = self.ask_member(member, question.clone(), call.deadline);
             async move { (member, answer.await) }
@@ -365,17 +365,17 @@
             let Some((member, answer)) = asking.next().await else {
                 break;
             };
-            conclusion = poll.answered(member, answer);
+            conclusion = poll.record_reply(member, answer);
         }
         drop(asking);
         match conclusion {
-            Some(Conclusion::PassTo(member)) => {
+            Some(Resolution::PassTo(member)) => {
                 let sent = self.send_to(member, &call, &key, send).await;
                 sent.unwrap_or(unknown())
             }
-            Some(Conclusion::Replay(outcome)) => Sent::Ended(outcome.into()),
-            Some(Conclusion::Mismatch) => Sent::Conflict,
-            Some(Conclusion::Unknown) | None => unknown(),
+            Some(Resolution::Replay(outcome)) => Sent::Ended(outcome.into()),
+            Some(Resolution::Mismatch) => Sent::Conflict,
+            Some(Resolution::Unknown) | None => unknown(),
         }
     }
 
@@ -401,9 +401,9 @@
     async fn ask_member(
         &self,
         member: MemberId,
-        question: Question,
+        question: Lookup,
         deadline: Instant,
-    ) -> Option<Answer> {
+    ) -> Option<Finding> {
         let deadline = deadline.min(Instant::now() + ASK_TIMEOUT);
         let asking = async {
             let client = self.peers.client(member).await.ok()?;
@@ -415,14 +415,16 @@
     }
 
     /// Answers a peer's question from the ledger.
-    pub(crate) fn answer(&self, question: &Question) -> Answer {
+    pub(crate) fn answer(&self, question: &Lookup) -> Finding {
         self.ledger.ledger().answer(question)
     }
 
     /// Measures the ledger.
     pub(super) fn measure(&self) {
         let ledger = self.ledger.ledger();
-        self.metrics.node.set_keys(ledger.kept(), ledger.running());
+        self.metrics
+            .node
+            .set_keys(ledger.recorded(), ledger.running());
     }
 
     /// Drops what has expired from the ledger.
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -27,7 +27,7 @@
 use monsoonring_decision::member::{MemberId, Message};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_decision::placement::Member;
-use monsoonring_decision::why::Why;
+use monsoonring_decision::rationale::Rationale;
 use prometheus_client::metrics::gauge::Gauge;
 use recent::{Line, Recent};
 use routes::Routes;
@@ -76,7 +76,7 @@
             what,
             backend_server: None,
             home,
-            why: Why::Text(why.to_owned()),
+            why: Rationale::Text(why.to_owned()),
         });
     }
 
--- a/crates/daemon/src/node/recent.rs
+++ b/crates/daemon/src/node/recent.rs
@@ -6,7 +6,7 @@
 
 use monsoonring_configuration::id::{BackendServerId, RouteId};
 use monsoonring_decision::member::MemberId;
-use monsoonring_decision::why::Why;
+use monsoonring_decision::rationale::Rationale;
 use monsoonring_decision::{RequestId, Time};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
@@ -24,7 +24,7 @@
     pub(crate) what: &'static str,
     pub(crate) backend_server: Option<BackendServerId>,
     pub(crate) home: Option<MemberId>,
-    pub(crate) why: Why,
+    pub(crate) why: Rationale,
 }
 
 impl Line {
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -6,7 +6,7 @@
 use monsoonring_configuration::section::transfer::{Base, parts};
 use monsoonring_decision::configuration::Version;
 use monsoonring_decision::fact;
-use monsoonring_decision::idempotency::lookup::{Answer, Question};
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt, Refusal};
 use monsoonring_decision::member::{MemberId, Message, Page, Span};
 use monsoonring_decision::outcome::Outcome;
@@ -146,7 +146,7 @@
         self.0.run_passed(call, key).await
     }
 
-    async fn ask(self, _: Context, question: Question) -> Answer {
+    async fn ask(self, _: Context, question: Lookup) -> Finding {
         self.0.answer(&question)
     }
 
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -5,7 +5,7 @@
 use monsoonring_configuration::section::transfer::{self, Base, Part};
 use monsoonring_configuration::section::{self, Index, Section};
 use monsoonring_decision::configuration::Version;
-use monsoonring_decision::idempotency::lookup::{Answer, Question};
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt, Refusal};
 use monsoonring_decision::member::{
     Attachment, Digest, Incarnation, MemberId, Message, Page, Span,
@@ -164,8 +164,8 @@
         Err(Declined::NotHome)
     }
 
-    async fn ask(self, _: Context, _: Question) -> Answer {
-        Answer::Nothing
+    async fn ask(self, _: Context, _: Lookup) -> Finding {
+        Finding::Nothing
     }
 
     async fn hear(
--- a/crates/decision/examples/replacement.rs
+++ b/crates/decision/examples/replacement.rs
@@ -5,10 +5,10 @@
 //! part of its sends and sends once more, up to a minute later, wherever the balancer puts it.
 
 use monsoonring_decision::Time;
-use monsoonring_decision::idempotency::lookup::Conclusion;
-use monsoonring_decision::idempotency::permit::Ran;
+use monsoonring_decision::idempotency::lookup::Resolution;
+use monsoonring_decision::idempotency::permit::SentOutcome;
 use monsoonring_decision::idempotency::{
-    Decision, Fence, Key, Ledger, Limits, Outcome, Permit, Poll, Question, Refusal, Request, Sent,
+    Decision, Fence, Key, Ledger, Limits, Lookup, Outcome, Permit, Poll, Refusal, Request, Sent,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -186,7 +186,7 @@
         let asked = asked(request, number, passed_on, clock);
         match daemon.ledger.begin(key, &asked, clock) {
             Decision::Run(permit) => {
-                if let Ok(sent) = permit.sent(clock) {
+                if let Ok(sent) = permit.mark_sent(clock) {
                     daemon.running.push((request, sent));
                     let started = daemon.started;
                     let delay = self.rng.random_range(RUN_MS);
@@ -198,8 +198,8 @@
             Decision::Replay(outcome) => self.tell(number, &outcome),
             Decision::Refuse(refusal) => self.tell(number, &refusal.outcome()),
             Decision::PassTo(to) => self.pass(place, to, request, number),
-            Decision::Ask => {
-                let question = Question::Own {
+            Decision::LookUp => {
+                let question = Lookup::Own {
                     caller: "dispatch".into(),
                     key: format!("ticket-{request}").into(),
                     fingerprint: 1,
@@ -215,23 +215,23 @@
         if known.is_some_and(|daemon| daemon.ledger.fence() == to) {
             return self.serve(place, request, number, true);
         }
-        self.follow(from, &Question::Fence(to), request, number);
+        self.follow(from, &Lookup::Fence(to), request, number);
     }
 
-    fn follow(&mut self, from: usize, question: &Question, request: usize, number: u32) {
+    fn follow(&mut self, from: usize, question: &Lookup, request: usize, number: u32) {
         let others = (0..DAEMONS).filter(|place| *place != from);
         let mut poll = Poll::new(others.clone().map(|place| fence(place, 0).member));
         let mut conclusion = None;
         for place in others {
             let daemon = self.daemons[place].as_ref();
             let answer = daemon.map(|daemon| daemon.ledger.answer(question));
-            conclusion = conclusion.or(poll.answered(fence(place, 0).member, answer));
+            conclusion = conclusion.or(poll.record_reply(fence(place, 0).member, answer));
         }
         match conclusion {
-            Some(Conclusion::PassTo(member)) => {
+            Some(Resolution::PassTo(member)) => {
                 self.serve(place(Fence { member, start: 0 }), request, number, true);
             }
-            Some(Conclusion::Replay(outcome)) => self.tell(number, &outcome),
+            Some(Resolution::Replay(outcome)) => self.tell(number, &outcome),
             _ => self.tell(number, &Refusal::Gone.outcome()),
         }
     }
@@ -246,7 +246,7 @@
         if let Some(index) = daemon.running.iter().position(of_request) {
             let (_, permit) = daemon.running.swap_remove(index);
             let clock = daemon.clock(now);
-            let ran = Ran::Executed("1".into());
+            let ran = SentOutcome::Executed("1".into());
             let ended = daemon.ledger.finish(permit, ran, clock);
             self.tell(1, &ended.outcome);
             ended
--- a/crates/decision/src/admission/mod.rs
+++ b/crates/decision/src/admission/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::backend::{self, Room};
 use crate::outcome::Reason;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use limit::Limit;
 use monsoonring_configuration::document::{Class, Route};
 use pace::Pace;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ranked {
     /// What it asks of the backend servers; requests that ask for the same are of one kind.
-    pub work: Work,
+    pub work: WorkKind,
     /// How urgent it is.
     pub urgency: Urgency,
     /// How many groups its answer can do without.
@@ -159,7 +159,7 @@
     }
 
     /// Tells whether requests of a kind keep out of the servers' queues, for others with shorter objectives.
-    pub fn yields(&self, work: Work, urgency: Urgency, now: Time) -> bool {
+    pub fn yields(&self, work: WorkKind, urgency: Urgency, now: Time) -> bool {
         self.ranks.yields(work, urgency.objective, now)
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Records that a request of a kind was answered, by which starvation is noticed.
-    pub fn answered(&mut self, work: Work, now: Time) {
+    pub fn answered(&mut self, work: WorkKind, now: Time) {
         self.ranks.answered(work, now);
     }
 
--- a/crates/decision/src/admission/rank.rs
+++ b/crates/decision/src/admission/rank.rs
@@ -9,7 +9,7 @@
 
 use super::{Ranked, Waits};
 use crate::backend::Wait;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use derive_more::Display;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -104,7 +104,7 @@
 /// The kinds of request that share a set of servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ranks {
-    kinds: BTreeMap<Work, Kind>,
+    kinds: BTreeMap<WorkKind, Kind>,
 }
 
 impl Ranks {
@@ -125,7 +125,7 @@
     }
 
     /// Records that a request of a kind was answered.
-    pub(super) fn answered(&mut self, work: Work, now: Time) {
+    pub(super) fn answered(&mut self, work: WorkKind, now: Time) {
         if let Some(kind) = self.kinds.get_mut(&work) {
             kind.answered.add(now);
         }
@@ -169,7 +169,7 @@
 
     /// Tells whether a kind keeps out of the servers' queues: one with a shorter objective was requested recently, and this one does not
     /// starve behind it.
-    pub(super) fn yields(&self, work: Work, objective: Duration, now: Time) -> bool {
+    pub(super) fn yields(&self, work: WorkKind, objective: Duration, now: Time) -> bool {
         let most = objective.mul_f64(SHORTER);
         self.recent(now).any(|kind| kind.objective < most) && !self.is_starved(work, now)
     }
@@ -192,7 +192,7 @@
     /// Returns the queueing delay of a kind with this objective.
     fn wait(
         &self,
-        work: Work,
+        work: WorkKind,
         objective: Duration,
         waits: &Waits,
         dispensable: usize,
@@ -205,7 +205,7 @@
     }
 
     /// Forgets the kind that was requested the longest ago if there is no room for another.
-    fn make_room(&mut self, work: Work) {
+    fn make_room(&mut self, work: WorkKind) {
         if self.kinds.len() < KINDS_AT_MOST || self.kinds.contains_key(&work) {
             return;
         }
@@ -215,7 +215,7 @@
         }
     }
 
-    fn is_starved(&self, work: Work, now: Time) -> bool {
+    fn is_starved(&self, work: WorkKind, now: Time) -> bool {
         let Some(kind) = self.kinds.get(&work) else {
             return false;
         };
--- a/crates/decision/src/attempt.rs
+++ b/crates/decision/src/attempt.rs
@@ -26,7 +26,7 @@
     /// No byte of the request left: the connection was found closed or could not be used.
     NotSent,
     /// The server ran the request and reported an error.
-    Ran {
+    ServerError {
         /// What the server said of itself.
         report: Report,
     },
@@ -45,23 +45,23 @@
 
 impl Failure {
     /// Tells whether the failure proves that the attempt did not run.
-    pub fn is_unrun(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::NotSent)
     }
 }
 
 /// Why a connection could not be made.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Unopened {
+pub enum ConnectFailure {
     /// Nobody listens at the address.
     #[display("refused")]
     Refused,
     /// The server took it and ended it at once, as one that has too many does.
-    #[display("ended at once")]
-    Ended,
+    #[display("closed during connect")]
+    Closed,
     /// Nothing came back in time.
-    #[display("no answer")]
-    Silent,
+    #[display("timed out")]
+    TimedOut,
 }
 
 /// Why a backend server refused to run a request.
--- a/crates/decision/src/backend/choice.rs
+++ b/crates/decision/src/backend/choice.rs
@@ -10,7 +10,7 @@
 use super::server::Server;
 use super::usual::Usual;
 use crate::Time;
-use crate::why::Least;
+use crate::rationale::LeastLoaded;
 use monsoonring_configuration::id::BackendServerId;
 use rand::Rng;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     /// The server.
     pub server: BackendServerId,
     /// Why it was chosen, with the numbers that decided.
-    pub why: Least,
+    pub why: LeastLoaded,
 }
 
 /// Returns the load that others are believed to have at a server beyond the usual.
--- a/crates/decision/src/backend/events.rs
+++ b/crates/decision/src/backend/events.rs
@@ -7,7 +7,7 @@
 use super::verdict::{News, Verdict};
 use crate::attempt::{AttemptId, Failure, Refusal};
 use crate::reply::Report;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use monsoonring_configuration::id::{BackendServerId, Incarnation};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -28,11 +28,17 @@
 impl Fleet {
     /// Records that an attempt was sent.
     pub fn sent(&mut self, server: BackendServerId, attempt: AttemptId, now: Time) {
-        self.sent_for(Work::default(), server, attempt, now);
+        self.sent_for(WorkKind::default(), server, attempt, now);
     }
 
     /// Records that an attempt was sent that asks for this kind of work.
-    pub fn sent_for(&mut self, work: Work, server: BackendServerId, attempt: AttemptId, now: Time) {
+    pub fn sent_for(
+        &mut self,
+        work: WorkKind,
+        server: BackendServerId,
+        attempt: AttemptId,
+        now: Time,
+    ) {
         let Some(state) = self.servers.get(&server) else {
             return;
         };
@@ -144,7 +150,7 @@
         if record.earlier {
             return Verdict {
                 discard_connection: true,
-                not_run: failure.is_unrun(),
+                not_run: failure.is_not_run(),
                 server: Some(server),
                 ..Verdict::default()
             };
@@ -161,7 +167,7 @@
                 retry_after,
                 report,
             } => self.refused(server, refusal, *retry_after, report, now),
-            Failure::Ran { report } | Failure::Cancelled { report } => Verdict {
+            Failure::ServerError { report } | Failure::Cancelled { report } => Verdict {
                 news: self.heard(server, report, now),
                 ..Verdict::default()
             },
@@ -270,7 +276,7 @@
     fn measured(
         &mut self,
         server: BackendServerId,
-        work: Work,
+        work: WorkKind,
         took: Duration,
         load: f64,
         now: Time,
@@ -287,7 +293,7 @@
         }
     }
 
-    fn note_work(&mut self, work: Work, took: Duration) {
+    fn note_work(&mut self, work: WorkKind, took: Duration) {
         if self.works.len() < WORKS_AT_MOST || self.works.contains_key(&work) {
             let latency = self.works.entry(work).or_insert_with(Latency::new);
             latency.record(took);
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -10,8 +10,8 @@
 use crate::attempt::AttemptId;
 use crate::placement::{Division, Homes};
 use crate::policy::Policy;
-use crate::why::Least;
-use crate::{Time, Work};
+use crate::rationale::LeastLoaded;
+use crate::{Time, WorkKind};
 use monsoonring_configuration::document::{Capacity, Route};
 use monsoonring_configuration::id::{BackendServerId, Incarnation, IndexVersion};
 use rand::Rng;
@@ -63,7 +63,7 @@
     pub(super) groups: Vec<Group>,
     pub(super) latency: Latency,
     /// By kind of work: how long attempts take, at all servers together.
-    pub(super) works: FxHashMap<Work, Latency>,
+    pub(super) works: FxHashMap<WorkKind, Latency>,
     pub(super) attempts: FxHashMap<AttemptId, Attempt>,
     pub(super) marks: Marks,
     /// The servers that are cold, of this route or not.
@@ -102,7 +102,7 @@
 pub(super) struct Attempt {
     pub(super) server: BackendServerId,
     pub(super) sent: Time,
-    pub(super) work: Work,
+    pub(super) work: WorkKind,
     /// Time from which on it is being cancelled.
     pub(super) cancelled: Option<Time>,
     /// Whether it takes far longer than its server usually does.
@@ -295,7 +295,7 @@
     /// 60, and 0.72 of their worth was earned in place of 0.81 (89 hosts, 36 shards, a calm day, one run).
     pub fn hedge_delay_of(
         &self,
-        work: Work,
+        work: WorkKind,
         server: BackendServerId,
         quantile: f64,
         now: Time,
@@ -308,7 +308,7 @@
     }
 
     /// Returns the time that attempts for this kind of work usually take, where it is known.
-    pub fn usual_of(&self, work: Work) -> Option<Duration> {
+    pub fn usual_of(&self, work: WorkKind) -> Option<Duration> {
         self.works.get(&work)?.quantile(0.5)
     }
 
@@ -475,10 +475,10 @@
             .collect()
     }
 
-    fn why(&self, server: BackendServerId, scores: &[f64], index: usize, now: Time) -> Least {
+    fn why(&self, server: BackendServerId, scores: &[f64], index: usize, now: Time) -> LeastLoaded {
         let state = &self.servers[&server];
         let others = choice::others(state, self.usual(state.group), now);
-        Least {
+        LeastLoaded {
             score: scores[index],
             open: scores.len(),
             own: state.outstanding,
--- a/crates/decision/src/gateway/helper.rs
+++ b/crates/decision/src/gateway/helper.rs
@@ -15,7 +15,7 @@
 
 use crate::Time;
 use crate::member::MemberId;
-use crate::query::coverage::Set;
+use crate::query::coverage::KeySet;
 use monsoonring_configuration::id::DataCentreId;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -71,7 +71,7 @@
     /// The host.
     pub host: MemberId,
     /// The keys.
-    pub keys: Set,
+    pub keys: KeySet,
 }
 
 /// How a helper ended a search.
@@ -198,7 +198,7 @@
 
     /// Chooses a host that looks through a part of a search, where these keys could be looked through in each data
     /// centre: one where it is the most of them.
-    pub fn share(&mut self, keys: &BTreeMap<DataCentreId, Set>, now: Time) -> Option<Share> {
+    pub fn share(&mut self, keys: &BTreeMap<DataCentreId, KeySet>, now: Time) -> Option<Share> {
         if self.poor.is_some_and(|until| until > now) {
             return None;
         }
@@ -211,7 +211,8 @@
             let may = helper.is_ready(now) && near_enough(data_centre);
             may.then_some((host, helper, keys))
         });
-        let order = |(_, one, less): &(_, &Helper, &Set), (_, other, more): &(_, &Helper, &Set)| {
+        let order = |(_, one, less): &(_, &Helper, &KeySet),
+                     (_, other, more): &(_, &Helper, &KeySet)| {
             let fewer = more.len().cmp(&less.len());
             fewer.then_with(|| one.compare(other))
         };
@@ -233,7 +234,7 @@
     }
 
     /// Returns the longest round trip to a data centre that is asked for a part.
-    fn longest_round_trip(&self, keys: &BTreeMap<DataCentreId, Set>) -> Duration {
+    fn longest_round_trip(&self, keys: &BTreeMap<DataCentreId, KeySet>) -> Duration {
         let able = self.round_trips.iter();
         let able = able.filter(|(data_centre, _)| keys.contains_key(*data_centre));
         let least = able.map(|(_, time)| *time).min().unwrap_or_default();
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -9,7 +9,7 @@
 use super::{InstanceId, ServiceId, Shards};
 use crate::Time;
 use crate::backend::Cold;
-use crate::query::coverage::Set;
+use crate::query::coverage::KeySet;
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::{Capacity, Group, Hedge, Kind, Retry, Route};
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
@@ -180,7 +180,7 @@
     shards: &Shards,
     usable: &Usable<'_>,
     own: &DataCentreId,
-) -> BTreeMap<DataCentreId, Set> {
+) -> BTreeMap<DataCentreId, KeySet> {
     let places = places(shards);
     let mut held: BTreeMap<&DataCentreId, BTreeSet<usize>> = BTreeMap::new();
     for entry in usable.values() {
--- a/crates/decision/src/home/action.rs
+++ b/crates/decision/src/home/action.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{AttemptId, ConnectionId};
 use crate::content::{Content, Json};
 use crate::outcome::Outcome;
-use crate::why::Why;
+use crate::rationale::Rationale;
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::{BackendServerId, Incarnation, IndexVersion};
@@ -69,5 +69,5 @@
     /// The backend server concerned, if there is one.
     pub backend_server: Option<BackendServerId>,
     /// Why it was decided.
-    pub why: Why,
+    pub why: Rationale,
 }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -15,8 +15,8 @@
 use crate::attempt::{AttemptId, ConnectionId};
 use crate::backend::pool::Command;
 use crate::content::Content;
-use crate::query::coverage::Set;
-use crate::query::run::{Cause, Waiter};
+use crate::query::coverage::KeySet;
+use crate::query::search::{Cause, Waiter};
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     pub(super) owner: Owner,
     pub(super) request: &'a Request<C>,
     pub(super) server: BackendServerId,
-    pub(super) asked: Set,
+    pub(super) asked: KeySet,
     pub(super) version: Option<IndexVersion>,
     pub(super) cause: Cause,
 }
--- a/crates/decision/src/home/elsewhere.rs
+++ b/crates/decision/src/home/elsewhere.rs
@@ -8,9 +8,9 @@
 use super::state::Home;
 use crate::content::Content;
 use crate::outcome::Reason;
-use crate::query::coverage::Set;
+use crate::query::coverage::KeySet;
 use crate::query::merge;
-use crate::query::run::{Cause, Run};
+use crate::query::search::{Cause, Search};
 use crate::reply::Reply;
 use crate::{RequestId, Time};
 
@@ -20,17 +20,17 @@
         self.with_run(id, now, |home, run| {
             run.fanout.send();
             let minimum = home.route.minimum_index_version;
-            let covered: Set = reply.ranges.iter().copied().collect();
-            let elsewhere = run.take_elsewhere();
+            let covered: KeySet = reply.ranges.iter().copied().collect();
+            let elsewhere = run.take_delegated();
             let is_asked = covered.difference(&elsewhere).is_empty();
             if !is_asked
                 || merge::check(&reply).is_err()
-                || !run.agrees(reply.index_version, minimum)
+                || !run.accepts_version(reply.index_version, minimum)
             {
                 home.lose_elsewhere(run, &elsewhere, "answered what was not asked");
                 return;
             }
-            run.accept_elsewhere(&covered, reply);
+            run.accept_delegated(&covered, reply);
             let lost = elsewhere.difference(&covered);
             if !lost.is_empty() {
                 home.lose_elsewhere(run, &lost, "not covered");
@@ -41,12 +41,12 @@
     /// Takes in that another home does not look through what it was asked for.
     pub(super) fn not_gathered(&mut self, id: RequestId, begun: Begun, now: Time) {
         self.with_run(id, now, |home, run| {
-            let elsewhere = run.take_elsewhere();
+            let elsewhere = run.take_delegated();
             match begun {
                 Begun::No => {
                     let why = format!("keys {:?} are asked for here", elsewhere.ranges());
                     home.log(Some(id), "elsewhere", None, why);
-                    for part in run.deal_anew(&elsewhere, &home.route) {
+                    for part in run.add_new_parts(&elsewhere, &home.route) {
                         home.assign(run, part, Cause::First, now);
                     }
                 }
@@ -59,9 +59,9 @@
     }
 
     /// Gives up keys that another home was asked for.
-    fn lose_elsewhere(&mut self, run: &mut Run<C>, keys: &Set, what: &str) {
+    fn lose_elsewhere(&mut self, run: &mut Search<C>, keys: &KeySet, what: &str) {
         let why = format!("keys {:?} elsewhere: {what}", keys.ranges());
         self.log(Some(run.request.id), "elsewhere", None, why);
-        run.lose(keys, &self.route, Reason::Lost);
+        run.give_up_keys(keys, &self.route, Reason::Lost);
     }
 }
--- a/crates/decision/src/home/ending.rs
+++ b/crates/decision/src/home/ending.rs
@@ -12,7 +12,7 @@
 use crate::backend::pool::Health;
 use crate::content::Content;
 use crate::query::merge;
-use crate::query::run::{self, Cause, PartId, Run};
+use crate::query::search::{self, Cause, PartId, Search};
 use crate::reply::{Reply, Report};
 use crate::{RequestId, Time};
 use std::time::Duration;
@@ -90,15 +90,15 @@
 
     fn take_reply(
         &mut self,
-        run: &mut Run<C>,
+        run: &mut Search<C>,
         part: PartId,
         flight: &Flight,
         reply: Reply<C::Value>,
         now: Time,
     ) {
-        run.land(part, flight.id);
+        run.remove_attempt(part, flight.id);
         let version = reply.index_version;
-        if !run.agrees(version, self.route.minimum_index_version) {
+        if !run.accepts_version(version, self.route.minimum_index_version) {
             let why = format!("version {version:?}, pinned {:?}", run.pin);
             self.log(Some(run.request.id), "discard", Some(flight.server), why);
             // One that was asked for no version may serve the pinned one as well.
@@ -113,7 +113,7 @@
         self.cancel_losers(change.losers, flight.id, now);
         run.exclude(part, flight.server);
         let cause = if change.progress {
-            Cause::Rest
+            Cause::Remainder
         } else {
             Cause::Retry
         };
@@ -122,7 +122,7 @@
 
     /// Asks for what a part still lacks, of the groups that hold it now, unless another attempt
     /// for it is in progress.
-    fn again(&mut self, run: &mut Run<C>, id: PartId, cause: Cause, now: Time) {
+    fn again(&mut self, run: &mut Search<C>, id: PartId, cause: Cause, now: Time) {
         let idle = run.parts.get(&id).is_some_and(|part| part.live.is_empty());
         if !idle {
             return;
@@ -130,7 +130,7 @@
         let Some(part) = run.parts.remove(&id) else {
             return;
         };
-        for made in run.deal(&part.wanted, &self.route, &part) {
+        for made in run.add_parts(&part.wanted, &self.route, &part) {
             self.assign(run, made, cause, now);
         }
     }
@@ -214,8 +214,8 @@
         now: Time,
     ) {
         self.with_run(request, now, |home, run| {
-            run.land(part, flight.id);
-            run.note(part, failure);
+            run.remove_attempt(part, flight.id);
+            run.record_failure(part, failure);
             let refused = match failure {
                 Failure::Refused { refusal, .. } => Some(refusal),
                 _ => None,
@@ -223,12 +223,12 @@
             if matches!(refused, Some(Refusal::IndexVersion { .. })) {
                 run.exclude(part, flight.server);
             }
-            if run::is_final(failure) {
+            if search::is_final(failure) {
                 run.give_up(part);
                 return;
             }
             let cause = match failure {
-                Failure::NotSent => Cause::Rest,
+                Failure::NotSent => Cause::Remainder,
                 _ => Cause::Retry,
             };
             home.again(run, part, cause, now);
@@ -347,9 +347,9 @@
     /// these than connections given up, each of which takes a new connect to come back.
     fn part_silent(&mut self, request: RequestId, part: PartId, flight: &Flight, now: Time) {
         self.with_run(request, now, |home, run| {
-            run.land(part, flight.id);
-            run.note(part, &Failure::Lost);
-            home.again(run, part, Cause::Rest, now);
+            run.remove_attempt(part, flight.id);
+            run.record_failure(part, &Failure::Lost);
+            home.again(run, part, Cause::Remainder, now);
         });
     }
 }
--- a/crates/decision/src/home/event.rs
+++ b/crates/decision/src/home/event.rs
@@ -1,11 +1,11 @@
 //! What happens to a home.
 
 use super::terms::Terms;
-use crate::attempt::{AttemptId, ConnectionId, Failure, Unopened};
+use crate::attempt::{AttemptId, ConnectFailure, ConnectionId, Failure};
 use crate::backend::Cold;
 use crate::content::{Content, Json};
 use crate::placement::Homes;
-use crate::query::coverage::Set;
+use crate::query::coverage::KeySet;
 use crate::reply::{Reply, Report};
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::document::{Class, Route};
@@ -40,10 +40,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scope {
     /// The keys asked for; `None` for all keys of the route.
-    pub only: Option<Set>,
+    pub only: Option<KeySet>,
     /// Those of them that another home looks through, which
     /// [`Event::Gathered`] or [`Event::NotGathered`] tell of.
-    pub elsewhere: Set,
+    pub elsewhere: KeySet,
 }
 
 /// Whether another home has begun what it was asked for.
@@ -71,7 +71,7 @@
     /// A connection asked for could not be made, or an idle one has ended.
     Closed(ConnectionId),
     /// A connection asked for could not be made, with what is known of why.
-    Unopened(ConnectionId, Unopened),
+    Unopened(ConnectionId, ConnectFailure),
     /// An attempt was answered; its connection is idle again.
     Reply(AttemptId, Reply<C::Value>),
     /// An attempt of a non-idempotent request was answered with its result.
--- a/crates/decision/src/home/execute.rs
+++ b/crates/decision/src/home/execute.rs
@@ -12,11 +12,11 @@
 use crate::budget::Need;
 use crate::content::Content;
 use crate::outcome::{Outcome, Reason};
-use crate::query::attempt::Ended;
-use crate::query::coverage::Set;
+use crate::query::attempt::Disposition;
+use crate::query::coverage::KeySet;
 use crate::query::execution::{Execution, State};
-use crate::query::run::{self, Cause};
-use crate::why::Least;
+use crate::query::search::{self, Cause};
+use crate::rationale::LeastLoaded;
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::id::BackendServerId;
 
@@ -59,7 +59,7 @@
         &mut self,
         execution: &Execution<C>,
         now: Time,
-    ) -> Option<(BackendServerId, Least)> {
+    ) -> Option<(BackendServerId, LeastLoaded)> {
         let candidates = self.placement.servers();
         let rng = &mut self.rng;
         let fresh =
@@ -80,7 +80,7 @@
             owner: Owner::Execution(execution.request.id),
             request: &execution.request,
             server,
-            asked: Set::default(),
+            asked: KeySet::default(),
             version: None,
             cause: execution.cause,
         };
@@ -127,7 +127,7 @@
     /// Finds another server for a request whose server can't be used any more.
     pub(super) fn move_execution(&mut self, id: RequestId, now: Time) {
         if let Some(mut execution) = self.executions.remove(&id) {
-            execution.cause = Cause::Rest;
+            execution.cause = Cause::Remainder;
             self.place(execution, now);
         }
     }
@@ -158,25 +158,25 @@
         let Some(mut execution) = self.executions.remove(&id) else {
             return;
         };
-        execution.note(failure, flight.server);
+        execution.record_failure(failure, flight.server);
         let State::Sent(attempt) = execution.state else {
             self.executions.insert(id, execution);
             return;
         };
         match attempt.fail(failure) {
-            Ended::Unrun(unrun) => {
+            Disposition::NotRun(unrun) => {
                 execution.state = State::Waiting(unrun);
                 self.place_again(execution, failure, now);
             }
-            Ended::Ran => {
+            Disposition::Ran => {
                 let outcome = Outcome::Failed {
                     reason: Reason::BackendServer,
                     retry_after: None,
                 };
                 self.end(&execution.request, execution.started, outcome, now);
             }
-            Ended::Doubt => {
-                let reason = run::reason(failure);
+            Disposition::InDoubt => {
+                let reason = search::reason(failure);
                 let outcome = Outcome::Unknown { reason };
                 self.end(&execution.request, execution.started, outcome, now);
             }
@@ -184,12 +184,12 @@
     }
 
     fn place_again(&mut self, mut execution: Execution<C>, failure: &Failure, now: Time) {
-        if run::is_final(failure) {
+        if search::is_final(failure) {
             self.end_unplaced(execution, now);
             return;
         }
         execution.cause = match failure {
-            Failure::NotSent => Cause::Rest,
+            Failure::NotSent => Cause::Remainder,
             _ => Cause::Retry,
         };
         self.place(execution, now);
--- a/crates/decision/src/home/flight.rs
+++ b/crates/decision/src/home/flight.rs
@@ -1,8 +1,8 @@
 //! Attempts in progress, and those that wait for a connection.
 
 use crate::attempt::{AttemptId, ConnectionId};
-use crate::query::coverage::Set;
-use crate::query::run::{Cause, PartId};
+use crate::query::coverage::KeySet;
+use crate::query::search::{Cause, PartId};
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::document::Class;
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
@@ -31,7 +31,7 @@
     pub(super) class: Class,
     pub(super) fingerprint: Fingerprint,
     /// The keys asked for.
-    pub(super) asked: Set,
+    pub(super) asked: KeySet,
     pub(super) version: Option<IndexVersion>,
     /// The connection it was sent on; `None` while it waits for one.
     pub(super) connection: Option<ConnectionId>,
--- a/crates/decision/src/home/reroute.rs
+++ b/crates/decision/src/home/reroute.rs
@@ -10,8 +10,8 @@
 use crate::Time;
 use crate::attempt::AttemptId;
 use crate::content::Content;
-use crate::query::coverage::Set;
-use crate::query::run::{Cause, Part, Run};
+use crate::query::coverage::KeySet;
+use crate::query::search::{Cause, Part, Search};
 use monsoonring_configuration::document::Route;
 use monsoonring_configuration::id::BackendServerId;
 use std::sync::Arc;
@@ -52,8 +52,8 @@
     /// Deals the missing keys of a run out again by the new placement. A part that its servers
     /// still hold as a whole stays as it is. Of the others, attempts that were sent may still bring
     /// what they were asked for, and what they bring first is not asked again.
-    fn redeal(&mut self, run: &mut Run<C>, now: Time) {
-        let mut lacking = Set::default();
+    fn redeal(&mut self, run: &mut Search<C>, now: Time) {
+        let mut lacking = KeySet::default();
         for (id, mut part) in std::mem::take(&mut run.parts) {
             let home = match run.deferred.contains(&id) {
                 true => self.same_keys(&part),
@@ -67,14 +67,14 @@
                 }
                 None => {
                     run.deferred.remove(&id);
-                    lacking.join(&part.wanted);
+                    lacking.union_with(&part.wanted);
                     self.detach(run, &part.live, now);
                 }
             }
         }
-        lacking.join(&run.unplanned(&self.route));
-        for part in run.deal(&lacking, &self.route, &Part::default()) {
-            self.assign(run, part, Cause::Rest, now);
+        lacking.union_with(&run.unplanned(&self.route));
+        for part in run.add_parts(&lacking, &self.route, &Part::default()) {
+            self.assign(run, part, Cause::Remainder, now);
         }
     }
 
@@ -84,7 +84,7 @@
         let groups = &self.route.groups;
         groups
             .iter()
-            .position(|group| Set::from(group.keys) == part.wanted)
+            .position(|group| KeySet::from(group.keys) == part.wanted)
     }
 
     /// Returns the group that holds a part as a whole and has all servers that work on it, or that
@@ -101,7 +101,7 @@
         }
         let is_sent = flights.iter().any(|flight| flight.connection.is_some());
         self.route.groups.iter().position(|group| {
-            let keys = Set::from(group.keys);
+            let keys = KeySet::from(group.keys);
             let works = |flight: &&Flight| group.backend_servers.contains(&flight.server);
             let holds = part.wanted.difference(&keys).is_empty();
             holds && (flights.iter().all(works) || is_sent && part.wanted == keys)
@@ -126,7 +126,7 @@
     }
 
     /// Leaves attempts without a part: those not yet sent are taken back.
-    fn detach(&mut self, run: &mut Run<C>, live: &[AttemptId], now: Time) {
+    fn detach(&mut self, run: &mut Search<C>, live: &[AttemptId], now: Time) {
         for id in live {
             if self.withdraw(*id, now).is_none() {
                 run.detached.push(*id);
--- a/crates/decision/src/home/rescue.rs
+++ b/crates/decision/src/home/rescue.rs
@@ -12,7 +12,7 @@
 use super::timer::Timer;
 use crate::budget::Need;
 use crate::content::Content;
-use crate::query::run::{Cause, PartId, Run};
+use crate::query::search::{Cause, PartId, Search};
 use crate::{RequestId, Time};
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 impl<C: Content> Home<C> {
     /// Lets a failed part wait for the others, if further attempts are scarce and there is time.
     /// Returns whether it waits.
-    pub(super) fn defers(&mut self, run: &mut Run<C>, id: PartId, now: Time) -> bool {
+    pub(super) fn defers(&mut self, run: &mut Search<C>, id: PartId, now: Time) -> bool {
         let Some(soft) = self.terms(&run.request).soft_deadline else {
             return false;
         };
@@ -48,7 +48,7 @@
     }
 
     /// Decides on the parts that wait, if nothing of the others is in progress any more.
-    pub(super) fn decide_deferred(&mut self, run: &mut Run<C>, now: Time) {
+    pub(super) fn decide_deferred(&mut self, run: &mut Search<C>, now: Time) {
         if !run.deferred.is_empty() && run.live().is_empty() {
             self.rescue(run, now);
         }
@@ -61,7 +61,7 @@
 
     /// Asks again for the parts that wait, if the budgets have what the search needs, and gives them
     /// up otherwise.
-    fn rescue(&mut self, run: &mut Run<C>, now: Time) {
+    fn rescue(&mut self, run: &mut Search<C>, now: Time) {
         let deferred: Vec<PartId> = std::mem::take(&mut run.deferred).into_iter().collect();
         let need = self.need_of_all(run, deferred.len());
         let (may, not): (Vec<PartId>, Vec<PartId>) = deferred
@@ -82,7 +82,7 @@
 
     /// Returns what rests on further attempts for as many parts: how many of them are beyond those
     /// that the answer can do without.
-    fn need_of_all(&self, run: &Run<C>, parts: usize) -> Need {
+    fn need_of_all(&self, run: &Search<C>, parts: usize) -> Need {
         let dispensable = self.dispensable(&run.request);
         let lost = run.parts.values().filter(|part| part.given_up.is_some());
         match (parts + lost.count()).saturating_sub(dispensable) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn has_budget(&mut self, run: &Run<C>, id: PartId, need: Need, now: Time) -> bool {
+    fn has_budget(&mut self, run: &Search<C>, id: PartId, need: Need, now: Time) -> bool {
         let group = run.parts.get(&id).map(|part| part.group);
         group.is_some_and(|group| self.budgets.of(group).has_retry(need, now))
     }
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -10,8 +10,8 @@
 use crate::budget::Need;
 use crate::content::Content;
 use crate::outcome::{Outcome, Reason};
-use crate::query::run::{Cause, Part, PartId, Run};
-use crate::why::Least;
+use crate::query::search::{Cause, Part, PartId, Search};
+use crate::rationale::LeastLoaded;
 use crate::{RequestId, Time};
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 use smallvec::{SmallVec, smallvec};
@@ -36,7 +36,7 @@
     /// Starts a search: every group is asked at once.
     pub(super) fn search(&mut self, request: Request<C>, now: Time) {
         let id = request.id;
-        let run = Run::new(request, self.pin.version(), &self.route, now);
+        let run = Search::new(request, self.pin.version(), &self.route, now);
         for at in self.soft_times(&run) {
             self.timers.set(at, Timer::Soft(id));
         }
@@ -49,7 +49,7 @@
 
     /// Returns the times at which a partial answer becomes better than a later one: with what another home looks
     /// through, and without it.
-    fn soft_times(&self, run: &Run<C>) -> SmallVec<[Time; 2]> {
+    fn soft_times(&self, run: &Search<C>) -> SmallVec<[Time; 2]> {
         let Some(soft) = self.terms(&run.request).soft_deadline else {
             return SmallVec::new();
         };
@@ -67,7 +67,7 @@
     /// Where several groups are short of servers and an answer can do without one, each search so asks those
     /// that are least behind, and all of them are answered. Asked for all, two groups that had one server of
     /// three left gave late answers to one search in four, and one in twenty was refused.
-    fn leave_out(&mut self, run: &mut Run<C>, now: Time) {
+    fn leave_out(&mut self, run: &mut Search<C>, now: Time) {
         let Some(soft) = self.terms(&run.request).soft_deadline else {
             return;
         };
@@ -97,7 +97,7 @@
         &mut self,
         id: RequestId,
         now: Time,
-        act: impl FnOnce(&mut Self, &mut Run<C>),
+        act: impl FnOnce(&mut Self, &mut Search<C>),
     ) {
         let Some(mut run) = self.runs.remove(&id) else {
             return;
@@ -108,7 +108,7 @@
     }
 
     /// Ends a run as soon as nothing but the deadline would.
-    fn settle(&mut self, mut run: Run<C>, now: Time) {
+    fn settle(&mut self, mut run: Search<C>, now: Time) {
         if let Some(version) = self.restart_version(&run, now) {
             self.restart(&mut run, version, now);
         }
@@ -130,12 +130,12 @@
     }
 
     /// Tells whether waiting on is no longer worth it.
-    fn is_enough(&self, run: &Run<C>, now: Time) -> bool {
+    fn is_enough(&self, run: &Search<C>, now: Time) -> bool {
         let Some(soft) = self.terms(&run.request).soft_deadline else {
             return false;
         };
         let times = self.soft_times(run);
-        let at = match run.waits_elsewhere() {
+        let at = match run.has_delegated() {
             true => times.last(),
             false => times.first(),
         };
@@ -144,14 +144,14 @@
 
     /// Tells whether so much was given up that no answer can come of the rest. Waiting on would hold
     /// the caller, and the servers with it, for nothing.
-    pub(super) fn is_hopeless(&self, run: &Run<C>) -> bool {
+    pub(super) fn is_hopeless(&self, run: &Search<C>) -> bool {
         let least = self.terms(&run.request).least_coverage;
         let is_whole = || run.parts.values().all(|part| part.given_up.is_none());
         least > 0.0 && !is_whole() && run.reachable(&self.route, None) < least
     }
 
     /// Returns what rests on another attempt for a part.
-    fn need(&self, run: &Run<C>, id: PartId, cause: Cause) -> Need {
+    fn need(&self, run: &Search<C>, id: PartId, cause: Cause) -> Need {
         let least = self.terms(&run.request).least_coverage;
         let is_retry = matches!(cause, Cause::Retry | Cause::Overdue);
         if !is_retry || least <= 0.0 || run.reachable(&self.route, Some(id)) < least {
@@ -162,7 +162,7 @@
 
     /// Returns the version at which a run begins again: once, if its own has vanished and there is
     /// time for a reply at a newer one.
-    fn restart_version(&self, run: &Run<C>, now: Time) -> Option<IndexVersion> {
+    fn restart_version(&self, run: &Search<C>, now: Time) -> Option<IndexVersion> {
         let pinned = run.pin?;
         let newer = self.pin.version().filter(|version| *version > pinned)?;
         let is_low = pinned < self.route.minimum_index_version;
@@ -174,7 +174,7 @@
         (!run.restarted && in_time).then_some(newer)
     }
 
-    fn restart(&mut self, run: &mut Run<C>, version: IndexVersion, now: Time) {
+    fn restart(&mut self, run: &mut Search<C>, version: IndexVersion, now: Time) {
         let why = format!(
             "version {} vanished, again at {version}",
             run.pin.unwrap_or(0)
@@ -186,7 +186,7 @@
         self.assign_all(run, Cause::First, now);
     }
 
-    pub(super) fn assign_all(&mut self, run: &mut Run<C>, cause: Cause, now: Time) {
+    pub(super) fn assign_all(&mut self, run: &mut Search<C>, cause: Cause, now: Time) {
         run.yields = self.yields(&run.request, now);
         let wanted = run.parts.iter().filter(|(_, part)| part.given_up.is_none());
         for part in wanted.map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -212,7 +212,7 @@
 
     /// Finds a server for a part. Without one the part waits if one is expected to have room before
     /// the deadline, and is given up otherwise.
-    pub(super) fn assign(&mut self, run: &mut Run<C>, id: PartId, cause: Cause, now: Time) {
+    pub(super) fn assign(&mut self, run: &mut Search<C>, id: PartId, cause: Cause, now: Time) {
         if cause != Cause::Retry || !self.defers(run, id, now) {
             let need = self.need(run, id, cause);
             self.assign_with(run, id, cause, need, now);
@@ -222,7 +222,7 @@
     /// Does so for an attempt on which so much rests.
     pub(super) fn assign_with(
         &mut self,
-        run: &mut Run<C>,
+        run: &mut Search<C>,
         id: PartId,
         cause: Cause,
         need: Need,
@@ -253,7 +253,7 @@
         match self.pick(run, id, now) {
             Some((server, why)) if self.afford(group, cause, need, now) => {
                 run.retries += u32::from(cause == Cause::Retry);
-                self.log(Some(run.request.id), cause.what(), Some(server), why);
+                self.log(Some(run.request.id), cause.label(), Some(server), why);
                 self.ask(run, id, server, cause, now);
             }
             Some((server, _)) => self.deny(run, id, server, cause),
@@ -262,7 +262,12 @@
     }
 
     /// Chooses a server that was not tried for the part; if there is none, one that was.
-    fn pick(&mut self, run: &Run<C>, id: PartId, now: Time) -> Option<(BackendServerId, Least)> {
+    fn pick(
+        &mut self,
+        run: &Search<C>,
+        id: PartId,
+        now: Time,
+    ) -> Option<(BackendServerId, LeastLoaded)> {
         let part = run.parts.get(&id)?;
         let mut candidates = self.candidates(part);
         if run.yields {
@@ -294,7 +299,7 @@
                 budgets.deposit(now);
                 true
             }
-            Cause::Rest => true,
+            Cause::Remainder => true,
             Cause::Retry | Cause::Overdue => {
                 let may = budgets.take_retry(need, now);
                 self.counts.retries_denied += u64::from(!may);
@@ -313,20 +318,20 @@
         }
     }
 
-    fn deny(&mut self, run: &mut Run<C>, id: PartId, server: BackendServerId, cause: Cause) {
+    fn deny(&mut self, run: &mut Search<C>, id: PartId, server: BackendServerId, cause: Cause) {
         let Some(part) = run.parts.get_mut(&id) else {
             return;
         };
         if part.live.is_empty() {
             part.give_up();
         }
-        let why = format!("budget of {} spent, part {id}", cause.what());
+        let why = format!("budget of {} spent, part {id}", cause.label());
         self.log(Some(run.request.id), "deny", Some(server), why);
     }
 
     fn ask(
         &mut self,
-        run: &mut Run<C>,
+        run: &mut Search<C>,
         id: PartId,
         server: BackendServerId,
         cause: Cause,
@@ -351,7 +356,7 @@
     /// Lets a part wait for room. Where none is to be expected in time it counts as given up, so
     /// that the answer waits for nothing; but as long as other parts are in progress, a server that
     /// comes back is asked.
-    fn park(&mut self, run: &mut Run<C>, id: PartId, now: Time) {
+    fn park(&mut self, run: &mut Search<C>, id: PartId, now: Time) {
         let (version, deadline) = (run.pin, run.request.deadline);
         let waiter = run.waiter(id);
         let Some(part) = run.parts.get_mut(&id) else {
@@ -400,7 +405,7 @@
     }
 
     /// Ends a search with what it has, and cancels what is still being asked for.
-    pub(super) fn finish_search(&mut self, run: Run<C>, reason: Reason, now: Time) {
+    pub(super) fn finish_search(&mut self, run: Search<C>, reason: Reason, now: Time) {
         for attempt in run.live() {
             self.cancel(attempt, now);
         }
--- a/crates/decision/src/home/server.rs
+++ b/crates/decision/src/home/server.rs
@@ -4,12 +4,12 @@
 use super::down::Down;
 use super::flight::Owner;
 use super::state::Home;
-use crate::attempt::{ConnectionId, Failure, Unopened};
+use crate::attempt::{ConnectFailure, ConnectionId, Failure};
 use crate::backend::pool::Ending;
 use crate::backend::{Cold, News};
 use crate::content::Content;
 use crate::query::pin;
-use crate::query::run::{Cause, Part, PartId};
+use crate::query::search::{Cause, Part, PartId};
 use crate::reply::Report;
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::id::{BackendServerId, Incarnation, IndexVersion};
@@ -177,7 +177,7 @@
         self.with_run(request, now, |home, run| {
             let idle = |part: &Part| part.live.is_empty();
             if run.parts.get(&part).is_some_and(idle) {
-                home.assign(run, part, Cause::Rest, now);
+                home.assign(run, part, Cause::Remainder, now);
             }
         });
     }
@@ -205,17 +205,17 @@
     /// A connection could not be made. Where the server ended it at once, opening another would end
     /// the same, and each try takes a slot of the server for some milliseconds; that says nothing of
     /// the server's health.
-    pub(super) fn unopened(&mut self, connection: ConnectionId, why: Unopened, now: Time) {
+    pub(super) fn unopened(&mut self, connection: ConnectionId, why: ConnectFailure, now: Time) {
         let ending = match why {
-            Unopened::Ended => self.pool.ended_at_once(connection, now),
-            Unopened::Refused | Unopened::Silent => self.pool.closed(connection, now),
+            ConnectFailure::Closed => self.pool.ended_at_once(connection, now),
+            ConnectFailure::Refused | ConnectFailure::TimedOut => self.pool.closed(connection, now),
         };
         let Some(ending) = ending else {
             return;
         };
         let text = format!("connect: {why}");
         self.log(None, "unopened", Some(ending.server), text);
-        if why != Unopened::Ended {
+        if why != ConnectFailure::Closed {
             self.prove(ending.server, now);
         }
         self.lose(ending, Down::Unopened(why), now);
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -19,12 +19,12 @@
 use crate::outcome::{Outcome, Reason};
 use crate::placement::Part;
 use crate::policy::Policy;
-use crate::query::attempt::Unrun;
+use crate::query::attempt::NotRunProof;
 use crate::query::coverage;
 use crate::query::execution::Execution;
 use crate::query::pin::Pin;
-use crate::query::run::{Run, Waiter};
-use crate::why::Why;
+use crate::query::search::{Search, Waiter};
+use crate::rationale::Rationale;
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::document::{Kind, Route};
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
@@ -53,7 +53,7 @@
     pub(super) budgets: Purse,
     pub(super) pin: Pin,
     pub(super) placement: Placement,
-    pub(super) runs: BTreeMap<RequestId, Run<C>>,
+    pub(super) runs: BTreeMap<RequestId, Search<C>>,
     pub(super) executions: BTreeMap<RequestId, Execution<C>>,
     pub(super) flights: flight::Table,
     /// By group: what waits for room at one of its servers.
@@ -237,7 +237,7 @@
             return;
         }
         if let Some((reason, retry_after)) = self.refusal(&request, now) {
-            let outcome = Unrun::arrived().outcome(reason, retry_after);
+            let outcome = NotRunProof::on_arrival().into_outcome(reason, retry_after);
             let is_overload = reason == Reason::Overload;
             let why = match is_overload {
                 true => format!("{reason} {}", self.refused_by(&request, now)),
@@ -487,7 +487,7 @@
         request: Option<RequestId>,
         what: &'static str,
         backend_server: Option<BackendServerId>,
-        why: impl Into<Why>,
+        why: impl Into<Rationale>,
     ) {
         self.actions.push(Action::Log(Decision {
             request,
--- a/crates/decision/src/home/terms.rs
+++ b/crates/decision/src/home/terms.rs
@@ -4,7 +4,7 @@
 //! routes lead to the same set, one home for each would divide the servers' connections further and
 //! know less of their load, so that they share one, and each request brings what its route says.
 
-use crate::Work;
+use crate::WorkKind;
 use crate::admission::Urgency;
 use crate::query::coverage;
 use monsoonring_configuration::document::{Kind, Route, SoftDeadline};
@@ -22,7 +22,7 @@
     /// Share of the data, from 0 to 1, below which an answer is of no use to the caller.
     pub least_coverage: f64,
     /// What it asks of the backend servers.
-    pub work: Work,
+    pub work: WorkKind,
     /// How urgent it is, where requests of other ranks share the backend servers.
     pub urgency: Option<Urgency>,
 }
--- a/crates/decision/src/idempotency/decision.rs
+++ b/crates/decision/src/idempotency/decision.rs
@@ -43,11 +43,11 @@
     /// Don't run it, and tell why.
     Refuse(Refusal),
     /// Pass it to this incarnation, where it is a member, else to whoever says that it holds the
-    /// fence ([`super::Question::Fence`]); if there is none, tell "unknown".
+    /// fence ([`super::Lookup::Fence`]); if there is none, tell "unknown".
     PassTo(Fence),
     /// A later send of an own key that isn't recorded here: ask the other members
-    /// ([`super::Question::Own`]).
-    Ask,
+    /// ([`super::Lookup::Own`]).
+    LookUp,
 }
 
 /// Why a send, or the issue of a key, is refused.
--- a/crates/decision/src/idempotency/estate.rs
+++ b/crates/decision/src/idempotency/fence.rs
@@ -12,7 +12,7 @@
 
 /// All that a holder needs for the keys of one fence.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(super) struct Bequest {
+pub(super) struct FenceSnapshot {
     pub(super) fence: Fence,
     pub(super) secret: Secret,
     /// Time on the fence's clock when the handover was made.
@@ -57,7 +57,7 @@
 
 /// What a holder keeps for one fence.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Estate {
+pub(super) struct FenceState {
     pub(super) secret: Secret,
     pub(super) records: BTreeMap<Serial, Record>,
     /// Keys that may still arrive, for an inherited fence.
@@ -70,7 +70,7 @@
     ours: Time,
 }
 
-impl Estate {
+impl FenceState {
     pub(super) fn started(secret: Secret) -> Self {
         Self {
             secret,
@@ -96,7 +96,7 @@
         self.theirs.saturating_add(now.saturating_sub(self.ours))
     }
 
-    pub(super) fn inherited(bequest: Bequest, now: Time) -> Self {
+    pub(super) fn inherited(bequest: FenceSnapshot, now: Time) -> Self {
         let entries = bequest.records.into_iter();
         Self {
             secret: bequest.secret,
--- a/crates/decision/src/idempotency/handover.rs
+++ b/crates/decision/src/idempotency/handover.rs
@@ -14,7 +14,7 @@
 //! By induction over the chain of successors, a fence has one holder at any time. A handover that
 //! is lost, refused or late costs no more than some "unknown".
 
-use super::estate::{Bequest, Entry, Estate, Phase};
+use super::fence::{Entry, FenceSnapshot, FenceState, Phase};
 use super::key::Fence;
 use super::ledger::Ledger;
 use crate::Time;
@@ -67,7 +67,7 @@
     pub from: Fence,
     /// The one incarnation that may take it.
     pub to: Fence,
-    estates: Vec<Bequest>,
+    estates: Vec<FenceSnapshot>,
     own: Vec<(CallerId, Box<str>, Entry)>,
 }
 
@@ -168,13 +168,13 @@
         Ok(Receipt { from, to })
     }
 
-    fn settle_in(&mut self, mut bequest: Bequest, now: Time) {
+    fn settle_in(&mut self, mut bequest: FenceSnapshot, now: Time) {
         for (_, entry) in &mut bequest.records {
             entry.outcome = self.afford(&entry.outcome);
         }
         // A fence that is held already has records that are newer than any handover.
         let fence = bequest.fence;
-        let estate = Estate::inherited(bequest, now);
+        let estate = FenceState::inherited(bequest, now);
         self.estates.entry(fence).or_insert(estate);
     }
 
@@ -189,14 +189,14 @@
         self.own.insert(name, entry.into_record(now));
     }
 
-    fn bequest(&self, fence: Fence, estate: &Estate, now: Time) -> Bequest {
+    fn bequest(&self, fence: Fence, estate: &FenceState, now: Time) -> FenceSnapshot {
         let last = self.places.back().copied().unwrap_or(now);
         let (keys, until) = match fence == self.fence {
             true => (self.places.len(), last),
             false => (estate.keys, estate.until),
         };
         let records = estate.records.iter();
-        Bequest {
+        FenceSnapshot {
             fence,
             secret: estate.secret.clone(),
             clock: estate.clock(now),
--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -11,9 +11,9 @@
 //! - Once closed for a handover, a ledger gives out no permit.
 
 use super::decision::{Decision, Refusal, Request, Result};
-use super::estate::{Estate, Phase};
+use super::fence::{FenceState, Phase};
 use super::key::{Fence, Fenced, Key, Serial};
-use super::permit::{Permit, Ran, Run, Sent, Slot, Unsent};
+use super::permit::{AnyPermit, Permit, Sent, SentOutcome, Slot, Unsent};
 use super::record::{Outcome, Record, State};
 use super::seal::{Scope, Secret};
 use crate::outcome::{self, Reason};
@@ -55,7 +55,7 @@
 /// How a key ended, and who waits for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "the joined sends wait for the outcome"]
-pub struct Ended {
+pub struct Completion {
     /// The outcome, for the send that ran it and for those that joined.
     pub outcome: Outcome,
     /// The sends that joined.
@@ -68,7 +68,7 @@
     pub(super) fence: Fence,
     pub(super) limits: Limits,
     pub(super) phase: Phase,
-    pub(super) estates: BTreeMap<Fence, Estate>,
+    pub(super) estates: BTreeMap<Fence, FenceState>,
     pub(super) own: BTreeMap<(CallerId, Box<str>), Record>,
     /// Fences taken over at any time, never forgotten.
     pub(super) taken: BTreeSet<Fence>,
@@ -87,7 +87,7 @@
             fence,
             limits,
             phase: Phase::Open,
-            estates: BTreeMap::from([(fence, Estate::started(secret))]),
+            estates: BTreeMap::from([(fence, FenceState::started(secret))]),
             own: BTreeMap::new(),
             taken: BTreeSet::new(),
             places: VecDeque::new(),
@@ -110,7 +110,7 @@
     }
 
     /// Number of keys of which something is recorded.
-    pub fn kept(&self) -> usize {
+    pub fn recorded(&self) -> usize {
         let fenced = self.estates.values().map(|e| e.records.len());
         fenced.sum::<usize>() + self.own.len()
     }
@@ -144,7 +144,7 @@
     }
 
     /// Records how a request that left ended.
-    pub fn finish(&mut self, permit: Permit<Sent>, ran: Ran, now: Time) -> Ended {
+    pub fn finish(&mut self, permit: Permit<Sent>, ran: SentOutcome, now: Time) -> Completion {
         self.settle(permit.slot, ran.into(), now)
     }
 
@@ -155,7 +155,7 @@
         reason: Reason,
         retry_after: Option<Duration>,
         now: Time,
-    ) -> Ended {
+    ) -> Completion {
         let outcome = Outcome::NotRun {
             reason,
             retry_after,
@@ -165,7 +165,7 @@
 
     /// Records the outcome that a home found. "Not run" for a request that left without a proof
     /// of refusal becomes "unknown".
-    pub fn conclude(&mut self, run: Run, outcome: outcome::Outcome, now: Time) -> Ended {
+    pub fn conclude(&mut self, run: AnyPermit, outcome: outcome::Outcome, now: Time) -> Completion {
         let (slot, sent) = run.into_parts();
         let mut outcome = Outcome::from(outcome);
         if sent && outcome.is_not_run() {
@@ -227,7 +227,7 @@
             None | Some(0) => Decision::Refuse(Refusal::Unmarked),
             Some(1) => self.begin_first(name, request, now),
             Some(_) if request.passed_on => Decision::Refuse(Refusal::Gone),
-            Some(_) => Decision::Ask,
+            Some(_) => Decision::LookUp,
         }
     }
 
@@ -250,7 +250,7 @@
         decision
     }
 
-    fn settle(&mut self, slot: Slot, outcome: Outcome, now: Time) -> Ended {
+    fn settle(&mut self, slot: Slot, outcome: Outcome, now: Time) -> Completion {
         let now = self.advance(now);
         let kept = State::Done(self.afford(&outcome));
         let until = now + self.limits.slack;
@@ -262,7 +262,7 @@
                 joined = waiting;
             }
         }
-        Ended { outcome, joined }
+        Completion { outcome, joined }
     }
 
     /// Returns the outcome as it can be kept, and counts its bytes.
--- a/crates/decision/src/idempotency/lookup.rs
+++ b/crates/decision/src/idempotency/lookup.rs
@@ -4,7 +4,7 @@
 //! answer counts: that nobody knows of a key proves nothing, as the one who knew may be gone. So
 //! it is safe to ask fewer members, such as the homes of the route, and costs only "unknown".
 
-use super::estate::Phase;
+use super::fence::Phase;
 use super::key::Fence;
 use super::ledger::Ledger;
 use super::record::{Outcome, Record, State};
@@ -16,7 +16,7 @@
 
 /// What is asked of each member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Question {
+pub enum Lookup {
     /// What is known of a caller's own key?
     Own {
         /// The caller.
@@ -32,7 +32,7 @@
 
 /// What a member knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Finding {
     /// Nothing.
     Nothing,
     /// It holds the fence: the request can be passed to it.
@@ -47,7 +47,7 @@
 
 /// What follows from the answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Conclusion {
+pub enum Resolution {
     /// Pass the request to this member.
     PassTo(SocketAddr),
     /// Tell the recorded outcome.
@@ -60,36 +60,36 @@
 
 impl Ledger {
     /// Answers another member's question.
-    pub fn answer(&self, question: &Question) -> Answer {
+    pub fn answer(&self, question: &Lookup) -> Finding {
         match question {
-            Question::Fence(fence) => self.answer_fence(*fence),
-            Question::Own {
+            Lookup::Fence(fence) => self.answer_fence(*fence),
+            Lookup::Own {
                 caller,
                 key,
                 fingerprint,
             } => {
                 let record = self.own.get(&(caller.clone(), key.clone()));
-                record.map_or(Answer::Nothing, |record| answer_own(record, *fingerprint))
+                record.map_or(Finding::Nothing, |record| answer_own(record, *fingerprint))
             }
         }
     }
 
-    fn answer_fence(&self, fence: Fence) -> Answer {
+    fn answer_fence(&self, fence: Fence) -> Finding {
         let closed = matches!(self.phase, Phase::Closed { .. });
         if closed || !self.estates.contains_key(&fence) {
-            return Answer::Nothing;
+            return Finding::Nothing;
         }
-        Answer::Holds
+        Finding::Holds
     }
 }
 
-fn answer_own(record: &Record, fingerprint: Fingerprint) -> Answer {
+fn answer_own(record: &Record, fingerprint: Fingerprint) -> Finding {
     if record.fingerprint != fingerprint {
-        return Answer::Mismatch;
+        return Finding::Mismatch;
     }
     match &record.state {
-        State::Running { .. } => Answer::Running,
-        State::Done(outcome) => Answer::Done(outcome.clone()),
+        State::Running { .. } => Finding::Running,
+        State::Done(outcome) => Finding::Done(outcome.clone()),
     }
 }
 
@@ -118,28 +118,34 @@
 
     /// Takes a member's answer, `None` where it could not be asked or didn't answer in time.
     /// Returns what follows, once that is certain.
-    pub fn answered(&mut self, member: SocketAddr, answer: Option<Answer>) -> Option<Conclusion> {
+    pub fn record_reply(
+        &mut self,
+        member: SocketAddr,
+        answer: Option<Finding>,
+    ) -> Option<Resolution> {
         self.waiting.remove(&member);
         match answer {
             None => self.unreachable = true,
-            Some(Answer::Nothing) => {}
-            Some(Answer::Holds | Answer::Running) => return Some(Conclusion::PassTo(member)),
-            Some(Answer::Mismatch) => return Some(Conclusion::Mismatch),
-            Some(Answer::Done(outcome)) if outcome.is_not_run() => self.not_run = Some(outcome),
-            Some(Answer::Done(outcome)) => return Some(Conclusion::Replay(outcome)),
+            Some(Finding::Nothing) => {}
+            Some(Finding::Holds | Finding::Running) => {
+                return Some(Resolution::PassTo(member));
+            }
+            Some(Finding::Mismatch) => return Some(Resolution::Mismatch),
+            Some(Finding::Done(outcome)) if outcome.is_not_run() => self.not_run = Some(outcome),
+            Some(Finding::Done(outcome)) => return Some(Resolution::Replay(outcome)),
         }
-        self.conclude()
+        self.resolve()
     }
 
     /// Returns what follows if nobody is left to ask. "Not run" is said only if everyone
     /// answered: where a first send was repeated against the rule, another member may have run it.
-    pub fn conclude(&self) -> Option<Conclusion> {
+    pub fn resolve(&self) -> Option<Resolution> {
         if !self.waiting.is_empty() {
             return None;
         }
         match &self.not_run {
-            Some(outcome) if !self.unreachable => Some(Conclusion::Replay(outcome.clone())),
-            _ => Some(Conclusion::Unknown),
+            Some(outcome) if !self.unreachable => Some(Resolution::Replay(outcome.clone())),
+            _ => Some(Resolution::Unknown),
         }
     }
 }
--- a/crates/decision/src/idempotency/mod.rs
+++ b/crates/decision/src/idempotency/mod.rs
@@ -16,7 +16,7 @@
 //! `docs/design/at-most-once.md` weighs the ways that were not taken.
 
 pub mod decision;
-mod estate;
+mod fence;
 pub mod handover;
 pub mod key;
 pub mod ledger;
@@ -29,7 +29,7 @@
 pub use handover::{Handover, Receipt};
 pub use key::{Fence, Key};
 pub use ledger::{Ledger, Limits};
-pub use lookup::{Answer, Poll, Question};
-pub use permit::{Permit, Run, Sent, Unsent};
+pub use lookup::{Finding, Lookup, Poll};
+pub use permit::{AnyPermit, Permit, Sent, Unsent};
 pub use record::Outcome;
 pub use seal::Secret;
--- a/crates/decision/src/idempotency/permit.rs
+++ b/crates/decision/src/idempotency/permit.rs
@@ -59,7 +59,7 @@
     /// Gives the permit back where the deadline has passed. A process that was paused between
     /// taking the request and sending it would otherwise run what its caller has given up; it
     /// shows as work at a backend server with no request in progress anywhere.
-    pub fn sent(self, now: Time) -> Result<Permit<Sent>, Self> {
+    pub fn mark_sent(self, now: Time) -> Result<Permit<Sent>, Self> {
         if now >= self.deadline {
             return Err(self);
         }
@@ -87,7 +87,7 @@
 
 /// How a request that left ended; it cannot be "not run".
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ran {
+pub enum SentOutcome {
     /// It ran; the value is JSON text.
     Executed(Box<str>),
     /// It ran and failed.
@@ -96,12 +96,12 @@
     Unknown(Reason),
 }
 
-impl From<Ran> for record::Outcome {
-    fn from(ran: Ran) -> Self {
+impl From<SentOutcome> for record::Outcome {
+    fn from(ran: SentOutcome) -> Self {
         match ran {
-            Ran::Executed(value) => Self::Executed(value),
-            Ran::Failed(reason) => Self::Failed { reason },
-            Ran::Unknown(reason) => Self::Unknown { reason },
+            SentOutcome::Executed(value) => Self::Executed(value),
+            SentOutcome::Failed(reason) => Self::Failed { reason },
+            SentOutcome::Unknown(reason) => Self::Unknown { reason },
         }
     }
 }
@@ -109,18 +109,18 @@
 /// A permit in whichever state it is, for a driver that keeps it between events.
 #[derive(Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "exploration", derive(Clone))]
-pub enum Run {
+pub enum AnyPermit {
     /// No byte has left.
     Unsent(Permit<Unsent>),
     /// The request may be running.
     Sent(Permit<Sent>),
 }
 
-impl Run {
+impl AnyPermit {
     /// Notes that the request is about to leave, and tells whether it may.
-    pub fn sent(self, now: Time) -> (Self, bool) {
+    pub fn mark_sent(self, now: Time) -> (Self, bool) {
         match self {
-            Self::Unsent(permit) => match permit.sent(now) {
+            Self::Unsent(permit) => match permit.mark_sent(now) {
                 Ok(permit) => (Self::Sent(permit), true),
                 Err(permit) => (Self::Unsent(permit), false),
             },
@@ -132,7 +132,7 @@
 
     /// Notes that an attempt failed.
     #[must_use]
-    pub fn failed(self, failure: &Failure) -> Self {
+    pub fn on_failure(self, failure: &Failure) -> Self {
         match self {
             Self::Unsent(permit) => Self::Unsent(permit),
             Self::Sent(permit) => match permit.retract(failure) {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -21,8 +21,8 @@
 pub mod placement;
 pub mod policy;
 pub mod query;
+pub mod rationale;
 pub mod reply;
-pub mod why;
 
 /// Monotonic time since the start of the process that decides.
 pub type Time = std::time::Duration;
@@ -34,4 +34,4 @@
 pub type Fingerprint = u64;
 
 /// Kind of work: requests with the same number ask about as much of a backend server.
-pub type Work = u64;
+pub type WorkKind = u64;
--- a/crates/decision/src/query/attempt.rs
+++ b/crates/decision/src/query/attempt.rs
@@ -2,7 +2,7 @@
 //!
 //! Symptom guarded against: a caller is told "not run", sends a repair ticket again, and two teams
 //! go to the same valve. It would come about when some path of failures ends in
-//! `Outcome::NotRun` although bytes had left. Here that outcome is built from an [`Unrun`] alone.
+//! `Outcome::NotRun` although bytes had left. Here that outcome is built from an [`NotRunProof`] alone.
 //! There is one of them per request, it can't be copied, it goes into the attempt when the attempt
 //! is sent, and it comes back only with a failure that proves that nothing ran.
 
@@ -12,34 +12,34 @@
 
 /// Proof that nothing of a request has run.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Unrun(());
+pub struct NotRunProof(());
 
-impl Unrun {
+impl NotRunProof {
     /// Makes the proof for a request that has just arrived. Called once per request.
-    pub(crate) fn arrived() -> Self {
+    pub(crate) fn on_arrival() -> Self {
         Self(())
     }
 
     /// Ends the request as not run.
-    pub fn outcome<V>(self, reason: Reason, retry_after: Option<Duration>) -> Outcome<V> {
+    pub fn into_outcome<V>(self, reason: Reason, retry_after: Option<Duration>) -> Outcome<V> {
         Outcome::NotRun {
             reason,
-            retry_after: come_back(reason, retry_after),
+            retry_after: retry_after_or_default(reason, retry_after),
         }
     }
 }
 
 /// Time after which to come back where no server named one.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Returns when it is worth coming back: what a server named, or a second where the reason is one
 /// that passes. Callers that are told nothing come back at once, all together.
-pub(crate) fn come_back(reason: Reason, named: Option<Duration>) -> Option<Duration> {
+pub(crate) fn retry_after_or_default(reason: Reason, named: Option<Duration>) -> Option<Duration> {
     let passes = matches!(
         reason,
         Reason::Overload | Reason::Unavailable | Reason::Lost
     );
-    named.or(passes.then_some(COME_BACK))
+    named.or(passes.then_some(DEFAULT_RETRY_AFTER))
 }
 
 /// An attempt of a non-idempotent request in the state `S`.
@@ -51,7 +51,7 @@
 
 /// State of an attempt that waits for a connection; no byte has left.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Queued(Unrun);
+pub struct Queued(NotRunProof);
 
 /// State of an attempt that was handed over for sending; it may be running.
 #[derive(Debug, PartialEq, Eq)]
@@ -59,13 +59,13 @@
 
 /// How a sent attempt ended without a result.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Disposition {
     /// It provably did not run.
-    Unrun(Unrun),
+    NotRun(NotRunProof),
     /// It ran and failed.
     Ran,
     /// It may have run.
-    Doubt,
+    InDoubt,
 }
 
 impl<S> Attempt<S> {
@@ -77,13 +77,13 @@
 
 impl Attempt<Queued> {
     /// Makes an attempt that waits for a connection.
-    pub fn new(id: AttemptId, unrun: Unrun) -> Self {
+    pub fn new(id: AttemptId, unrun: NotRunProof) -> Self {
         let state = Queued(unrun);
         Self { id, state }
     }
 
     /// Takes the attempt back.
-    pub fn withdraw(self) -> Unrun {
+    pub fn withdraw(self) -> NotRunProof {
         self.state.0
     }
 
@@ -99,18 +99,18 @@
 impl Attempt<Sent> {
     /// Ends the attempt. Only a refusal by the server itself, or the driver's word that no byte
     /// left, gives the proof back.
-    pub fn fail(self, failure: &Failure) -> Ended {
+    pub fn fail(self, failure: &Failure) -> Disposition {
         match failure {
-            Failure::Refused { .. } | Failure::NotSent => Ended::Unrun(Unrun(())),
-            Failure::Ran { .. } => Ended::Ran,
+            Failure::Refused { .. } | Failure::NotSent => Disposition::NotRun(NotRunProof(())),
+            Failure::ServerError { .. } => Disposition::Ran,
             Failure::Lost | Failure::Dropped | Failure::Mismatched | Failure::Cancelled { .. } => {
-                Ended::Doubt
+                Disposition::InDoubt
             }
         }
     }
 
     /// Gives the attempt up while it may be running.
-    pub fn doubt<V>(self, reason: Reason) -> Outcome<V> {
+    pub fn into_unknown<V>(self, reason: Reason) -> Outcome<V> {
         Outcome::Unknown { reason }
     }
 }
@@ -130,13 +130,13 @@
 
     /// Counts the end of an attempt; called once per attempt.
     pub fn fail(&mut self, failure: &Failure) {
-        if failure.is_unrun() {
+        if failure.is_not_run() {
             self.unrun += 1;
         }
     }
 
     /// Returns the proof if each attempt sent has provably not run.
-    pub fn unrun(&self) -> Option<Unrun> {
-        (self.sent == self.unrun).then_some(Unrun(()))
+    pub fn unrun(&self) -> Option<NotRunProof> {
+        (self.sent == self.unrun).then_some(NotRunProof(()))
     }
 }
--- a/crates/decision/src/query/coverage.rs
+++ b/crates/decision/src/query/coverage.rs
@@ -11,17 +11,17 @@
 
 /// A set of keys, as ranges.
 ///
-/// Invariant, kept by [`Set::add`] alone: the ranges are not empty, in order, and neither overlap
+/// Invariant, kept by [`KeySet::add`] alone: the ranges are not empty, in order, and neither overlap
 /// nor touch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Set {
+pub struct KeySet {
     ranges: Ranges,
 }
 
 /// Nearly all sets are one range: the keys of a group, or all up to those that are missing.
 type Ranges = SmallVec<[Range; 1]>;
 
-impl Set {
+impl KeySet {
     /// Returns the ranges, disjoint and in order.
     pub fn ranges(&self) -> &[Range] {
         &self.ranges
@@ -60,7 +60,7 @@
     }
 
     /// Adds the keys of another set.
-    pub fn join(&mut self, other: &Self) {
+    pub fn union_with(&mut self, other: &Self) {
         for range in &other.ranges {
             self.add(*range);
         }
@@ -126,7 +126,7 @@
     }
 }
 
-impl From<Range> for Set {
+impl From<Range> for KeySet {
     fn from(range: Range) -> Self {
         let mut set = Self::default();
         set.add(range);
@@ -134,7 +134,7 @@
     }
 }
 
-impl FromIterator<Range> for Set {
+impl FromIterator<Range> for KeySet {
     fn from_iter<I: IntoIterator<Item = Range>>(ranges: I) -> Self {
         let mut set = Self::default();
         for range in ranges {
@@ -148,8 +148,8 @@
 ///
 /// A set with all keys gives exactly 1, and one that lacks a key never does, whatever the rounding:
 /// a caller must be able to tell "complete" from "nearly".
-pub fn share(set: &Set, route: &Route) -> f64 {
-    if is_whole(set, route) {
+pub fn share(set: &KeySet, route: &Route) -> f64 {
+    if is_complete(set, route) {
         return 1.0;
     }
     let total: f64 = route.groups.iter().map(|group| group.weight).sum();
@@ -168,7 +168,7 @@
 
 /// Returns the share of what lies in `wanted` that lies in `set` too, from 0 to 1; exactly 1 only where no key is
 /// missing, as [`share`] does for all keys of the route.
-pub fn share_of(set: &Set, wanted: &Set, route: &Route) -> f64 {
+pub fn share_of(set: &KeySet, wanted: &KeySet, route: &Route) -> f64 {
     if wanted.difference(set).is_empty() {
         return 1.0;
     }
@@ -182,7 +182,7 @@
 
 /// Tells whether no key of the route is missing in `set`. Asked after each reply, it makes no list:
 /// as the ranges of a set neither overlap nor touch, one of them has to hold all keys.
-pub fn is_whole(set: &Set, route: &Route) -> bool {
+pub fn is_complete(set: &KeySet, route: &Route) -> bool {
     let keys = route.keys;
     let after = set
         .ranges
@@ -191,6 +191,6 @@
 }
 
 /// Returns the keys of the route that are not in `set`.
-pub fn missing(set: &Set, route: &Route) -> Set {
-    Set::from(route.keys).difference(set)
+pub fn missing(set: &KeySet, route: &Route) -> KeySet {
+    KeySet::from(route.keys).difference(set)
 }
--- a/crates/decision/src/query/execution.rs
+++ b/crates/decision/src/query/execution.rs
@@ -4,8 +4,8 @@
 //! (with the proof inside), or an attempt that was handed over for sending (without it). There is
 //! no way from the last state to another server but through a failure that gives the proof back.
 
-use super::attempt::{Attempt, Queued, Sent, Unrun};
-use super::run::{self, Cause, Waiter};
+use super::attempt::{Attempt, NotRunProof, Queued, Sent};
+use super::search::{self, Cause, Waiter};
 use crate::Time;
 use crate::attempt::{AttemptId, Failure};
 use crate::content::Content;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) enum State {
     /// No attempt is being made: a server is to be chosen, or expected to come back.
-    Waiting(Unrun),
+    Waiting(NotRunProof),
     /// The attempt waits for a connection.
     Queued(Attempt<Queued>),
     /// The attempt may be running.
@@ -48,7 +48,7 @@
         Self {
             request,
             started: now,
-            state: State::Waiting(Unrun::arrived()),
+            state: State::Waiting(NotRunProof::on_arrival()),
             tried: Vec::new(),
             attempts: 0,
             retry_after: None,
@@ -112,9 +112,9 @@
     }
 
     /// Notes how the attempt at a server failed.
-    pub(crate) fn note(&mut self, failure: &Failure, server: BackendServerId) {
+    pub(crate) fn record_failure(&mut self, failure: &Failure, server: BackendServerId) {
         self.tried.push(server);
-        self.reason = run::reason(failure);
+        self.reason = search::reason(failure);
         if let Failure::Refused { retry_after, .. } = failure {
             self.retry_after = self.retry_after.max(*retry_after);
         }
@@ -123,9 +123,9 @@
     /// Ends the request without a result: not run where that is proved, unknown otherwise.
     pub(crate) fn give_up(self, reason: Reason) -> Outcome<C::Value> {
         match self.state {
-            State::Waiting(unrun) => unrun.outcome(reason, self.retry_after),
-            State::Queued(attempt) => attempt.withdraw().outcome(reason, self.retry_after),
-            State::Sent(attempt) => attempt.doubt(reason),
+            State::Waiting(unrun) => unrun.into_outcome(reason, self.retry_after),
+            State::Queued(attempt) => attempt.withdraw().into_outcome(reason, self.retry_after),
+            State::Sent(attempt) => attempt.into_unknown(reason),
         }
     }
 }
--- a/crates/decision/src/query/merge.rs
+++ b/crates/decision/src/query/merge.rs
@@ -6,7 +6,7 @@
 //! Items are taken only where the reply claims the key, the attempt asked for it, and nothing
 //! merged before covers it.
 
-use super::coverage::Set;
+use super::coverage::KeySet;
 use crate::reply::{Item, Reply};
 use snafu::Snafu;
 
@@ -27,14 +27,14 @@
 /// What has been merged so far, all of it from one index version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Merge<V = Box<str>> {
-    covered: Set,
+    covered: KeySet,
     items: Vec<Item<V>>,
 }
 
 impl<V> Default for Merge<V> {
     fn default() -> Self {
         Self {
-            covered: Set::default(),
+            covered: KeySet::default(),
             items: Vec::new(),
         }
     }
@@ -42,20 +42,20 @@
 
 impl<V> Merge<V> {
     /// Returns the keys that have been looked through.
-    pub fn covered(&self) -> &Set {
+    pub fn covered(&self) -> &KeySet {
         &self.covered
     }
 
     /// Takes what is new of a reply that passed [`check`], and returns the keys that it added.
-    pub fn accept(&mut self, asked: &Set, reply: Reply<V>) -> Set {
-        let claimed: Set = reply.ranges.into_iter().collect();
+    pub fn accept(&mut self, asked: &KeySet, reply: Reply<V>) -> KeySet {
+        let claimed: KeySet = reply.ranges.into_iter().collect();
         let new = claimed.intersection(asked).difference(&self.covered);
         let fresh = reply
             .items
             .into_iter()
             .filter(|item| new.contains(item.key));
         self.items.extend(fresh);
-        self.covered.join(&new);
+        self.covered.union_with(&new);
         new
     }
 
@@ -73,7 +73,7 @@
 ///
 /// [`Error::Outside`] where an item lies outside the claimed ranges.
 pub fn check<V>(reply: &Reply<V>) -> Result<()> {
-    let claimed: Set = reply.ranges.iter().copied().collect();
+    let claimed: KeySet = reply.ranges.iter().copied().collect();
     for item in &reply.items {
         snafu::ensure!(claimed.contains(item.key), OutsideSnafu { key: item.key });
     }
--- a/crates/decision/src/query/mod.rs
+++ b/crates/decision/src/query/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The parts are kept apart so that each of the promises of an answer has one place: [`coverage`]
 //! counts data and not answers, [`merge`] lets nothing in twice, [`pin`] holds the snapshot,
-//! [`attempt`] makes "not run" provable, [`run`] and [`execution`] are the two kinds of request in
+//! [`attempt`] makes "not run" provable, [`search`] and [`execution`] are the two kinds of request in
 //! progress. Nothing here knows connections or chooses backend servers; `home` does.
 
 pub mod attempt;
@@ -11,4 +11,4 @@
 pub mod greatest;
 pub mod merge;
 pub mod pin;
-pub mod run;
+pub mod search;
--- a/crates/decision/src/query/run.rs
+++ b/crates/decision/src/query/search.rs
@@ -6,7 +6,7 @@
 //! after a repartitioning; a new route deals the missing keys out again.
 
 use super::attempt::{self, Fanout};
-use super::coverage::{self, Set};
+use super::coverage::{self, KeySet};
 use super::merge::Merge;
 use crate::attempt::{AttemptId, Failure, Refusal};
 use crate::content::Content;
@@ -36,7 +36,7 @@
     Retry,
     /// An attempt did not leave, or its reply covered a part: what remains costs no budget. It
     /// can't go on for long, as each such server is not asked again for these keys.
-    Rest,
+    Remainder,
     /// An attempt is slower than is usual: a second one out of what the hedge budget has to spare.
     Hedge,
     /// An attempt is among the slowest of its group, and was not hedged: a second one out of the
@@ -59,11 +59,11 @@
     }
 
     /// Returns the word for the log.
-    pub(crate) fn what(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::First => "send",
             Self::Retry => "retry",
-            Self::Rest => "rest",
+            Self::Remainder => "rest",
             Self::Hedge => "hedge",
             Self::LateHedge => "late hedge",
             Self::Overdue => "overdue",
@@ -77,7 +77,7 @@
     /// Index of the group in the route in force.
     pub(crate) group: usize,
     /// The keys.
-    pub(crate) wanted: Set,
+    pub(crate) wanted: KeySet,
     /// Attempts queued or sent for these keys.
     pub(crate) live: SmallVec<[AttemptId; 2]>,
     /// Servers that had an attempt; another one is preferred.
@@ -87,11 +87,11 @@
     /// Attempts made, hedges included.
     pub(crate) attempts: u32,
     /// Those of them that provably did not run.
-    pub(crate) unrun: u32,
+    pub(crate) not_run: u32,
     /// Why the next attempt is made.
     pub(crate) cause: Cause,
     /// How the last attempt ended.
-    pub(crate) last: Option<Reason>,
+    pub(crate) last_failure: Option<Reason>,
     /// Why nobody will be asked any more.
     pub(crate) given_up: Option<Reason>,
     /// Whether every server in question has turned out not to serve the pinned version.
@@ -101,12 +101,12 @@
 impl Part {
     /// Returns how many attempts may have run, or may still do.
     pub(crate) fn may_have_run(&self) -> u32 {
-        self.attempts.saturating_sub(self.unrun)
+        self.attempts.saturating_sub(self.not_run)
     }
 
     /// Stops asking for these keys.
     pub(crate) fn give_up(&mut self) {
-        self.given_up = Some(self.last.unwrap_or(Reason::Unavailable));
+        self.given_up = Some(self.last_failure.unwrap_or(Reason::Unavailable));
     }
 }
 
@@ -121,7 +121,7 @@
 
 /// A search in progress.
 #[derive(Debug)]
-pub(crate) struct Run<C: Content> {
+pub(crate) struct Search<C: Content> {
     pub(crate) request: Request<C>,
     pub(crate) started: Time,
     /// The one version that is merged; `None` until the first reply of an unpinned run.
@@ -139,14 +139,14 @@
     /// Attempts whose part was dealt out again; their replies are still welcome.
     pub(crate) detached: Vec<AttemptId>,
     /// Keys that another home looks through and has not told of yet.
-    elsewhere: Set,
+    delegated: KeySet,
     merge: Merge<C::Value>,
     previous: Option<(IndexVersion, Merge<C::Value>)>,
     next_part: PartId,
     retry_after: Option<Duration>,
 }
 
-impl<C: Content> Run<C> {
+impl<C: Content> Search<C> {
     pub(crate) fn new(
         request: Request<C>,
         pin: Option<IndexVersion>,
@@ -164,61 +164,61 @@
             yields: false,
             restarted: false,
             detached: Vec::new(),
-            elsewhere: Set::default(),
+            delegated: KeySet::default(),
             merge: Merge::default(),
             previous: None,
             next_part: 0,
             retry_after: None,
         };
-        run.elsewhere = run.request.scope.elsewhere.clone();
-        let here = run.wanted(route).difference(&run.elsewhere);
-        run.deal(&here, route, &Part::default());
+        run.delegated = run.request.scope.elsewhere.clone();
+        let here = run.wanted(route).difference(&run.delegated);
+        run.add_parts(&here, route, &Part::default());
         run
     }
 
     /// Returns the keys that the request asks for.
-    fn wanted(&self, route: &Route) -> Set {
+    fn wanted(&self, route: &Route) -> KeySet {
         let only = self.request.scope.only.clone();
-        only.unwrap_or_else(|| Set::from(route.keys))
+        only.unwrap_or_else(|| KeySet::from(route.keys))
     }
 
     /// Returns the keys that another home looks through, which is not waited for any more.
-    pub(crate) fn take_elsewhere(&mut self) -> Set {
-        std::mem::take(&mut self.elsewhere)
+    pub(crate) fn take_delegated(&mut self) -> KeySet {
+        std::mem::take(&mut self.delegated)
     }
 
     /// Tells whether another home is still waited for.
-    pub(crate) fn waits_elsewhere(&self) -> bool {
-        !self.elsewhere.is_empty()
+    pub(crate) fn has_delegated(&self) -> bool {
+        !self.delegated.is_empty()
     }
 
     /// Takes what another home has covered.
-    pub(crate) fn accept_elsewhere(&mut self, covered: &Set, reply: Reply<C::Value>) {
+    pub(crate) fn accept_delegated(&mut self, covered: &KeySet, reply: Reply<C::Value>) {
         self.merge.accept(covered, reply);
     }
 
     /// Makes parts of keys that nobody has asked for.
-    pub(crate) fn deal_anew(&mut self, keys: &Set, route: &Route) -> Vec<PartId> {
-        self.deal(keys, route, &Part::default())
+    pub(crate) fn add_new_parts(&mut self, keys: &KeySet, route: &Route) -> Vec<PartId> {
+        self.add_parts(keys, route, &Part::default())
     }
 
     /// Gives up keys that nobody here has asked for.
-    pub(crate) fn lose(&mut self, keys: &Set, route: &Route, reason: Reason) {
+    pub(crate) fn give_up_keys(&mut self, keys: &KeySet, route: &Route, reason: Reason) {
         let origin = Part {
-            last: Some(reason),
+            last_failure: Some(reason),
             ..Part::default()
         };
-        for part in self.deal(keys, route, &origin) {
+        for part in self.add_parts(keys, route, &origin) {
             self.give_up(part);
         }
     }
 
     /// Makes parts of the keys by the groups that hold them now, and returns their ids. Their
     /// history is that of `origin`.
-    pub(crate) fn deal(&mut self, keys: &Set, route: &Route, origin: &Part) -> Vec<PartId> {
+    pub(crate) fn add_parts(&mut self, keys: &KeySet, route: &Route, origin: &Part) -> Vec<PartId> {
         let mut made = Vec::new();
         for (group, placed) in route.groups.iter().enumerate() {
-            let wanted = keys.intersection(&Set::from(placed.keys));
+            let wanted = keys.intersection(&KeySet::from(placed.keys));
             if wanted.is_empty() {
                 continue;
             }
@@ -228,8 +228,8 @@
                 tried: origin.tried.clone(),
                 unable: origin.unable.clone(),
                 attempts: origin.attempts,
-                unrun: origin.unrun,
-                last: origin.last,
+                not_run: origin.not_run,
+                last_failure: origin.last_failure,
                 ..Part::default()
             };
             self.parts.insert(self.next_part, part);
@@ -246,7 +246,12 @@
     }
 
     /// Takes a reply of the pinned version, and says who is not needed any more.
-    pub(crate) fn accept(&mut self, part: PartId, asked: &Set, reply: Reply<C::Value>) -> Change {
+    pub(crate) fn accept(
+        &mut self,
+        part: PartId,
+        asked: &KeySet,
+        reply: Reply<C::Value>,
+    ) -> Change {
         let new = self.merge.accept(asked, reply);
         let mut change = Change {
             progress: !new.is_empty(),
@@ -268,7 +273,11 @@
 
     /// Tells whether a reply is from the pinned version. The first reply of an unpinned run pins
     /// it.
-    pub(crate) fn agrees(&mut self, version: Option<IndexVersion>, minimum: IndexVersion) -> bool {
+    pub(crate) fn accepts_version(
+        &mut self,
+        version: Option<IndexVersion>,
+        minimum: IndexVersion,
+    ) -> bool {
         let Some(version) = version.filter(|version| *version >= minimum) else {
             return false;
         };
@@ -276,7 +285,7 @@
     }
 
     /// Notes that an attempt has ended.
-    pub(crate) fn land(&mut self, part: PartId, attempt: AttemptId) {
+    pub(crate) fn remove_attempt(&mut self, part: PartId, attempt: AttemptId) {
         match self.parts.get_mut(&part) {
             Some(part) => part.live.retain(|live| *live != attempt),
             None => self.detached.retain(|live| *live != attempt),
@@ -297,7 +306,7 @@
         }
     }
 
-    fn take(&mut self, id: PartId, new: &Set, change: &mut Change) {
+    fn take(&mut self, id: PartId, new: &KeySet, change: &mut Change) {
         let Some(part) = self.parts.get_mut(&id) else {
             return;
         };
@@ -319,8 +328,8 @@
         self.parts.clear();
         self.deferred.clear();
         self.detached.clear();
-        let here = self.wanted(route).difference(&self.elsewhere);
-        self.deal(&here, route, &Part::default());
+        let here = self.wanted(route).difference(&self.delegated);
+        self.add_parts(&here, route, &Part::default());
         live
     }
 
@@ -332,11 +341,11 @@
     }
 
     /// Notes how an attempt failed.
-    pub(crate) fn note(&mut self, part: PartId, failure: &Failure) {
+    pub(crate) fn record_failure(&mut self, part: PartId, failure: &Failure) {
         self.fanout.fail(failure);
         if let Some(part) = self.parts.get_mut(&part) {
-            part.last = Some(reason(failure));
-            part.unrun += u32::from(failure.is_unrun());
+            part.last_failure = Some(reason(failure));
+            part.not_run += u32::from(failure.is_not_run());
         }
         if let Failure::Refused { retry_after, .. } = failure {
             self.retry_after = self.retry_after.max(*retry_after);
@@ -348,7 +357,7 @@
         self.share(self.merge.covered(), route)
     }
 
-    fn share(&self, set: &Set, route: &Route) -> f64 {
+    fn share(&self, set: &KeySet, route: &Route) -> f64 {
         match &self.request.scope.only {
             Some(only) => coverage::share_of(set, only, route),
             None => coverage::share(set, route),
@@ -360,9 +369,9 @@
     pub(crate) fn reachable(&self, route: &Route, other: Option<PartId>) -> f64 {
         let lost = |id: &PartId, part: &Part| part.given_up.is_some() || Some(*id) == other;
         let mut reachable = self.merge.covered().clone();
-        reachable.join(&self.elsewhere);
+        reachable.union_with(&self.delegated);
         for (_, part) in self.parts.iter().filter(|(id, part)| !lost(id, part)) {
-            reachable.join(&part.wanted);
+            reachable.union_with(&part.wanted);
         }
         self.share(&reachable, route)
     }
@@ -371,23 +380,23 @@
     pub(crate) fn is_complete(&self, route: &Route) -> bool {
         match &self.request.scope.only {
             Some(only) => only.difference(self.merge.covered()).is_empty(),
-            None => coverage::is_whole(self.merge.covered(), route),
+            None => coverage::is_complete(self.merge.covered(), route),
         }
     }
 
     /// Returns the keys that are neither merged nor in a part.
-    pub(crate) fn unplanned(&self, route: &Route) -> Set {
+    pub(crate) fn unplanned(&self, route: &Route) -> KeySet {
         let mut planned = self.merge.covered().clone();
-        planned.join(&self.elsewhere);
+        planned.union_with(&self.delegated);
         for part in self.parts.values() {
-            planned.join(&part.wanted);
+            planned.union_with(&part.wanted);
         }
         self.wanted(route).difference(&planned)
     }
 
     /// Tells whether somebody still works on the run, or is expected to.
     pub(crate) fn is_open(&self) -> bool {
-        self.waits_elsewhere() || self.parts.values().any(|part| part.given_up.is_none())
+        self.has_delegated() || self.parts.values().any(|part| part.given_up.is_none())
     }
 
     /// Returns why parts were given up: the first of them speaks for all.
@@ -400,7 +409,7 @@
     /// given, the newer one if they are equal. An answer that covers less than `least` is none.
     pub(crate) fn finish(mut self, route: &Route, least: f64, reason: Reason) -> Outcome<C::Value> {
         // Another home may have begun what it has not told of.
-        if self.waits_elsewhere() {
+        if self.has_delegated() {
             self.fanout.send();
         }
         let wanted = self.wanted(route);
@@ -429,10 +438,10 @@
 
 fn refusal<V>(fanout: &Fanout, reason: Reason, retry_after: Option<Duration>) -> Outcome<V> {
     match fanout.unrun() {
-        Some(unrun) => unrun.outcome(reason, retry_after),
+        Some(unrun) => unrun.into_outcome(reason, retry_after),
         None => Outcome::Failed {
             reason,
-            retry_after: attempt::come_back(reason, retry_after),
+            retry_after: attempt::retry_after_or_default(reason, retry_after),
         },
     }
 }
@@ -442,7 +451,7 @@
     match failure {
         Failure::Refused { refusal, .. } => refused(refusal),
         Failure::NotSent => Reason::Unavailable,
-        Failure::Ran { .. } => Reason::BackendServer,
+        Failure::ServerError { .. } => Reason::BackendServer,
         Failure::Lost | Failure::Dropped | Failure::Mismatched | Failure::Cancelled { .. } => {
             Reason::Lost
         }
--- a/crates/decision/src/why.rs
+++ b/crates/decision/src/rationale.rs
@@ -7,11 +7,11 @@
 
 /// Why something was decided, in a few words with the numbers that decided.
 #[derive(Clone, Debug, PartialEq, Display, From)]
-pub enum Why {
+pub enum Rationale {
     /// A server had the least expected load.
-    Least(Least),
+    LeastLoaded(LeastLoaded),
     /// Words without numbers.
-    Words(&'static str),
+    Static(&'static str),
     /// Words written out at once; for what is decided rarely.
     Text(String),
 }
@@ -19,7 +19,7 @@
 /// The least expected load among servers.
 #[derive(Clone, Copy, Debug, PartialEq, Display)]
 #[display("score {score:.2} of {open} open; own {own}, others {others:+.2}")]
-pub struct Least {
+pub struct LeastLoaded {
     /// The load, in attempts.
     pub score: f64,
     /// Servers that could have been chosen.
--- a/crates/decision/tests/backend.rs
+++ b/crates/decision/tests/backend.rs
@@ -305,7 +305,7 @@
 #[test_case(&Failure::NotSent, true, true, false; "not sent")]
 #[test_case(&Failure::Lost, true, false, true; "lost")]
 #[test_case(&Failure::Mismatched, true, false, false; "mismatched")]
-#[test_case(&Failure::Ran { report: Report::default() }, false, false, false; "ran")]
+#[test_case(&Failure::ServerError { report: Report::default() }, false, false, false; "ran")]
 #[test_case(&refused(Refusal::Deadline, None, Report::default()), false, true, false; "deadline")]
 #[test_case(&refused(Refusal::Connections, None, Report::default()), true, true, false; "connections")]
 fn failed_verdict(failure: &Failure, discard: bool, not_run: bool, crash: bool) {
--- a/crates/decision/tests/coverage.rs
+++ b/crates/decision/tests/coverage.rs
@@ -4,7 +4,7 @@
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::Route;
-use monsoonring_decision::query::coverage::{Set, is_whole, missing, share};
+use monsoonring_decision::query::coverage::{KeySet, is_complete, missing, share};
 use monsoonring_decision::query::merge::{Error, Merge, check};
 use proptest::prelude::*;
 use session::{VERSION, reply, route};
@@ -13,12 +13,12 @@
 
 const KEY_SPACE: u64 = 60;
 
-fn set(ranges: &[(u64, u64)]) -> Set {
+fn set(ranges: &[(u64, u64)]) -> KeySet {
     let ranges = ranges.iter().map(|(start, end)| Range::new(*start, *end));
     ranges.collect()
 }
 
-fn keys(set: &Set) -> BTreeSet<u64> {
+fn keys(set: &KeySet) -> BTreeSet<u64> {
     set.ranges()
         .iter()
         .flat_map(|range| range.start..range.end)
@@ -120,9 +120,9 @@
     fn is_whole_agrees_with_what_is_missing(ranges in some_ranges(), start in 0..KEY_SPACE, end in 0..KEY_SPACE) {
         let covered = set(&ranges);
         let route = Route { keys: Range::new(start, end), ..route(1, 1) };
-        prop_assert_eq!(is_whole(&covered, &route), missing(&covered, &route).is_empty());
+        prop_assert_eq!(is_complete(&covered, &route), missing(&covered, &route).is_empty());
         let whole = set(&[ranges, vec![(start, end)]].concat());
-        prop_assert!(is_whole(&whole, &route));
+        prop_assert!(is_complete(&whole, &route));
     }
 
     #[test]
--- a/crates/decision/tests/gateway.rs
+++ b/crates/decision/tests/gateway.rs
@@ -9,7 +9,7 @@
 use monsoonring_decision::gateway::split::Split;
 use monsoonring_decision::gateway::table::{Gather, Limits, Route, Table, Target, Weighted};
 use monsoonring_decision::gateway::{Shards, shards};
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use monsoonring_decision::query::greatest::greatest;
 use proptest::prelude::*;
 use registered::{listed, usable};
@@ -259,7 +259,7 @@
 fn elsewhere_are_the_shards_without_a_server_here() {
     let registry = in_three_of_six(42);
     let elsewhere = shards::elsewhere(&numbered(42), &registry.usable(), &"dc0".into());
-    let count = |data_centre: &str| elsewhere.get(data_centre).map_or(0, Set::len);
+    let count = |data_centre: &str| elsewhere.get(data_centre).map_or(0, KeySet::len);
     let counts = ["dc0", "dc1", "dc2", "dc3", "dc4", "dc5"].map(count);
     assert_eq!(counts, [0, 7, 14, 21, 14, 7]);
     assert!(elsewhere["dc3"].contains(1) && !elsewhere["dc3"].contains(0));
--- a/crates/decision/tests/helper.rs
+++ b/crates/decision/tests/helper.rs
@@ -6,7 +6,7 @@
 use monsoonring_decision::gateway::helper::{Candidate, Ended, Remote, Table};
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::placement::{Division, Homes, Role};
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -82,14 +82,18 @@
 }
 
 /// As many shards that only these data centres have servers of.
-fn lacking(held: &[(&str, u64)]) -> BTreeMap<DataCentreId, Set> {
+fn lacking(held: &[(&str, u64)]) -> BTreeMap<DataCentreId, KeySet> {
     let held = held.iter();
-    held.map(|&(data_centre, count)| (data_centre.into(), Set::from(Range::new(0, count))))
+    held.map(|&(data_centre, count)| (data_centre.into(), KeySet::from(Range::new(0, count))))
         .collect()
 }
 
 /// Returns who was chosen for a part, if somebody was.
-fn share(table: &mut Table, lacking: &BTreeMap<DataCentreId, Set>, now: u64) -> Option<MemberId> {
+fn share(
+    table: &mut Table,
+    lacking: &BTreeMap<DataCentreId, KeySet>,
+    now: u64,
+) -> Option<MemberId> {
     table.share(lacking, ms(now)).map(|share| share.host)
 }
 
--- a/crates/decision/tests/home_elsewhere.rs
+++ b/crates/decision/tests/home_elsewhere.rs
@@ -8,7 +8,7 @@
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::{Begun, Event, Request, Scope};
 use monsoonring_decision::outcome::{Outcome, Reason};
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
 /// Time up to the soft deadline, in milliseconds.
 const SOFT: u64 = 100;
 
-fn keys_of(groups: &[usize]) -> Set {
+fn keys_of(groups: &[usize]) -> KeySet {
     let range = |group: &usize| Range::new(*group as u64 * KEYS, (*group as u64 + 1) * KEYS);
     groups.iter().map(range).collect()
 }
@@ -261,7 +261,7 @@
         terms: Some(terms().of_part(ELSEWHERE as u64, GROUPS)),
         scope: Scope {
             only: Some(keys_of(&elsewhere())),
-            elsewhere: Set::default(),
+            elsewhere: KeySet::default(),
         },
         ..request(1, session.now)
     };
@@ -337,8 +337,8 @@
         if let Outcome::Answered(answer) = outcome {
             let there = if told == 0 { &covered[..] } else { &[] };
             let known: Vec<usize> = here.iter().chain(there).copied().collect();
-            let missing: Set = answer.missing.iter().copied().collect();
-            let all = Set::from(Range::new(0, GROUPS as u64 * KEYS));
+            let missing: KeySet = answer.missing.iter().copied().collect();
+            let all = KeySet::from(Range::new(0, GROUPS as u64 * KEYS));
             let held = all.difference(&missing);
             // It may have left at its soft deadline, before all was in, but it holds nothing that did not come.
             assert!(held.difference(&keys_of(&known)).is_empty(), "seed {seed}");
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_everyone.rs
@@ -3,7 +3,7 @@
 mod session;
 
 use monsoonring_configuration::document::{Class, Kind, Route, SoftDeadline};
-use monsoonring_decision::attempt::{Failure, Refusal, Unopened};
+use monsoonring_decision::attempt::{ConnectFailure, Failure, Refusal};
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::Request;
 use monsoonring_decision::home::{Event, Terms};
@@ -45,7 +45,7 @@
 /// Has a server fail an attempt that it ran.
 fn fail(session: &mut Session, send: &Send) {
     let report = report(&[VERSION]);
-    session.fail(send.attempt, Failure::Ran { report });
+    session.fail(send.attempt, Failure::ServerError { report });
 }
 
 /// Terms of a request that may run once.
@@ -135,7 +135,7 @@
     begin(&mut session, 2, search(1.0));
     let opened = session.opens.len();
     let (connection, _) = *session.opens.last().expect("one more is wanted");
-    session.on(Event::Unopened(connection, Unopened::Ended));
+    session.on(Event::Unopened(connection, ConnectFailure::Closed));
     session.pass(ms(50));
     assert_eq!(session.opens.len(), opened, "the server is left alone");
     session.pass(ms(1_500));
@@ -185,7 +185,7 @@
     session.answer(&one);
     session.fail(
         other.attempt,
-        Failure::Ran {
+        Failure::ServerError {
             report: report(&[]),
         },
     );
@@ -251,7 +251,7 @@
             match send.ranges[0].start {
                 0 => session.fail(
                     send.attempt,
-                    Failure::Ran {
+                    Failure::ServerError {
                         report: report(&[VERSION]),
                     },
                 ),
@@ -447,7 +447,7 @@
     session.on(Event::Closed(1));
     for _ in 0..10 {
         let (connection, _) = *session.opens.last().expect("it was opened");
-        session.on(Event::Unopened(connection, Unopened::Ended));
+        session.on(Event::Unopened(connection, ConnectFailure::Closed));
         let opened = session.opens.len();
         session.pass(ms(450));
         assert!(session.opens.len() > opened, "{}", session.transcript);
--- a/crates/decision/tests/home_execute.rs
+++ b/crates/decision/tests/home_execute.rs
@@ -70,7 +70,7 @@
 fn execute_server_error_is_failed() {
     let mut session = Session::polled(tickets(3), &[VERSION]);
     session.ask(1);
-    let ran = Failure::Ran {
+    let ran = Failure::ServerError {
         report: report(&[VERSION]),
     };
     session.fail(session.sends[0].attempt, ran);
--- a/crates/decision/tests/home_failures.rs
+++ b/crates/decision/tests/home_failures.rs
@@ -108,7 +108,7 @@
     let mut thrifty = route(1, 3);
     thrifty.retry.budget_percent = 1.0;
     let mut session = Session::polled(thrifty, &[VERSION]);
-    let ran = || Failure::Ran {
+    let ran = || Failure::ServerError {
         report: report(&[VERSION]),
     };
     for id in 1..10 {
--- a/crates/decision/tests/home_properties.rs
+++ b/crates/decision/tests/home_properties.rs
@@ -8,7 +8,7 @@
 use monsoonring_decision::home::Event;
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::outcome::{Answer, Outcome};
-use monsoonring_decision::query::coverage::{Set, share};
+use monsoonring_decision::query::coverage::{KeySet, share};
 use monsoonring_decision::reply::{Item, Reply, Report};
 use proptest::prelude::*;
 use session::{Session, VERSION, gate_desk, ms, refused, report, route, server, tickets};
@@ -58,7 +58,7 @@
     match kind {
         0 => Failure::Lost,
         1 => Failure::Mismatched,
-        2 => Failure::Ran { report: report() },
+        2 => Failure::ServerError { report: report() },
         3 => Failure::Cancelled { report: report() },
         4 => Failure::NotSent,
         5 => refused(Refusal::Shedding),
@@ -71,7 +71,7 @@
 }
 
 /// Whether the failure proves that the attempt did not run.
-fn is_unrun(failure: &Failure) -> bool {
+fn is_not_run(failure: &Failure) -> bool {
     matches!(failure, Failure::Refused { .. } | Failure::NotSent)
 }
 
@@ -161,7 +161,7 @@
             Step::Fail { nth, kind } => {
                 if let Some(send) = self.nth(nth) {
                     let failure = failure(kind);
-                    let unrun = is_unrun(&failure);
+                    let unrun = is_not_run(&failure);
                     self.end(&send, unrun, Event::Failed(send.attempt, failure));
                 }
             }
@@ -224,7 +224,7 @@
         sends.filter(|send| send.request == request).collect()
     }
 
-    fn is_unrun(&self, send: &Send) -> bool {
+    fn is_not_run(&self, send: &Send) -> bool {
         self.ended.get(&send.attempt).copied().unwrap_or(false)
     }
 
@@ -236,8 +236,8 @@
 
 fn check_answer(answer: &Answer, keys: Range) {
     let keys_of: Vec<u64> = answer.items.iter().map(|item| item.key).collect();
-    let missing: Set = answer.missing.iter().copied().collect();
-    let covered = Set::from(keys).difference(&missing);
+    let missing: KeySet = answer.missing.iter().copied().collect();
+    let covered = KeySet::from(keys).difference(&missing);
     let expected: Vec<u64> = covered
         .ranges()
         .iter()
@@ -274,7 +274,7 @@
         for id in 1..=trial.asked {
             match trial.session.outcome(id) {
                 Outcome::Answered(answer) => check_answer(answer, trial.route.keys),
-                Outcome::NotRun { .. } => prop_assert!(trial.sends(id).iter().all(|send| trial.is_unrun(send))),
+                Outcome::NotRun { .. } => prop_assert!(trial.sends(id).iter().all(|send| trial.is_not_run(send))),
                 Outcome::Failed { .. } => {}
                 other => prop_assert!(false, "{:?}", other),
             }
@@ -290,8 +290,8 @@
         trial.play(steps.collect());
         for (_, outcome) in &trial.session.finishes {
             if let Outcome::Answered(answer) = outcome {
-                let missing: Set = answer.missing.iter().copied().collect();
-                let covered = Set::from(trial.route.keys).difference(&missing);
+                let missing: KeySet = answer.missing.iter().copied().collect();
+                let covered = KeySet::from(trial.route.keys).difference(&missing);
                 prop_assert_eq!(answer.coverage, share(&covered, &trial.route));
             }
         }
@@ -361,7 +361,7 @@
             for send in &trial.session.sends[seen..] {
                 let others = trial.sends(send.request).into_iter();
                 let mut before = others.filter(|other| other.attempt < send.attempt);
-                prop_assert!(before.all(|other| trial.is_unrun(other)), "a second run is possible");
+                prop_assert!(before.all(|other| trial.is_not_run(other)), "a second run is possible");
             }
             seen = trial.session.sends.len();
         }
@@ -369,7 +369,7 @@
         for id in 1..=trial.asked {
             let sends = trial.sends(id);
             match trial.session.outcome(id) {
-                Outcome::NotRun { .. } => prop_assert!(sends.iter().all(|send| trial.is_unrun(send))),
+                Outcome::NotRun { .. } => prop_assert!(sends.iter().all(|send| trial.is_not_run(send))),
                 Outcome::Unknown { .. } | Outcome::Executed(_) => prop_assert!(!sends.is_empty()),
                 Outcome::Failed { .. } => {}
                 other => prop_assert!(false, "{:?}", other),
--- a/crates/decision/tests/home_rescue.rs
+++ b/crates/decision/tests/home_rescue.rs
@@ -55,7 +55,7 @@
 
 fn fail(session: &mut Session, send: &Send) {
     let report = Report::default();
-    session.fail(send.attempt, Failure::Ran { report });
+    session.fail(send.attempt, Failure::ServerError { report });
 }
 
 /// Returns a home at which the further attempts of each group are nearly used up.
--- a/crates/decision/tests/idempotency.rs
+++ b/crates/decision/tests/idempotency.rs
@@ -3,7 +3,7 @@
 use monsoonring_decision::Time;
 use monsoonring_decision::attempt::Failure;
 use monsoonring_decision::idempotency::key::Error;
-use monsoonring_decision::idempotency::permit::Ran;
+use monsoonring_decision::idempotency::permit::SentOutcome;
 use monsoonring_decision::idempotency::{
     Decision, Fence, Handover, Key, Ledger, Limits, Outcome, Permit, Refusal, Request, Unsent,
 };
@@ -60,8 +60,8 @@
 
 fn execute(ledger: &mut Ledger, key: &Key, value: &str, now: Time) {
     let permit = permit(ledger.begin(key, &request(1), now));
-    let sent = permit.sent(now).expect("in time");
-    let ended = ledger.finish(sent, Ran::Executed(value.into()), now);
+    let sent = permit.mark_sent(now).expect("in time");
+    let ended = ledger.finish(sent, SentOutcome::Executed(value.into()), now);
     assert_eq!(ended.outcome, Outcome::Executed(value.into()));
 }
 
@@ -179,7 +179,9 @@
     let key = mint(&mut ledger, at(0));
     let permit = permit(ledger.begin(&key, &request(1), at(0)));
     assert_eq!(ledger.begin(&key, &request(2), at(0)), Decision::Join);
-    let late = permit.sent(at(100)).expect_err("the deadline has passed");
+    let late = permit
+        .mark_sent(at(100))
+        .expect_err("the deadline has passed");
     let ended = ledger.release(late, Reason::Deadline, None, at(100));
     assert!(matches!(ended.outcome, Outcome::NotRun { .. }));
     assert_eq!(ended.joined, [2]);
@@ -192,13 +194,13 @@
     let mut ledger = ledger(1);
     let key = mint(&mut ledger, at(0));
     let permit = permit(ledger.begin(&key, &request(1), at(0)));
-    let sent = permit.sent(at(0)).expect("in time");
+    let sent = permit.mark_sent(at(0)).expect("in time");
     sent.retract(failure).is_ok()
 }
 
 #[test_case(None, false => Decision::Refuse(Refusal::Unmarked); "no number")]
 #[test_case(Some(0), false => Decision::Refuse(Refusal::Unmarked); "zero")]
-#[test_case(Some(2), false => Decision::Ask; "later send")]
+#[test_case(Some(2), false => Decision::LookUp; "later send")]
 #[test_case(Some(2), true => Decision::Refuse(Refusal::Gone); "later send passed on")]
 fn begin_own_key_without_record(send: Option<u32>, passed_on: bool) -> Decision {
     let key = "ticket-17".parse().expect("a key");
@@ -232,7 +234,7 @@
     let expired = later.begin(&unused, &request(3), at(16));
     assert_eq!(expired, Decision::Refuse(Refusal::Expired));
     let first = permit(holder.begin(&unused, &request(3), at(15)));
-    let _late = first.sent(at(15)).expect("in time");
+    let _late = first.mark_sent(at(15)).expect("in time");
 }
 
 // Symptom: a ticket is doubled long after a stop.
--- a/crates/decision/tests/model/daemon.rs
+++ b/crates/decision/tests/model/daemon.rs
@@ -2,9 +2,9 @@
 
 use super::{Arrival, Budget, Message, Mutant, Place, World, fence, limits, secret};
 use monsoonring_decision::attempt::{Failure, Refusal as BackendRefusal};
-use monsoonring_decision::idempotency::lookup::Conclusion;
+use monsoonring_decision::idempotency::lookup::Resolution;
 use monsoonring_decision::idempotency::{
-    Decision, Fence, Handover, Key, Ledger, Outcome, Poll, Question, Refusal, Run,
+    AnyPermit, Decision, Fence, Handover, Key, Ledger, Lookup, Outcome, Poll, Refusal,
 };
 use monsoonring_decision::outcome::{self, Reason};
 use monsoonring_decision::reply::Report;
@@ -20,7 +20,7 @@
     pub(crate) ledger: Ledger,
     /// The ledger as it was, for mutants that forget something.
     before: Option<Box<Ledger>>,
-    run: Option<Run>,
+    run: Option<AnyPermit>,
     /// Sends that have been taken and not answered.
     waiting: BTreeSet<RequestId>,
     pub(crate) draining: bool,
@@ -47,11 +47,11 @@
     }
 
     pub(crate) fn can_send(&self) -> bool {
-        matches!(self.run, Some(Run::Unsent(_)))
+        matches!(self.run, Some(AnyPermit::Unsent(_)))
     }
 
     pub(crate) fn has_sent(&self) -> bool {
-        matches!(self.run, Some(Run::Sent(_)))
+        matches!(self.run, Some(AnyPermit::Sent(_)))
     }
 
     /// Any other member may be named, so that it is the ledger that refuses a second one.
@@ -66,7 +66,7 @@
         let decision = self.ledger.begin(&world.key, &request, now);
         match decision {
             Decision::Run(permit) => {
-                self.run = Some(Run::Unsent(permit));
+                self.run = Some(AnyPermit::Unsent(permit));
                 self.waiting.insert(request.id);
                 self.remember(Mutant::ReusableAfterNotRun, before, world);
             }
@@ -84,7 +84,7 @@
                 world.tell(&refusal.outcome());
             }
             Decision::PassTo(to) => self.pass(to, arrival, world),
-            Decision::Ask => self.ask(arrival, world),
+            Decision::LookUp => self.ask(arrival, world),
         }
     }
 
@@ -101,7 +101,7 @@
             self.pass_to(place, arrival, world);
             return;
         }
-        let conclusion = self.poll(&Question::Fence(to), world);
+        let conclusion = self.poll(&Lookup::Fence(to), world);
         self.follow(conclusion, arrival, world);
     }
 
@@ -109,7 +109,7 @@
         let Key::Own(text) = &world.key else {
             return;
         };
-        let question = Question::Own {
+        let question = Lookup::Own {
             caller: super::caller(),
             key: text.clone(),
             fingerprint: 7,
@@ -120,28 +120,28 @@
 
     // Members that are alive answer at once. One that can't be reached would only turn a positive
     // answer into "unknown", which changes nothing in the world.
-    fn poll(&self, question: &Question, world: &World) -> Conclusion {
+    fn poll(&self, question: &Lookup, world: &World) -> Resolution {
         let others = (0..world.daemons.len()).filter(|place| *place != self.place);
         let address = |place| fence(place, 0).member;
         let mut poll = Poll::new(others.clone().map(address));
         for place in others {
             let daemon = world.daemons[place].as_ref();
             let answer = daemon.map(|daemon| daemon.ledger.answer(question));
-            if let Some(conclusion) = poll.answered(address(place), answer) {
+            if let Some(conclusion) = poll.record_reply(address(place), answer) {
                 return conclusion;
             }
         }
-        Conclusion::Unknown
+        Resolution::Unknown
     }
 
-    fn follow(&mut self, conclusion: Conclusion, arrival: &Arrival, world: &mut World) {
+    fn follow(&mut self, conclusion: Resolution, arrival: &Arrival, world: &mut World) {
         match conclusion {
-            Conclusion::PassTo(member) => {
+            Resolution::PassTo(member) => {
                 self.pass_to(usize::from(member.port() - 7000), arrival, world);
             }
-            Conclusion::Replay(outcome) => world.tell(&outcome),
-            Conclusion::Mismatch => world.unanswered = true,
-            Conclusion::Unknown => self.unknown(arrival, world),
+            Resolution::Replay(outcome) => world.tell(&outcome),
+            Resolution::Mismatch => world.unanswered = true,
+            Resolution::Unknown => self.unknown(arrival, world),
         }
     }
 
@@ -155,7 +155,7 @@
         let key = Key::Own("again".into());
         let now = self.clock(world.now);
         if let Decision::Run(permit) = self.ledger.begin(&key, &request, now) {
-            self.run = Some(Run::Unsent(permit));
+            self.run = Some(AnyPermit::Unsent(permit));
             self.waiting.insert(request.id);
         }
     }
@@ -170,7 +170,7 @@
         let Some(run) = self.run.take() else {
             return;
         };
-        let (run, may) = run.sent(self.clock(world.now));
+        let (run, may) = run.mark_sent(self.clock(world.now));
         self.run = Some(run);
         if may {
             world.budget.attempts -= 1;
@@ -184,14 +184,14 @@
     pub(crate) fn lose_work(&mut self, world: &mut World) {
         match world.mutant {
             Some(Mutant::LostIsNotRun) => {
-                self.run = self.run.take().map(|run| run.failed(&Failure::NotSent));
+                self.run = self.run.take().map(|run| run.on_failure(&Failure::NotSent));
                 self.end(not_run(Reason::Lost), world);
             }
             Some(Mutant::LostIsRetried) => {
-                self.run = self.run.take().map(|run| run.failed(&Failure::NotSent));
+                self.run = self.run.take().map(|run| run.on_failure(&Failure::NotSent));
             }
             _ => {
-                self.run = self.run.take().map(|run| run.failed(&Failure::Lost));
+                self.run = self.run.take().map(|run| run.on_failure(&Failure::Lost));
                 // A driver that calls it "not run" by mistake is corrected by the ledger.
                 self.end(not_run(Reason::Lost), world);
             }
@@ -218,7 +218,7 @@
             retry_after,
             report,
         };
-        self.run = self.run.take().map(|run| run.failed(&failure));
+        self.run = self.run.take().map(|run| run.on_failure(&failure));
     }
 
     fn end(&mut self, outcome: outcome::Outcome, world: &mut World) {
--- a/crates/decision/tests/restart.rs
+++ b/crates/decision/tests/restart.rs
@@ -143,7 +143,7 @@
             match send.backend_server == bad {
                 true => {
                     let report = report(&[6]);
-                    session.fail(send.attempt, Failure::Ran { report });
+                    session.fail(send.attempt, Failure::ServerError { report });
                 }
                 false => session.answer(&send),
             }
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -10,7 +10,7 @@
     Capacity, Class, Group, Hedge, Kind, Retry, Route, SoftDeadline,
 };
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
-use monsoonring_decision::attempt::{AttemptId, ConnectionId, Failure, Refusal, Unopened};
+use monsoonring_decision::attempt::{AttemptId, ConnectFailure, ConnectionId, Failure, Refusal};
 use monsoonring_decision::backend::suspect::Proof;
 use monsoonring_decision::home::action::{Decision, Send};
 use monsoonring_decision::home::event::{Request, Scope};
@@ -263,7 +263,7 @@
                         continue;
                     }
                     let event = match self.refusing.contains(&server) {
-                        true => Event::Unopened(connection, Unopened::Refused),
+                        true => Event::Unopened(connection, ConnectFailure::Refused),
                         false => Event::Opened(connection),
                     };
                     self.write("<-", &describe(&event));
--- a/crates/experiment/src/simulation/world/servers.rs
+++ b/crates/experiment/src/simulation/world/servers.rs
@@ -4,7 +4,7 @@
 use crate::simulation::host::{self, Blank};
 use crate::simulation::server::{Begun, Job, Line, Number, Taken};
 use crate::simulation::work;
-use monsoonring_decision::attempt::{Failure, Refusal, Unopened};
+use monsoonring_decision::attempt::{ConnectFailure, Failure, Refusal};
 use monsoonring_decision::home::Event;
 use monsoonring_decision::home::action::Send;
 use rand::Rng;
@@ -16,10 +16,10 @@
             Taken::Waiting => {}
             Taken::Refused => {
                 let why = match self.servers[server].down {
-                    true => Unopened::Refused,
-                    false => Unopened::Ended,
+                    true => ConnectFailure::Refused,
+                    false => ConnectFailure::Closed,
                 };
-                self.tally.unopened += u64::from(why == Unopened::Ended);
+                self.tally.unopened += u64::from(why == ConnectFailure::Closed);
                 self.tell(line, server, Event::Unopened(line.connection, why));
             }
         }
@@ -66,7 +66,7 @@
             Job::Connect => Event::Opened(line.connection),
             Job::Attempt(attempt, _) if failing > 0.0 && self.rng.random_bool(failing) => {
                 let report = host::report(load);
-                Event::Failed(attempt, Failure::Ran { report })
+                Event::Failed(attempt, Failure::ServerError { report })
             }
             Job::Attempt(attempt, ranges) => Event::Reply(attempt, host::reply(ranges, load)),
         };
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -6,7 +6,7 @@
 use monsoonring_configuration::section::transfer::Base;
 use monsoonring_decision::configuration::Version;
 use monsoonring_decision::fact;
-use monsoonring_decision::idempotency::lookup::{Answer, Question};
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt};
 use monsoonring_decision::member::{MemberId, Message, Page, Span};
 use monsoonring_decision::outcome::Outcome;
@@ -59,7 +59,7 @@
     async fn run(request: Request, key: String) -> Result<Outcome, Declined>;
 
     /// Tells what this daemon's ledger knows.
-    async fn ask(question: Question) -> Answer;
+    async fn ask(question: Lookup) -> Finding;
 
     /// Takes the ledger of a daemon that stops.
     async fn take_over(handover: Handover) -> Option<Receipt>;
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -7,7 +7,7 @@
 use monsoonring_decision::Time;
 use monsoonring_decision::configuration::{Contact, Version};
 use monsoonring_decision::fact;
-use monsoonring_decision::idempotency::lookup::{Answer, Question};
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup};
 use monsoonring_decision::idempotency::{
     self, Fence, Handover, Key, Ledger, Limits, Receipt, Refusal,
 };
@@ -168,7 +168,7 @@
         key,
         send,
     };
-    let own_key = Question::Own {
+    let own_key = Lookup::Own {
         caller: "clerk".into(),
         key: "ticket-1".into(),
         fingerprint: FINGERPRINT,
@@ -219,7 +219,7 @@
         (
             "ask_fence",
             PeerRequest::Ask {
-                question: Question::Fence(fence()),
+                question: Lookup::Fence(fence()),
             },
         ),
         ("take_over", PeerRequest::TakeOver { handover }),
@@ -315,18 +315,18 @@
     vec![sent(Name::Callers), Part::Held(300), sent(route)]
 }
 
-fn asked() -> Vec<(&'static str, Answer)> {
+fn asked() -> Vec<(&'static str, Finding)> {
     let reason = Reason::Lost;
-    let done = |outcome| Answer::Done(outcome);
+    let done = |outcome| Finding::Done(outcome);
     let not_run = idempotency::Outcome::NotRun {
         reason,
         retry_after: None,
     };
     vec![
-        ("ask_nothing", Answer::Nothing),
-        ("ask_holds", Answer::Holds),
-        ("ask_running", Answer::Running),
-        ("ask_mismatch", Answer::Mismatch),
+        ("ask_nothing", Finding::Nothing),
+        ("ask_holds", Finding::Holds),
+        ("ask_running", Finding::Running),
+        ("ask_mismatch", Finding::Mismatch),
         (
             "ask_executed",
             done(idempotency::Outcome::Executed("1".into())),
