--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -344,7 +344,7 @@
         }
         let route = Arc::new(route);
         home.handle.tell(Event::Route(route.clone()));
-        home.handle.tell(Event::Far(far));
+        home.handle.tell(Event::RemoteServers(far));
         Home { route, ..home }
     }
 
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -189,7 +189,7 @@
         }
         let now = self.clock.now();
         self.alarm.on_event(now);
-        let actions = self.home.on(event, now);
+        let actions = self.home.handle(event, now);
         self.perform(actions);
         self.gauges.follow(&self.home, self.connections.len(), now);
     }
--- a/crates/decision/examples/instructions.rs
+++ b/crates/decision/examples/instructions.rs
@@ -133,7 +133,7 @@
         let region = Region::new(ALLOCATOR);
         let actions = match self.warm {
             true => self.decide(event, now),
-            false => self.home.on(event, now),
+            false => self.home.handle(event, now),
         };
         let change = region.change();
         self.allocated += change.allocations + change.reallocations;
@@ -143,7 +143,7 @@
     /// Has a name of its own, for valgrind to count in.
     #[inline(never)]
     fn decide(&mut self, event: Event, now: Time) -> Vec<Action> {
-        self.home.on(event, now)
+        self.home.handle(event, now)
     }
 
     fn perform(&mut self, actions: Vec<Action>, now: Time) {
--- a/crates/decision/src/home/event.rs
+++ b/crates/decision/src/home/event.rs
@@ -83,7 +83,7 @@
     /// Other starts are at the addresses of these backend servers.
     Replaced(BTreeSet<BackendServerId>),
     /// The backend servers of the route that are in other data centres than this home.
-    Far(BTreeSet<BackendServerId>),
+    RemoteServers(BTreeSet<BackendServerId>),
     /// The backend servers that are cold, of the route or not.
     Cold(BTreeMap<BackendServerId, Cold>),
     /// The homes of the route, this one included, changed.
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -147,9 +147,9 @@
     ///
     /// What came due before is handled first: a process that was paused finds that a deadline has
     /// passed before it finds the reply that waited.
-    pub fn on(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
+    pub fn handle(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
         self.fire(now);
-        self.handle(event, now);
+        self.apply(event, now);
         self.conclude(now)
     }
 
@@ -185,11 +185,11 @@
     }
 
     /// Returns the room that the route's backend servers have for this home.
-    pub fn room(&self, now: Time) -> Room {
+    pub fn busiest_group(&self, now: Time) -> Room {
         self.fleet.room(now)
     }
 
-    fn handle(&mut self, event: Event<C>, now: Time) {
+    fn apply(&mut self, event: Event<C>, now: Time) {
         match event {
             Event::Request(request) => self.arrived(request, now),
             Event::Abandoned(id) => self.abandoned(id, now),
@@ -205,7 +205,7 @@
             Event::Failed(attempt, failure) => self.failed(attempt, &failure, now),
             Event::Route(route) => self.reroute(route, now),
             Event::Replaced(servers) => self.replaced(&servers, now),
-            Event::Far(far) => self.set_far(far),
+            Event::RemoteServers(far) => self.set_far(far),
             Event::Cold(cold) => self.set_cold(&cold, now),
             Event::Homes(homes) => {
                 self.fleet.set_homes(homes, now);
--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -322,7 +322,9 @@
     roomy.capacity.slots = 30;
     let mut player = Player::new(roomy, 0);
     let to = server(0, 0);
-    player.session.on(Event::Far(BTreeSet::from([to])));
+    player
+        .session
+        .on(Event::RemoteServers(BTreeSet::from([to])));
     player.session.on(cold(&[to], ms(2_000)));
     // Nothing is answered, so that the near one has far more than its share.
     for _ in 0..12 {
@@ -330,7 +332,9 @@
     }
     assert!(player.sent.iter().all(|(_, one)| *one != to));
     let mut player = Player::new(route(1, 1), 0);
-    player.session.on(Event::Far(BTreeSet::from([to])));
+    player
+        .session
+        .on(Event::RemoteServers(BTreeSet::from([to])));
     player.session.on(cold(&[to], ms(2_000)));
     player.pass(ms(2_001));
     player.ask();
@@ -366,7 +370,9 @@
 fn cold_for_longer_than_the_caller_waits_is_told_at_once() {
     let mut player = Player::new(route(1, 1), 0);
     let to = server(0, 0);
-    player.session.on(Event::Far(BTreeSet::from([to])));
+    player
+        .session
+        .on(Event::RemoteServers(BTreeSet::from([to])));
     player.session.on(cold(&[to], ms(60_000)));
     player.ask();
     player.session.pass(ms(20));
--- a/crates/decision/tests/home_alarm.rs
+++ b/crates/decision/tests/home_alarm.rs
@@ -23,7 +23,7 @@
 impl Driver {
     fn feed(&mut self, event: Event, now: Time) {
         self.alarm.on_event(now);
-        let actions = self.home.on(event, now);
+        let actions = self.home.handle(event, now);
         self.carry_out(actions, now);
     }
 
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_everyone.rs
@@ -462,7 +462,7 @@
     let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
     let near = server(0, 1);
     let far = [server(0, 0), server(0, 2)].into_iter().collect();
-    session.on(Event::Far(far));
+    session.on(Event::RemoteServers(far));
     for id in 1..=3 {
         begin(&mut session, id, search(1.0));
     }
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -240,7 +240,7 @@
     pub(crate) fn on(&mut self, event: Event) {
         let line = describe(&event);
         let is_tick = event == Event::Tick;
-        let actions = self.home.on(event, self.now);
+        let actions = self.home.handle(event, self.now);
         let quiet = actions
             .iter()
             .all(|action| matches!(action, Action::Wake(_)));
@@ -267,7 +267,7 @@
                         false => Event::Opened(connection),
                     };
                     self.write("<-", &describe(&event));
-                    actions.extend(self.home.on(event, self.now));
+                    actions.extend(self.home.handle(event, self.now));
                 }
                 Action::Close(connection) => self.closes.push(connection),
                 Action::Send(send) => self.sends.push(send),
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -79,7 +79,7 @@
             _ => {}
         }
         self.alarm.on_event(now);
-        let actions = self.home.on(event, now);
+        let actions = self.home.handle(event, now);
         self.note(&actions);
         actions
     }
