--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -164,7 +164,7 @@
             News::Configuration(table) => self.configure(table),
             News::Registry(event) => {
                 let about = about(&event);
-                let changed = self.registry.on(event, self.settings.clock.now());
+                let changed = self.registry.handle(event, self.settings.clock.now());
                 self.note_emptied();
                 if changed {
                     let (entries, doubted) = self.registry.counts();
@@ -249,7 +249,7 @@
         let own = &self.settings.data_centre;
         let sets = self.homes.keys();
         let elsewhere: HashMap<Shards, Elsewhere> = sets
-            .map(|set| (set.clone(), shards::elsewhere(set, usable, own)))
+            .map(|set| (set.clone(), shards::remote_shards(set, usable, own)))
             .collect();
         let sought = elsewhere.values().flat_map(BTreeMap::keys).cloned();
         let sought: BTreeSet<DataCentreId> = sought.collect();
@@ -321,7 +321,7 @@
     fn follow(&self, set: &Shards, table: &Table, usable: &Usable<'_>, home: Option<Home>) -> Home {
         let route = shards::route(set, table, usable, self.settings.extra);
         let expected = shards::expected(set, usable);
-        let far = shards::far(set, usable, &self.settings.data_centre);
+        let far = shards::remote_servers(set, usable, &self.settings.data_centre);
         let cold = self.cold(set, table, usable);
         let Some(home) = home else {
             let home = self.begin(set, table, route, expected, far);
@@ -368,7 +368,7 @@
     /// servers.
     fn division(&self, set: &Shards, table: &Table) -> Division {
         let division = self.settings.division;
-        match shards::is_part_of_another(set, table) {
+        match shards::is_in_larger_set(set, table) {
             true => division.on_demand(),
             false => division,
         }
@@ -428,7 +428,7 @@
             entry.service,
             entry.address,
             entry.state,
-            entry.order.born,
+            entry.order.started_at,
             entry.order.sequence,
             entry.revision
         ),
@@ -436,21 +436,21 @@
             format!("{instance} unreadable, revision {revision}")
         }
         registry::Event::Deleted(instance) => format!("{instance} gone"),
-        registry::Event::Emptied(order) => {
+        registry::Event::EvacuationOrdered(order) => {
             format!("{} emptied, revision {}", order.data_centre, order.revision)
         }
-        registry::Event::Returned(order) => {
+        registry::Event::EvacuationWithdrawn(order) => {
             format!(
                 "{} given back, revision {}",
                 order.data_centre, order.revision
             )
         }
-        registry::Event::EmptiedListed(orders, as_of) => {
+        registry::Event::EvacuationsListed(orders, as_of) => {
             format!("{} data centres emptied, revision {as_of}", orders.len())
         }
-        registry::Event::WentBack => "source went back to an older copy".to_owned(),
-        registry::Event::Lost => "source lost".to_owned(),
-        registry::Event::Regained => "source regained".to_owned(),
+        registry::Event::StoreRestored => "source went back to an older copy".to_owned(),
+        registry::Event::StoreLost => "source lost".to_owned(),
+        registry::Event::StoreRegained => "source regained".to_owned(),
         registry::Event::Tick => "doubt over".to_owned(),
     }
 }
--- a/crates/daemon/src/gateway/front/handing.rs
+++ b/crates/daemon/src/gateway/front/handing.rs
@@ -42,7 +42,7 @@
         body: &Bytes,
         asking: &Asking<'_>,
     ) -> Option<Response<Full<Bytes>>> {
-        let is_search = matches!(asking.route.target, Target::Gather(_));
+        let is_search = matches!(asking.route.target, Target::FanOut(_));
         if self.passing == Passing::Back || !is_search {
             return None;
         }
@@ -118,7 +118,7 @@
         self.ingress.set_patience(&mut head.headers, left);
         relay::set_on_the_way(&mut head.headers, on_the_way + PART_HOP);
         let tolerable = match &asking.route.target {
-            Target::Gather(gather) => gather.dispensable() / 2,
+            Target::FanOut(gather) => gather.dispensable() / 2,
             Target::Split(_) => 0,
         };
         let mut line = PartLine {
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -138,7 +138,7 @@
         let sharing = elsewhere.and_then(|elsewhere| self.relay.share(elsewhere));
         let sharing = sharing.map(|sharing| (sharing, head.clone(), body.clone()));
         let forward = Forward {
-            is_merged: matches!(route.target, Target::Gather(_)),
+            is_merged: matches!(route.target, Target::FanOut(_)),
             ..self.ingress.forward(head, &ask, body)
         };
         let asked = event::Request {
@@ -223,7 +223,7 @@
         let route = asking.route;
         let terms = route.terms(on_the_way);
         let terms = match (&route.target, only) {
-            (Target::Gather(gather), Some(only)) => terms.of_part(only.len(), gather.shards.len()),
+            (Target::FanOut(gather), Some(only)) => terms.of_part(only.len(), gather.shards.len()),
             _ => terms,
         };
         event::Request {
@@ -279,9 +279,9 @@
         };
         let mut parts: Vec<Whole> = answer.items.into_iter().map(|item| item.value).collect();
         let (response, why) = match &route.target {
-            Target::Gather(gather) => {
+            Target::FanOut(gather) => {
                 let bodies = parts.iter().map(|part| &part.body[..]);
-                let records = greatest(bodies, self.ingress.record_bytes(), gather.top);
+                let records = greatest(bodies, self.ingress.record_bytes(), gather.max_records);
                 let asked = only.map_or(gather.shards.len(), |only| only.len() as usize);
                 let held = asked.saturating_sub(missing);
                 let why = format!("{held} parts, {missing} missing, set {version}");
--- a/crates/daemon/src/gateway/members/mod.rs
+++ b/crates/daemon/src/gateway/members/mod.rs
@@ -13,7 +13,7 @@
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::fact;
 use monsoonring_decision::gateway::Members;
-use monsoonring_decision::gateway::helper::{Candidate, Remote, Strength};
+use monsoonring_decision::gateway::helper::{Candidate, Centicores, Remote};
 use monsoonring_decision::gateway::members::{Action, Datagram, Event};
 use monsoonring_decision::gateway::source::Readers;
 use monsoonring_decision::member::{Change, MemberId};
@@ -40,7 +40,7 @@
     /// A fact that was not known here before.
     Fact(fact::Entry),
     /// A host in the same data centre has this strength.
-    Strength(MemberId, Strength),
+    Strength(MemberId, Centicores),
     /// These hosts of another data centre may fan out for this one.
     Remote(Remote),
     /// Who reads the store.
@@ -94,7 +94,7 @@
             },
             Some(fact) = task.found.recv() => found(&fact),
             Ok(()) = task.sought.changed() => {
-                Some(Event::Sought(task.sought.borrow_and_update().clone()))
+                Some(Event::RemoteDataCentres(task.sought.borrow_and_update().clone()))
             }
             Some(sender) = task.asked.recv() => {
                 // Who asked may have gone.
--- a/crates/daemon/src/gateway/mirror.rs
+++ b/crates/daemon/src/gateway/mirror.rs
@@ -3,7 +3,7 @@
 //! What is passed on are the store's own answers, which nobody here looks into. A question names the position
 //! up to which the asker knows everything; it waits at the reader until there is more, as a watch of the store
 //! does. What is answered and when is [`mirror::Log`]'s. Hosts that know nothing ask for everything, and whom is
-//! [`join`](monsoonring_decision::gateway::join)'s.
+//! [`bootstrap`](monsoonring_decision::gateway::bootstrap)'s.
 
 use super::relay::{DECLINED, declined, number};
 use crate::client;
@@ -13,8 +13,8 @@
 use hyper::header::{HOST, HeaderName};
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use monsoonring_decision::Time;
-use monsoonring_decision::gateway::mirror::{Answer, Batch, Declined, Log, Outage, Position};
-use monsoonring_decision::gateway::pace::Pace;
+use monsoonring_decision::gateway::mirror::{Answer, Batch, DeclineReason, Log, Outage, Position};
+use monsoonring_decision::gateway::timing::Timing;
 use monsoonring_decision::member::MemberId;
 use snafu::{ResultExt, Snafu};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -58,7 +58,7 @@
 pub struct Mirror {
     archive: Option<Arc<dyn Archive>>,
     clock: Clock,
-    pace: Pace,
+    pace: Timing,
     log: Mutex<Log>,
     asked: Mutex<Option<Time>>,
     changed: Notify,
@@ -66,12 +66,12 @@
 
 impl Mirror {
     /// Makes the mirror of a host that has read nothing.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pace: Timing) -> Self {
         Self {
             archive: None,
             clock: Clock::start(),
             pace,
-            log: Mutex::new(Log::new(pace.sure())),
+            log: Mutex::new(Log::new(pace.freshness())),
             asked: Mutex::default(),
             changed: Notify::new(),
         }
@@ -87,23 +87,23 @@
     /// Everything was read, as of a position.
     pub fn read(&self, position: Position) {
         let now = self.clock.now();
-        self.change(|log| log.read(position, now));
+        self.change(|log| log.reset(position, now));
     }
 
     /// The store has answered a watch.
     pub fn watched(&self, batch: Batch) {
         let now = self.clock.now();
-        self.change(|log| log.watched(batch, now));
+        self.change(|log| log.append(batch, now));
     }
 
     /// A call to the store failed.
     pub fn lost(&self) {
-        self.change(Log::lost);
+        self.change(Log::store_failed);
     }
 
     /// This host asks others from now on.
     pub fn retire(&self) {
-        self.change(Log::retire);
+        self.change(Log::clear);
     }
 
     /// Tells whether other hosts ask this one.
@@ -120,7 +120,7 @@
         let after = position(headers, &AFTER)?;
         let now = self.clock.now();
         *self.asked.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
-        let waited = timeout(self.pace.ask(), self.wait(after)).await;
+        let waited = timeout(self.pace.poll(), self.wait(after)).await;
         // Nothing came; whether that is still known for sure is asked once more.
         let answer = waited.unwrap_or_else(|_| self.answer_now(after));
         let outage = self.log().outage(self.clock.now());
@@ -130,7 +130,7 @@
     fn whole(&self) -> Response<Full<Bytes>> {
         let archive = self.archive.as_ref();
         let Some((position, body)) = archive.and_then(|archive| archive.whole()) else {
-            return declined(Declined::NoReader.reason());
+            return declined(DeclineReason::NotReader.reason());
         };
         let mut response = Response::new(Full::new(body));
         set_position(response.headers_mut(), TO, position);
@@ -143,7 +143,7 @@
         loop {
             let changed = self.changed.notified();
             let answer = self.answer_now(after);
-            let may_come = [Answer::Nothing, Answer::Declined(Declined::Behind)];
+            let may_come = [Answer::UpToDate, Answer::Declined(DeclineReason::Behind)];
             if !may_come.contains(&answer) {
                 return answer;
             }
@@ -182,7 +182,7 @@
 fn respond(answer: Answer, outage: Outage) -> Response<Full<Bytes>> {
     let mut response = match answer {
         Answer::Declined(why) => return declined(why.reason()),
-        Answer::Nothing => {
+        Answer::UpToDate => {
             let mut response = Response::new(Full::default());
             *response.status_mut() = StatusCode::NO_CONTENT;
             response
@@ -195,7 +195,7 @@
     };
     let headers = response.headers_mut();
     headers.insert(OUTAGES, outage.count.into());
-    if let Some(ended) = outage.ended {
+    if let Some(ended) = outage.ended_ago {
         headers.insert(OUTAGE_ENDED, (ended.as_millis() as u64).into());
     }
     response
@@ -252,7 +252,7 @@
 impl Error {
     /// Tells whether the store may have been away, so that entries lapsed there.
     pub fn is_store_lost(&self) -> bool {
-        let away = [Declined::Lost, Declined::Unsure].map(Declined::reason);
+        let away = [DeclineReason::StoreLost, DeclineReason::Stale].map(DeclineReason::reason);
         matches!(self, Self::Declined { why, .. } if away.contains(&why.as_str()))
     }
 }
@@ -345,7 +345,7 @@
             changes,
             outage: Outage {
                 count: number(&head.headers, &OUTAGES).unwrap_or_default(),
-                ended: number(&head.headers, &OUTAGE_ENDED).map(Duration::from_millis),
+                ended_ago: number(&head.headers, &OUTAGE_ENDED).map(Duration::from_millis),
             },
         })
     }
--- a/crates/daemon/src/gateway/relay/helper.rs
+++ b/crates/daemon/src/gateway/relay/helper.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use monsoonring_decision::gateway::helper::Strength;
+use monsoonring_decision::gateway::helper::Centicores;
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
@@ -30,7 +30,7 @@
 impl<I> Helper<I> {
     pub(in crate::gateway) fn new(
         front: Front<I>,
-        strength: Strength,
+        strength: Centicores,
         mirror: Arc<Mirror>,
     ) -> Self {
         let places = f64::from(strength) / 100.0 * TAKEN_BY_A_CORE;
--- a/crates/daemon/src/gateway/relay/mod.rs
+++ b/crates/daemon/src/gateway/relay/mod.rs
@@ -27,7 +27,7 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request;
 use hyper::{HeaderMap, Request, Response, StatusCode};
-use monsoonring_decision::gateway::helper::{Ended, Remote, Strength, Table};
+use monsoonring_decision::gateway::helper::{Centicores, Outcome, Remote, Table};
 use monsoonring_decision::member::MemberId;
 use snafu::{ResultExt, Snafu};
 use std::collections::HashMap;
@@ -99,12 +99,12 @@
         )
     }
 
-    fn ended(&self) -> Ended {
+    fn ended(&self) -> Outcome {
         match self {
-            Self::Declined { .. } => Ended::Declined,
+            Self::Declined { .. } => Outcome::Declined,
             // It acknowledged the search, and others in its place would have taken as long.
-            Self::Late { .. } => Ended::Left,
-            _ => Ended::Lost,
+            Self::Late { .. } => Outcome::Cancelled,
+            _ => Outcome::Failed,
         }
     }
 }
@@ -128,18 +128,18 @@
 struct Chosen<'a> {
     relay: &'a Relay,
     host: MemberId,
-    ended: Ended,
+    ended: Outcome,
 }
 
 impl Drop for Chosen<'_> {
     fn drop(&mut self) {
         let now = self.relay.clock.now();
-        self.relay.helpers().ended(self.host, self.ended, now);
+        self.relay.helpers().finished(self.host, self.ended, now);
     }
 }
 
 impl Relay {
-    pub(super) fn new(strength: Strength, clock: Clock, behind: Arc<Notify>) -> Self {
+    pub(super) fn new(strength: Centicores, clock: Clock, behind: Arc<Notify>) -> Self {
         Self {
             clock,
             behind,
@@ -149,13 +149,13 @@
     }
 
     /// Takes in how strong a host in the same data centre is.
-    pub(super) fn told(&self, host: MemberId, strength: Strength) {
-        self.helpers().told(host, strength);
+    pub(super) fn told(&self, host: MemberId, strength: Centicores) {
+        self.helpers().set_strength(host, strength);
     }
 
     /// Takes in which hosts of another data centre may fan out.
     pub(super) fn told_remote(&self, remote: Remote) {
-        self.helpers().told_remote(remote);
+        self.helpers().set_remote(remote);
     }
 
     /// Asks the host that is best placed; `None` where there is none.
@@ -170,14 +170,14 @@
         let mut chosen = Chosen {
             relay: self,
             host,
-            ended: Ended::Left,
+            ended: Outcome::Cancelled,
         };
         let mut request = Request::from_parts(head.clone(), Full::new(body.clone()));
         // A client that sends the header of a part would have its search answered as one.
         request.headers_mut().remove(ONLY);
         let answer = self.hand(host, request, version, patience).await;
         chosen.ended = match &answer {
-            Ok(_) => Ended::Answered,
+            Ok(_) => Outcome::Answered,
             Err(error) => error.ended(),
         };
         Some((host, answer))
--- a/crates/daemon/src/gateway/relay/share.rs
+++ b/crates/daemon/src/gateway/relay/share.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::IndexVersion;
-use monsoonring_decision::gateway::helper::{Ended, Share};
+use monsoonring_decision::gateway::helper::{Delegation, Outcome};
 use monsoonring_decision::home::event::Begun;
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::query::coverage::Set;
@@ -56,11 +56,11 @@
 impl Relay {
     /// Chooses who looks through a part of a search; `None` where this host asks all servers itself.
     pub(in crate::gateway) fn share(&self, elsewhere: &Elsewhere) -> Option<Sharing<'_>> {
-        let Share { host, keys } = self.helpers().share(elsewhere, self.clock.now())?;
+        let Delegation { host, keys } = self.helpers().delegate(elsewhere, self.clock.now())?;
         let chosen = Chosen {
             relay: self,
             host,
-            ended: Ended::Left,
+            ended: Outcome::Cancelled,
         };
         Some(Sharing { chosen, keys })
     }
@@ -101,7 +101,7 @@
         &self,
         answer: Result<Response<Full<Bytes>>>,
         tolerable: u64,
-    ) -> (Ended, Shared) {
+    ) -> (Outcome, Shared) {
         let response = match answer {
             Ok(response) => response,
             Err(error) => return (error.ended(), lost(&error)),
@@ -116,12 +116,12 @@
             };
             let why = Some(format!("status {}", status.as_u16()));
             let reply = Err(begun);
-            return (Ended::Poor, Shared { reply, why });
+            return (Outcome::Incomplete, Shared { reply, why });
         };
         let lacking = self.keys.len() - covered.len();
         let ended = match lacking > tolerable {
-            true => Ended::Poor,
-            false => Ended::Answered,
+            true => Outcome::Incomplete,
+            false => Outcome::Answered,
         };
         let reply = reply(response, &covered, snapshot).await;
         let why = (lacking > 0).then(|| format!("lacks {lacking} of {}", self.keys.len()));
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -17,9 +17,9 @@
 use futures::StreamExt;
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::gateway::Members;
-use monsoonring_decision::gateway::helper::Strength;
+use monsoonring_decision::gateway::delivery;
+use monsoonring_decision::gateway::helper::Centicores;
 use monsoonring_decision::gateway::source::Readers;
-use monsoonring_decision::gateway::way;
 use monsoonring_decision::placement::{Division, Member};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -77,7 +77,7 @@
     /// Extra attempts that the owners of backend servers allow for each first one.
     pub extra: f64,
     /// Processor time of this host, in hundredths of a core; 0 where it is not known.
-    pub strength: Strength,
+    pub strength: Centicores,
     /// Hosts to ask for the others, at the addresses for hosts.
     pub seeds: Vec<SocketAddr>,
     /// Time between "not ready" and the end of accepting in a planned stop.
@@ -241,7 +241,7 @@
             metrics: metrics.clone(),
             passing,
             relay: relay.clone(),
-            on_the_way: way::time(settings.strength),
+            on_the_way: delivery::margin(settings.strength),
         };
         let searches = Server {
             handler: Helper::new(front(Passing::Back), settings.strength, outside.mirror),
--- a/crates/decision/examples/placing.rs
+++ b/crates/decision/examples/placing.rs
@@ -41,7 +41,7 @@
             .collect();
         let mut registry = Registry::default();
         let servers = (0..count * REPLICAS).map(entry).collect();
-        registry.on(Event::Listed(servers), Time::ZERO);
+        registry.handle(Event::Listed(servers), Time::ZERO);
         let limits = Limits { body_bytes: 1 };
         let table = Table::new(1, limits, Default::default(), Vec::new());
         let began = Instant::now();
@@ -49,8 +49,8 @@
             let usable = registry.usable();
             black_box(shards::route(&set, &table, &usable, 0.2));
             black_box(shards::expected(&set, &usable));
-            black_box(shards::far(&set, &usable, &own));
-            black_box(shards::elsewhere(&set, &usable, &own));
+            black_box(shards::remote_servers(&set, &usable, &own));
+            black_box(shards::remote_shards(&set, &usable, &own));
         }
         let each = began.elapsed() / ROUNDS;
         println!("| {count} | {} | {} |", count * REPLICAS, each.as_micros());
--- a/crates/decision/src/gateway/join.rs
+++ b/crates/decision/src/gateway/bootstrap.rs
@@ -32,32 +32,32 @@
 
 /// Why everything is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Occasion {
+pub enum Reason {
     /// All hosts start for the first time, and callers come later.
     FirstStart,
     /// This host starts, and others may be running.
     Start,
     /// What is known leads nowhere any more.
-    Lost(Position),
+    HistoryGone(Position),
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Next {
     /// Ask this host.
     Host(MemberId),
     /// Wait until then, or until other readers are named.
     Wait(Time),
-    /// Read the store, up to so many pages: where there are more, [`Join::large`] is to be told.
-    Begin(usize),
+    /// Read the store, up to so many pages: where there are more, [`Bootstrap::too_large`] is to be told.
+    StorePages(usize),
     /// Read the store.
     Store,
 }
 
 /// Decides whom to ask, for one occasion.
 #[derive(Clone, Debug)]
-pub struct Join {
-    occasion: Occasion,
+pub struct Bootstrap {
+    occasion: Reason,
     began: Time,
     seeds: Vec<MemberId>,
     /// Hosts that told nothing, and when they may be asked again; `None` for those that can't be reached.
@@ -66,9 +66,9 @@
     needs_hosts: bool,
 }
 
-impl Join {
+impl Bootstrap {
     /// Begins. `seeds` are hosts that the settings name, without this one.
-    pub fn new(occasion: Occasion, seeds: Vec<MemberId>, now: Time) -> Self {
+    pub fn new(occasion: Reason, seeds: Vec<MemberId>, now: Time) -> Self {
         Self {
             occasion,
             began: now,
@@ -79,33 +79,33 @@
     }
 
     /// Returns what to do next.
-    pub fn next(&self, readers: &Readers, now: Time) -> Step {
+    pub fn next(&self, readers: &Readers, now: Time) -> Next {
         let found = self.began + FOUND;
-        if self.occasion == Occasion::FirstStart && now < found {
-            return Step::Wait(found);
+        if self.occasion == Reason::FirstStart && now < found {
+            return Next::Wait(found);
         }
-        if self.occasion == Occasion::Start && !self.needs_hosts {
-            return Step::Begin(FEW_PAGES);
+        if self.occasion == Reason::Start && !self.needs_hosts {
+            return Next::StorePages(FEW_PAGES);
         }
         let is_known = !readers.others.is_empty();
-        if is_known && readers.is_reader && self.occasion != Occasion::Start {
-            return Step::Store;
+        if is_known && readers.is_reader && self.occasion != Reason::Start {
+            return Next::Store;
         }
         let hosts = self.hosts(readers);
         let is_new = |host: &&MemberId| !self.failed.contains_key(host);
         if let Some(host) = hosts.iter().find(is_new) {
-            return Step::Host(*host);
+            return Next::Host(*host);
         }
         if now >= self.ends() {
-            return Step::Store;
+            return Next::Store;
         }
         let again = hosts
             .iter()
             .filter_map(|host| Some((self.failed.get(host)?.as_ref()?, host)));
         match again.min() {
-            Some((at, host)) if *at <= now => Step::Host(*host),
-            Some((at, _)) => Step::Wait(*at),
-            None => Step::Store,
+            Some((at, host)) if *at <= now => Next::Host(*host),
+            Some((at, _)) => Next::Wait(*at),
+            None => Next::Store,
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// There is more in the store than a few pages.
-    pub fn large(&mut self) {
+    pub fn too_large(&mut self) {
         self.needs_hosts = true;
     }
 
@@ -131,10 +131,10 @@
     }
 
     /// Tells whether what a host told leads on from what is known.
-    pub fn is_of_use(&self, told: Position) -> bool {
+    pub fn is_useful(&self, told: Position) -> bool {
         match self.occasion {
-            Occasion::Lost(known) => told > known,
-            Occasion::FirstStart | Occasion::Start => true,
+            Reason::HistoryGone(known) => told > known,
+            Reason::FirstStart | Reason::Start => true,
         }
     }
 
@@ -142,7 +142,7 @@
     /// that knows no others.
     fn hosts(&self, readers: &Readers) -> Vec<MemberId> {
         let seeds = match self.occasion {
-            Occasion::Start if readers.others.is_empty() => self.seeds.as_slice(),
+            Reason::Start if readers.others.is_empty() => self.seeds.as_slice(),
             _ => &[],
         };
         readers.others.iter().chain(seeds).copied().collect()
@@ -150,9 +150,9 @@
 
     fn ends(&self) -> Time {
         match self.occasion {
-            Occasion::FirstStart => self.began + FOUND + PATIENCE,
-            Occasion::Start => self.began,
-            Occasion::Lost(_) => self.began + PATIENCE,
+            Reason::FirstStart => self.began + FOUND + PATIENCE,
+            Reason::Start => self.began,
+            Reason::HistoryGone(_) => self.began + PATIENCE,
         }
     }
 }
--- a/crates/decision/src/gateway/way.rs
+++ b/crates/decision/src/gateway/delivery.rs
@@ -5,7 +5,7 @@
 //! handing on, writing, behind others that came with it. The work is the host's that the caller speaks to, also
 //! where another one fans out, so that it is told on with the search.
 
-use super::helper::Strength;
+use super::helper::Centicores;
 use std::time::Duration;
 
 /// Time on the way: two round trips of a way of 1.5 ms, which is between what deployments have.
@@ -19,18 +19,18 @@
 const WORK: Duration = Duration::from_micros(1_700);
 
 /// What is taken for a host that does not say how strong it is, in hundredths of a core.
-const UNKNOWN: Strength = 12;
+const UNKNOWN: Centicores = 12;
 
 /// Longest time that is left, as a part of the objective: servers need the rest to answer.
 const AT_MOST: f64 = 0.5;
 
 /// Returns how long an answer takes between a host of this strength and its caller.
-pub fn time(strength: Strength) -> Duration {
+pub fn margin(strength: Centicores) -> Duration {
     let strength = if strength == 0 { UNKNOWN } else { strength };
     PATH + WORK * 100 / strength
 }
 
 /// Returns the time after which a partial answer leaves that is worth most within an objective.
-pub fn leaves_after(objective: Duration, way: Duration) -> Duration {
+pub fn cutoff(objective: Duration, way: Duration) -> Duration {
     objective.saturating_sub(way.min(objective.mul_f64(AT_MOST)))
 }
--- a/crates/decision/src/gateway/helper.rs
+++ b/crates/decision/src/gateway/helper.rs
@@ -3,7 +3,7 @@
 //! A search over 36 shards costs some milliseconds of a whole core, which a host with an eighth of one
 //! takes 30 ms for; a host with half a core takes 7. And the fewer hosts ask a backend server, the better
 //! each knows it, and the more each may hold of its connections and of the extra attempts. So a host
-//! hands its searches to one in its own data centre that is at least [`STRONGER`] times as strong, if
+//! hands its searches to one in its own data centre that is at least [`MIN_STRENGTH_RATIO`] times as strong, if
 //! there is one: one hop of a tenth of a millisecond, and no byte between data centres. Where all hosts
 //! are alike nobody hands on anything.
 //!
@@ -23,10 +23,10 @@
 use std::time::Duration;
 
 /// How much processor time a host has, in hundredths of a core.
-pub type Strength = u32;
+pub type Centicores = u32;
 
 /// How many times as strong a helper is at least: below that, the hop costs what it saves.
-pub const STRONGER: u32 = 2;
+pub const MIN_STRENGTH_RATIO: u32 = 2;
 
 /// Pause after a helper was lost; it doubles with each further one.
 const PAUSE: Duration = Duration::from_millis(500);
@@ -51,7 +51,7 @@
     /// The host.
     pub host: MemberId,
     /// How much processor time it has.
-    pub strength: Strength,
+    pub strength: Centicores,
 }
 
 /// The hosts of another data centre that may fan out for others.
@@ -67,7 +67,7 @@
 
 /// A part of a search that another host looks through.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct Delegation {
     /// The host.
     pub host: MemberId,
     /// The keys.
@@ -76,22 +76,22 @@
 
 /// How a helper ended a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// With an answer, whatever it says.
     Answered,
     /// It would not take it on.
     Declined,
     /// With an answer for a part of a search that lacks much of it.
-    Poor,
+    Incomplete,
     /// There was no answer.
-    Lost,
+    Failed,
     /// Nobody waits for the answer any more.
-    Left,
+    Cancelled,
 }
 
 #[derive(Clone, Debug)]
 struct Helper {
-    strength: Strength,
+    strength: Centicores,
     outstanding: u32,
     failures: u32,
     paused: Option<Time>,
@@ -102,7 +102,7 @@
 }
 
 impl Helper {
-    fn new(strength: Strength, remote: Option<DataCentreId>) -> Self {
+    fn new(strength: Centicores, remote: Option<DataCentreId>) -> Self {
         Self {
             strength,
             outstanding: 0,
@@ -128,7 +128,7 @@
 /// The hosts that fan out for this one.
 #[derive(Clone, Debug)]
 pub struct Table {
-    own: Strength,
+    own: Centicores,
     helpers: BTreeMap<MemberId, Helper>,
     /// By data centre: the round trip to it.
     round_trips: BTreeMap<DataCentreId, Duration>,
@@ -140,7 +140,7 @@
 
 impl Table {
     /// Makes the table of a host with this strength.
-    pub fn new(own: Strength) -> Self {
+    pub fn new(own: Centicores) -> Self {
         Self {
             own,
             helpers: BTreeMap::new(),
@@ -151,8 +151,8 @@
     }
 
     /// Takes in how strong a host in the same data centre is.
-    pub fn told(&mut self, host: MemberId, strength: Strength) {
-        if self.own == 0 || strength < self.own.saturating_mul(STRONGER) {
+    pub fn set_strength(&mut self, host: MemberId, strength: Centicores) {
+        if self.own == 0 || strength < self.own.saturating_mul(MIN_STRENGTH_RATIO) {
             self.helpers.remove(&host);
             return;
         }
@@ -164,7 +164,7 @@
     }
 
     /// Takes in which hosts of another data centre may fan out for others. None weaker than this one is asked.
-    pub fn told_remote(&mut self, remote: Remote) {
+    pub fn set_remote(&mut self, remote: Remote) {
         let is_there = |helper: &Helper| helper.remote.as_ref() == Some(&remote.data_centre);
         let is_named = |host: &MemberId| {
             remote
@@ -198,7 +198,11 @@
 
     /// Chooses a host that looks through a part of a search, where these keys could be looked through in each data
     /// centre: one where it is the most of them.
-    pub fn share(&mut self, keys: &BTreeMap<DataCentreId, Set>, now: Time) -> Option<Share> {
+    pub fn delegate(
+        &mut self,
+        keys: &BTreeMap<DataCentreId, Set>,
+        now: Time,
+    ) -> Option<Delegation> {
         if self.poor.is_some_and(|until| until > now) {
             return None;
         }
@@ -216,7 +220,7 @@
             fewer.then_with(|| one.compare(other))
         };
         let (host, _, keys) = able.min_by(order)?;
-        let share = Share {
+        let share = Delegation {
             host: *host,
             keys: keys.clone(),
         };
@@ -241,24 +245,24 @@
     }
 
     /// Records how a search ended that a helper was chosen for.
-    pub fn ended(&mut self, host: MemberId, ended: Ended, now: Time) {
+    pub fn finished(&mut self, host: MemberId, ended: Outcome, now: Time) {
         let Some(helper) = self.helpers.get_mut(&host) else {
             return;
         };
         helper.outstanding = helper.outstanding.saturating_sub(1);
-        let is_poor = matches!(ended, Ended::Poor | Ended::Lost);
+        let is_poor = matches!(ended, Outcome::Incomplete | Outcome::Failed);
         if helper.remote.is_some() && is_poor {
             self.poor = Some(now + POOR_PAUSE);
         }
         match ended {
-            Ended::Answered | Ended::Poor => helper.failures = 0,
-            Ended::Declined => helper.paused = helper.paused.max(Some(now + DECLINED_PAUSE)),
-            Ended::Lost => {
+            Outcome::Answered | Outcome::Incomplete => helper.failures = 0,
+            Outcome::Declined => helper.paused = helper.paused.max(Some(now + DECLINED_PAUSE)),
+            Outcome::Failed => {
                 let doublings = helper.failures.min(PAUSE_DOUBLINGS);
                 helper.failures = helper.failures.saturating_add(1);
                 helper.paused = helper.paused.max(Some(now + PAUSE * 2_u32.pow(doublings)));
             }
-            Ended::Left => {}
+            Outcome::Cancelled => {}
         }
     }
 
--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -15,7 +15,7 @@
 mod remote;
 mod strength;
 
-use super::helper::{Candidate, Remote, Strength};
+use super::helper::{Candidate, Centicores, Remote};
 use super::source::Readers;
 use crate::fact;
 use crate::member::{
@@ -67,7 +67,7 @@
     /// Something found out just now.
     Fact(fact::Entry),
     /// How strong the sender is.
-    Strength(Strength, Reply),
+    Strength(Centicores, Reply),
     /// A question who fans out for others in the receiver's data centre.
     AskCandidates,
     /// Who fans out for others in the sender's data centre.
@@ -93,7 +93,7 @@
     /// A home here found something out, to be held for that long.
     Found(fact::Key, Duration),
     /// Parts of searches may go to these other data centres from now on.
-    Sought(BTreeSet<DataCentreId>),
+    RemoteDataCentres(BTreeSet<DataCentreId>),
 }
 
 /// Something to be done.
@@ -104,7 +104,7 @@
     /// A fact that was not known here before; for the homes.
     Learned(fact::Entry),
     /// A host in the same data centre has this strength.
-    Strength(MemberId, Strength),
+    Strength(MemberId, Centicores),
     /// These hosts of another data centre may fan out for this one.
     Remote(Remote),
     /// The hosts to divide by changed.
@@ -144,7 +144,7 @@
     counted: usize,
     data_centre: DataCentreId,
     /// By host in the same data centre, this one too.
-    strengths: BTreeMap<MemberId, Strength>,
+    strengths: BTreeMap<MemberId, Centicores>,
     /// Hosts that were asked for theirs: how often, and when they are asked again.
     asked_strength: BTreeMap<MemberId, (u32, Time)>,
     /// Data centres whose hosts parts of searches may go to.
@@ -169,7 +169,7 @@
         own: placement::Member,
         start: Incarnation,
         seeds: &[MemberId],
-        strength: Strength,
+        strength: Centicores,
         assumed: Homes,
         now: Time,
         rng: ChaCha8Rng,
@@ -215,7 +215,7 @@
             Event::Tick => self.tick(now),
             Event::Received(from, datagram) => self.received(from, datagram, now),
             Event::Found(key, life) => self.found(key, life, now),
-            Event::Sought(data_centres) => self.seek(&data_centres, now),
+            Event::RemoteDataCentres(data_centres) => self.seek(&data_centres, now),
         }
         self.count();
         std::mem::take(&mut self.actions)
--- a/crates/decision/src/gateway/members/strength.rs
+++ b/crates/decision/src/gateway/members/strength.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Datagram, Members, Reply};
 use crate::Time;
-use crate::gateway::helper::{STRONGER, Strength};
+use crate::gateway::helper::{Centicores, MIN_STRENGTH_RATIO};
 use crate::member::{Change, MemberId};
 use crate::placement::{self, Homes, Role};
 use std::collections::BTreeSet;
@@ -41,8 +41,8 @@
             .copied()
             .filter(|one| *one > 0)
             .min();
-        let bound = weakest.unwrap_or(0).saturating_mul(STRONGER);
-        let is_strong = move |strength: &Strength| bound > 0 && *strength >= bound;
+        let bound = weakest.unwrap_or(0).saturating_mul(MIN_STRENGTH_RATIO);
+        let is_strong = move |strength: &Centicores| bound > 0 && *strength >= bound;
         let strong = self.strengths.iter().filter(move |(_, one)| is_strong(one));
         strong.map(|(host, _)| *host)
     }
@@ -68,7 +68,7 @@
     }
 
     /// Takes in how strong a host nearby is, and answers.
-    pub(super) fn strength(&mut self, from: MemberId, strength: Strength, reply: Reply) {
+    pub(super) fn strength(&mut self, from: MemberId, strength: Centicores, reply: Reply) {
         if reply == Reply::Wanted {
             self.send_strength(from, Reply::Unwanted);
         }
--- a/crates/decision/src/gateway/mirror.rs
+++ b/crates/decision/src/gateway/mirror.rs
@@ -58,28 +58,28 @@
 
 /// Why a reader does not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Declined {
+pub enum DeclineReason {
     /// It has not read the store itself, or only just starts.
-    NoReader,
+    NotReader,
     /// It can't reach the store.
-    Lost,
+    StoreLost,
     /// The store has not answered for too long.
-    Unsure,
+    Stale,
     /// Who asks knows more.
     Behind,
     /// It does not keep what goes so far back.
-    Forgotten,
+    HistoryGone,
 }
 
-impl Declined {
+impl DeclineReason {
     /// Returns the reason as hosts tell it to each other.
     pub const fn reason(self) -> &'static str {
         match self {
-            Self::NoReader => "no reader",
-            Self::Lost => "store lost",
-            Self::Unsure => "not sure to be up to date",
+            Self::NotReader => "no reader",
+            Self::StoreLost => "store lost",
+            Self::Stale => "not sure to be up to date",
             Self::Behind => "behind",
-            Self::Forgotten => "history gone",
+            Self::HistoryGone => "history gone",
         }
     }
 }
@@ -90,7 +90,7 @@
     /// How many there were since the reader's start.
     pub count: u64,
     /// How long ago the last one ended.
-    pub ended: Option<Duration>,
+    pub ended_ago: Option<Duration>,
 }
 
 /// What a reader answers.
@@ -99,9 +99,9 @@
     /// What comes next.
     Batch(Batch),
     /// There is nothing that who asks does not have.
-    Nothing,
+    UpToDate,
     /// Somebody else is to be asked.
-    Declined(Declined),
+    Declined(DeclineReason),
 }
 
 /// The store's last answers at a host that reads it.
@@ -134,7 +134,7 @@
     }
 
     /// Everything was read, as of this position: what was kept does not lead there.
-    pub fn read(&mut self, position: Position, now: Time) {
+    pub fn reset(&mut self, position: Position, now: Time) {
         self.batches.clear();
         self.bytes = 0;
         self.position = Some(position);
@@ -142,11 +142,11 @@
     }
 
     /// The store has answered a watch.
-    pub fn watched(&mut self, batch: Batch, now: Time) {
+    pub fn append(&mut self, batch: Batch, now: Time) {
         self.heard(now);
         let follows = self.position == Some(batch.after);
         if !follows {
-            self.read(batch.to, now);
+            self.reset(batch.to, now);
             return;
         }
         if batch.to == batch.after {
@@ -164,13 +164,13 @@
     }
 
     /// A call to the store failed.
-    pub fn lost(&mut self) {
+    pub fn store_failed(&mut self) {
         self.outages += u64::from(!self.is_lost);
         self.is_lost = true;
     }
 
     /// This host asks another one from now on: what it has is not the store's own word.
-    pub fn retire(&mut self) {
+    pub fn clear(&mut self) {
         self.batches.clear();
         self.bytes = 0;
         self.position = None;
@@ -179,24 +179,24 @@
     /// Returns what a host has to hear that has taken in everything up to a position.
     pub fn answer(&self, after: Position, now: Time) -> Answer {
         let Some(position) = self.position else {
-            return Answer::Declined(Declined::NoReader);
+            return Answer::Declined(DeclineReason::NotReader);
         };
         if self.is_lost {
-            return Answer::Declined(Declined::Lost);
+            return Answer::Declined(DeclineReason::StoreLost);
         }
         if now > self.answered + self.sure_for {
-            return Answer::Declined(Declined::Unsure);
+            return Answer::Declined(DeclineReason::Stale);
         }
         if after > position {
-            return Answer::Declined(Declined::Behind);
+            return Answer::Declined(DeclineReason::Behind);
         }
         if after == position {
-            return Answer::Nothing;
+            return Answer::UpToDate;
         }
         let within = |batch: &&Batch| batch.after <= after && after < batch.to;
         match self.batches.iter().find(within) {
             Some(batch) => Answer::Batch(batch.clone()),
-            None => Answer::Declined(Declined::Forgotten),
+            None => Answer::Declined(DeclineReason::HistoryGone),
         }
     }
 
@@ -204,7 +204,7 @@
     pub fn outage(&self, now: Time) -> Outage {
         Outage {
             count: self.outages,
-            ended: self.regained.map(|at| now.saturating_sub(at)),
+            ended_ago: self.regained.map(|at| now.saturating_sub(at)),
         }
     }
 
--- a/crates/decision/src/gateway/mod.rs
+++ b/crates/decision/src/gateway/mod.rs
@@ -8,18 +8,18 @@
 //! All parts of an answer come from one set, because a home has only one: another set is another
 //! home. That is how an answer keeps to one snapshot while an index is repartitioned.
 
+pub mod bootstrap;
+pub mod delivery;
 pub mod evacuation;
 pub mod helper;
-pub mod join;
 pub mod members;
 pub mod mirror;
-pub mod pace;
 pub mod registry;
 pub mod shards;
 pub mod source;
 pub mod split;
 pub mod table;
-pub mod way;
+pub mod timing;
 
 pub use members::Members;
 pub use registry::Registry;
--- a/crates/decision/src/gateway/registry.rs
+++ b/crates/decision/src/gateway/registry.rs
@@ -18,7 +18,7 @@
 
 /// Time after a return of the store within which entries of living servers come back: their owners
 /// name about two seconds.
-pub const RETURN: Duration = Duration::from_millis(2_200);
+pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Time after the store went back within which the entry of a server that is gone has lapsed there: three heartbeats,
 /// which come every second or so, with as much again.
@@ -36,14 +36,14 @@
 pub type Revision = u64;
 
 /// Time of day at which a server started, in milliseconds since 1970, 0 where it does not say.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// Where an entry stands among all that servers of its name said of themselves; a later start comes
 /// after an earlier one, whatever their counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
     /// When the server started.
-    pub born: Born,
+    pub started_at: StartTime,
     /// Its own count of what it said since then.
     pub sequence: u64,
 }
@@ -113,18 +113,18 @@
     /// An entry is gone.
     Deleted(InstanceId),
     /// Operators have emptied a data centre: its servers are to get no new work.
-    Emptied(evacuation::Order),
+    EvacuationOrdered(evacuation::Order),
     /// They have taken the order back.
-    Returned(evacuation::Order),
+    EvacuationWithdrawn(evacuation::Order),
     /// All orders to empty data centres that there are, as of a revision.
-    EmptiedListed(Vec<evacuation::Order>, Revision),
+    EvacuationsListed(Vec<evacuation::Order>, Revision),
     /// The store came back from an older copy: revisions are given out again, and what was written since is
     /// written again, or gone.
-    WentBack,
+    StoreRestored,
     /// The store can't be reached.
-    Lost,
+    StoreLost,
     /// The store can be reached again.
-    Regained,
+    StoreRegained,
     /// Time has passed.
     Tick,
 }
@@ -155,27 +155,27 @@
 
 impl Registry {
     /// Takes in what was learned. Returns whether the usable servers may have changed.
-    pub fn on(&mut self, event: Event, now: Time) -> bool {
+    pub fn handle(&mut self, event: Event, now: Time) -> bool {
         let ticked = self.tick(now);
         let changed = match event {
             Event::Listed(entries) => self.list(entries, now),
             Event::Written(entry) => self.write(entry, now),
             Event::Unreadable(instance, revision) => self.distrust(&instance, revision, now),
             Event::Deleted(instance) => self.miss(&instance, now),
-            Event::Emptied(order) => self.evacuations.ordered(order, now),
-            Event::Returned(order) => self.evacuations.withdrawn(order, now),
-            Event::EmptiedListed(orders, as_of) => self.evacuations.listed(orders, as_of, now),
-            Event::WentBack => {
+            Event::EvacuationOrdered(order) => self.evacuations.ordered(order, now),
+            Event::EvacuationWithdrawn(order) => self.evacuations.withdrawn(order, now),
+            Event::EvacuationsListed(orders, as_of) => self.evacuations.listed(orders, as_of, now),
+            Event::StoreRestored => {
                 self.go_back(now);
                 false
             }
-            Event::Lost => {
+            Event::StoreLost => {
                 self.lost = true;
                 false
             }
-            Event::Regained => {
+            Event::StoreRegained => {
                 if std::mem::take(&mut self.lost) {
-                    self.trusted_from = now + RETURN;
+                    self.trusted_from = now + RECOVERY_GRACE;
                 }
                 false
             }
@@ -215,7 +215,7 @@
         let mut usable = Usable::new();
         for entry in self.entries.values() {
             let other = usable.entry(entry.address).or_insert(entry);
-            let is_later = |one: &Entry| (one.order.born, one.revision);
+            let is_later = |one: &Entry| (one.order.started_at, one.revision);
             if is_later(other) < is_later(entry) {
                 *other = entry;
             }
@@ -268,7 +268,7 @@
     /// What is known stays in use. What the older copy lacks is doubted until the servers have written again, and its
     /// revisions say nothing beside those of before.
     fn go_back(&mut self, now: Time) {
-        self.trusted_from = now + RETURN;
+        self.trusted_from = now + RECOVERY_GRACE;
         self.copied_until = now + LAPSED;
         self.evacuations.went_back(now);
         for entry in self.entries.values_mut() {
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -4,7 +4,7 @@
 //! share of the shards that are in, all of them weigh the same, and what is missing in an answer is
 //! a list of shards. The same core so counts coverage for both interfaces.
 
-use super::registry::{Born, Entry, Registry, Usable};
+use super::registry::{Entry, Registry, StartTime, Usable};
 use super::table::Table;
 use super::{InstanceId, ServiceId, Shards};
 use crate::Time;
@@ -98,7 +98,7 @@
     /// The start.
     pub instance: InstanceId,
     /// When it was: a later start may have the same name.
-    pub born: Born,
+    pub started_at: StartTime,
     /// The keys of its shard.
     pub keys: Range,
 }
@@ -110,7 +110,7 @@
         let index = *places.get(&entry.service)?;
         let expected = Expected {
             instance: entry.instance.clone(),
-            born: entry.order.born,
+            started_at: entry.order.started_at,
             keys: shard(index),
         };
         Some((*address, expected))
@@ -136,8 +136,8 @@
         let bound = table.cold.get(&entry.service)?;
         let said = registry.cold_until(&entry.instance);
         let given_back = registry.evacuations().given_back(&entry.data_centre);
-        let until = said.max(given_back.map(|at| at + bound.lasts))?;
-        let bears = bound.bears;
+        let until = said.max(given_back.map(|at| at + bound.duration))?;
+        let bears = bound.max_rate;
         (until > now).then_some((*address, Cold { until, bears }))
     });
     cold.collect()
@@ -149,7 +149,7 @@
     before: &BTreeMap<BackendServerId, Expected>,
     now: &BTreeMap<BackendServerId, Expected>,
 ) -> BTreeSet<BackendServerId> {
-    let start = |expected: &Expected| (expected.instance.clone(), expected.born);
+    let start = |expected: &Expected| (expected.instance.clone(), expected.started_at);
     let is_other = |(address, expected): &(&BackendServerId, &Expected)| {
         let earlier = before.get(address);
         earlier.is_some_and(|earlier| start(earlier) != start(expected))
@@ -161,7 +161,11 @@
 }
 
 /// Returns the servers of a set that are in other data centres than `own`.
-pub fn far(shards: &Shards, usable: &Usable<'_>, own: &DataCentreId) -> BTreeSet<BackendServerId> {
+pub fn remote_servers(
+    shards: &Shards,
+    usable: &Usable<'_>,
+    own: &DataCentreId,
+) -> BTreeSet<BackendServerId> {
     let places = places(shards);
     usable
         .iter()
@@ -176,7 +180,7 @@
 
 /// Returns, by data centre, the shards of a set that have servers there and none in `own`; none at all where they are
 /// few.
-pub fn elsewhere(
+pub fn remote_shards(
     shards: &Shards,
     usable: &Usable<'_>,
     own: &DataCentreId,
@@ -203,7 +207,7 @@
 }
 
 /// Tells whether a larger set that some route leads to has one of the services of this one.
-pub fn is_part_of_another(shards: &Shards, table: &Table) -> bool {
+pub fn is_in_larger_set(shards: &Shards, table: &Table) -> bool {
     let larger = |other: &&Shards| {
         let shares = other.iter().any(|service| shards.contains(service));
         shares && other.len() > shards.len()
--- a/crates/decision/src/gateway/source.rs
+++ b/crates/decision/src/gateway/source.rs
@@ -43,15 +43,15 @@
     Store,
     /// A host that reads it.
     Host(MemberId),
-    /// Nobody before this time.
-    Nobody(Time),
+    /// Wait before this time.
+    Wait(Time),
 }
 
 /// How a reader did not tell what changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// It can't be reached, or does not answer.
-    Silent,
+    Unreachable,
     /// It says that somebody else is to be asked.
     Declined,
 }
@@ -66,7 +66,7 @@
 
 /// Decides whom to ask.
 #[derive(Debug, Default)]
-pub struct Choice {
+pub struct Selector {
     readers: Readers,
     /// Whether the store has failed at this host, which reads it, since another reader was asked.
     is_turned_away: bool,
@@ -77,7 +77,7 @@
     store_paused: Option<Time>,
 }
 
-impl Choice {
+impl Selector {
     /// Takes over who reads the store.
     pub fn set_readers(&mut self, readers: Readers) {
         self.known.retain(|host, _| readers.others.contains(host));
@@ -105,13 +105,13 @@
             (None, None) => Source::Store,
             (None, Some(at)) => {
                 let pauses = self.readers.others.iter().filter_map(pause);
-                Source::Nobody(pauses.fold(at, Time::min))
+                Source::Wait(pauses.fold(at, Time::min))
             }
         }
     }
 
     /// A reader has answered.
-    pub fn answered(&mut self, host: MemberId) {
+    pub fn reader_answered(&mut self, host: MemberId) {
         let reader = self.known.entry(host).or_default();
         reader.failures = 0;
         reader.paused = None;
@@ -119,10 +119,10 @@
     }
 
     /// A reader did not tell what changed.
-    pub fn failed(&mut self, host: MemberId, failure: Failure, now: Time) {
+    pub fn reader_failed(&mut self, host: MemberId, failure: Failure, now: Time) {
         let reader = self.known.entry(host).or_default();
         let doublings = match failure {
-            Failure::Silent => reader.failures.min(PAUSE_DOUBLINGS),
+            Failure::Unreachable => reader.failures.min(PAUSE_DOUBLINGS),
             Failure::Declined => 0,
         };
         reader.failures = reader.failures.saturating_add(1);
@@ -132,7 +132,7 @@
     }
 
     /// There is reason to ask the store itself.
-    pub fn doubt(&mut self) {
+    pub fn mark_stale(&mut self) {
         self.is_unsure = true;
     }
 
@@ -153,9 +153,9 @@
 
     /// Takes in what a reader says of losses of the store. Returns whether one that this host has not heard
     /// of ended less than `doubted` ago.
-    pub fn heard_of(&mut self, host: MemberId, outage: Outage, doubted: Duration) -> bool {
+    pub fn record_outage(&mut self, host: MemberId, outage: Outage, doubted: Duration) -> bool {
         let reader = self.known.entry(host).or_default();
         let is_known = reader.outages.replace(outage.count) == Some(outage.count);
-        !is_known && outage.ended.is_some_and(|ago| ago < doubted)
+        !is_known && outage.ended_ago.is_some_and(|ago| ago < doubted)
     }
 }
--- a/crates/decision/src/gateway/split.rs
+++ b/crates/decision/src/gateway/split.rs
@@ -6,7 +6,7 @@
 //! several per cent in a few hundred. Room plays no part: what does not fit where it belongs is
 //! refused there, or the weights would mean nothing under load.
 
-use super::table::Weighted;
+use super::table::WeightedTarget;
 
 /// Credits of the parts of one route.
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
 
 impl Split {
     /// Returns the index of the part that takes the next request, `None` where no part has weight.
-    pub fn next(&mut self, parts: &[Weighted]) -> Option<usize> {
+    pub fn next(&mut self, parts: &[WeightedTarget]) -> Option<usize> {
         self.credits.resize(parts.len(), 0.0);
         let total: f64 = parts.iter().map(|part| part.weight).sum();
         if total <= 0.0 {
--- a/crates/decision/src/gateway/table.rs
+++ b/crates/decision/src/gateway/table.rs
@@ -1,6 +1,6 @@
 //! The routes of one version of the configuration, and which of them a request takes.
 
-use super::{ServiceId, Shards, way};
+use super::{ServiceId, Shards, delivery};
 use crate::admission::Urgency;
 use crate::home::Terms;
 use crate::query::coverage;
@@ -23,14 +23,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// One server of one of the services, chosen by weight.
-    Split(Vec<Weighted>),
+    Split(Vec<WeightedTarget>),
     /// One server of each service.
-    Gather(Gather),
+    FanOut(FanOut),
 }
 
 /// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Weighted {
+pub struct WeightedTarget {
     /// The service, alone.
     pub shards: Shards,
     /// Its share, relative to the others.
@@ -39,19 +39,19 @@
 
 /// How a request is answered from many shards.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Gather {
+pub struct FanOut {
     /// The shards.
     pub shards: Shards,
     /// Records in an answer at most.
-    pub top: usize,
+    pub max_records: usize,
     /// Share of the shards, from 0 to 1, that an answer must hold.
-    pub least: f64,
+    pub min_coverage: f64,
 }
 
-impl Gather {
+impl FanOut {
     /// Returns how many shards an answer can do without.
     pub fn dispensable(&self) -> usize {
-        coverage::dispensable(self.least, self.shards.len() as f64)
+        coverage::dispensable(self.min_coverage, self.shards.len() as f64)
     }
 }
 
@@ -83,16 +83,16 @@
     pub fn sets(&self) -> Vec<&Shards> {
         match &self.target {
             Target::Split(parts) => parts.iter().map(|part| &part.shards).collect(),
-            Target::Gather(gather) => vec![&gather.shards],
+            Target::FanOut(gather) => vec![&gather.shards],
         }
     }
 
     /// Returns what holds for its requests at a home, where answers take so long on their way to callers.
     pub fn terms(&self, on_the_way: Duration) -> Terms {
         let soft = match &self.target {
-            Target::Gather(gather) => Some(SoftDeadline {
-                after_ms: way::leaves_after(self.objective, on_the_way).as_millis() as u64,
-                coverage: gather.least,
+            Target::FanOut(gather) => Some(SoftDeadline {
+                after_ms: delivery::cutoff(self.objective, on_the_way).as_millis() as u64,
+                coverage: gather.min_coverage,
             }),
             Target::Split(_) => None,
         };
@@ -104,7 +104,7 @@
             work: xxh3_64(self.name.as_bytes()),
             urgency: Some(Urgency {
                 rank: self.priority,
-                objective: way::leaves_after(self.objective, on_the_way),
+                objective: delivery::cutoff(self.objective, on_the_way),
             }),
         }
     }
@@ -132,9 +132,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cold {
     /// Requests in a second, from all hosts together.
-    pub bears: f64,
+    pub max_rate: f64,
     /// How long a server is cold that does not say.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// A version of the configuration.
--- a/crates/decision/src/gateway/pace.rs
+++ b/crates/decision/src/gateway/timing.rs
@@ -30,11 +30,11 @@
 
 /// How long things take for a host, where changes have to be in force within a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Timing {
     bound: Duration,
 }
 
-impl Pace {
+impl Timing {
     /// Makes the pace for a bound.
     pub fn new(bound: Duration) -> Self {
         Self { bound }
@@ -51,22 +51,22 @@
     }
 
     /// Returns the time for which an answer of the store vouches for what a reader knows.
-    pub fn sure(self) -> Duration {
+    pub fn freshness(self) -> Duration {
         self.bound.mul_f64(SURE)
     }
 
     /// Returns how long a question to a reader may wait there.
-    pub fn ask(self) -> Duration {
+    pub fn poll(self) -> Duration {
         self.bound.mul_f64(ASK)
     }
 
     /// Returns the time within which a reader answers such a question.
-    pub fn ask_limit(self) -> Duration {
-        self.ask() + ASK_SLACK
+    pub fn poll_timeout(self) -> Duration {
+        self.poll() + ASK_SLACK
     }
 
     /// Returns the pause after a watch that brought changes.
-    pub fn gather(self) -> Duration {
+    pub fn batch_pause(self) -> Duration {
         self.bound.mul_f64(GATHERED)
     }
 }
--- a/crates/decision/tests/evacuation.rs
+++ b/crates/decision/tests/evacuation.rs
@@ -53,29 +53,29 @@
 #[test]
 fn usable_of_an_emptied_data_centre_is_nobody() {
     let mut registry = registry();
-    assert!(registry.on(Event::Emptied(order("hall", 5)), ms(10)));
+    assert!(registry.handle(Event::EvacuationOrdered(order("hall", 5)), ms(10)));
     assert_eq!(usable(&registry), ["b"]);
-    registry.on(Event::Written(entry("c", 3, "hall")), ms(20));
+    registry.handle(Event::Written(entry("c", 3, "hall")), ms(20));
     assert_eq!(usable(&registry), ["b"]);
-    assert!(registry.on(Event::Returned(order("hall", 9)), ms(30)));
+    assert!(registry.handle(Event::EvacuationWithdrawn(order("hall", 9)), ms(30)));
     assert_eq!(usable(&registry), ["a", "b", "c"]);
 }
 
 #[test]
 fn usable_of_a_store_that_is_away_stays_emptied() {
     let mut registry = registry();
-    registry.on(Event::Emptied(order("hall", 5)), ms(10));
-    registry.on(Event::Lost, ms(20));
-    registry.on(Event::Tick, ms(60_000));
-    registry.on(Event::Regained, ms(60_010));
+    registry.handle(Event::EvacuationOrdered(order("hall", 5)), ms(10));
+    registry.handle(Event::StoreLost, ms(20));
+    registry.handle(Event::Tick, ms(60_000));
+    registry.handle(Event::StoreRegained, ms(60_010));
     assert_eq!(usable(&registry), ["b"]);
 }
 
 #[test]
 fn listed_without_the_order_is_given_back() {
     let mut registry = registry();
-    registry.on(Event::Emptied(order("hall", 5)), ms(10));
-    assert!(registry.on(Event::EmptiedListed(Vec::new(), 9), ms(20)));
+    registry.handle(Event::EvacuationOrdered(order("hall", 5)), ms(10));
+    assert!(registry.handle(Event::EvacuationsListed(Vec::new(), 9), ms(20)));
     assert_eq!(usable(&registry), ["a", "b"]);
 }
 
--- a/crates/decision/tests/gateway.rs
+++ b/crates/decision/tests/gateway.rs
@@ -7,7 +7,7 @@
 use monsoonring_decision::Time;
 use monsoonring_decision::gateway::registry::{Entry, Event, Order, Registry, State};
 use monsoonring_decision::gateway::split::Split;
-use monsoonring_decision::gateway::table::{Gather, Limits, Route, Table, Target, Weighted};
+use monsoonring_decision::gateway::table::{FanOut, Limits, Route, Table, Target, WeightedTarget};
 use monsoonring_decision::gateway::{Shards, shards};
 use monsoonring_decision::query::coverage::Set;
 use monsoonring_decision::query::greatest::greatest;
@@ -46,32 +46,32 @@
 #[test]
 fn listed_after_an_outage_missing_servers_stay_for_a_while() {
     let mut registry = listed(&[entry("a", "map", 1, 1), entry("b", "map", 2, 2)]);
-    registry.on(Event::Lost, ms(1_000));
-    registry.on(Event::Regained, ms(9_000));
-    registry.on(Event::Listed(Vec::new()), ms(9_010));
+    registry.handle(Event::StoreLost, ms(1_000));
+    registry.handle(Event::StoreRegained, ms(9_000));
+    registry.handle(Event::Listed(Vec::new()), ms(9_010));
     assert_eq!(usable(&registry), ["a", "b"]);
-    registry.on(Event::Written(entry("a", "map", 1, 9)), ms(10_000));
+    registry.handle(Event::Written(entry("a", "map", 1, 9)), ms(10_000));
     let wake = registry.next_wake().expect("the other is doubted");
     assert!(wake <= ms(11_500), "{wake:?}");
-    assert!(registry.on(Event::Tick, wake));
+    assert!(registry.handle(Event::Tick, wake));
     assert_eq!(usable(&registry), ["a"]);
 }
 
 #[test]
 fn deleted_in_calm_is_gone_at_once() {
     let mut registry = listed(&[entry("a", "map", 1, 1)]);
-    assert!(registry.on(Event::Deleted("a".into()), ms(5_000)));
+    assert!(registry.handle(Event::Deleted("a".into()), ms(5_000)));
     assert!(usable(&registry).is_empty());
 }
 
 #[test]
 fn deleted_just_after_an_outage_is_doubted() {
     let mut registry = listed(&[entry("a", "map", 1, 1)]);
-    registry.on(Event::Lost, ms(1_000));
-    registry.on(Event::Regained, ms(2_000));
-    assert!(!registry.on(Event::Deleted("a".into()), ms(2_100)));
+    registry.handle(Event::StoreLost, ms(1_000));
+    registry.handle(Event::StoreRegained, ms(2_000));
+    assert!(!registry.handle(Event::Deleted("a".into()), ms(2_100)));
     assert_eq!(usable(&registry), ["a"]);
-    registry.on(Event::Tick, ms(4_300));
+    registry.handle(Event::Tick, ms(4_300));
     assert!(usable(&registry).is_empty());
 }
 
@@ -85,8 +85,8 @@
         state: State::Draining,
         ..entry("a", "map", 1, 7)
     };
-    assert!(registry.on(Event::Written(leaving), ms(10)));
-    assert!(!registry.on(Event::Listed(vec![entry("a", "map", 1, 5)]), ms(20)));
+    assert!(registry.handle(Event::Written(leaving), ms(10)));
+    assert!(!registry.handle(Event::Listed(vec![entry("a", "map", 1, 5)]), ms(20)));
     assert!(usable(&registry).is_empty());
 }
 
@@ -114,11 +114,11 @@
     }
 }
 
-fn gather(services: &[&str], least: f64) -> Target {
-    Target::Gather(Gather {
+fn gather(services: &[&str], min_coverage: f64) -> Target {
+    Target::FanOut(FanOut {
         shards: set(services),
-        top: 5,
-        least,
+        max_records: 5,
+        min_coverage,
     })
 }
 
@@ -175,7 +175,7 @@
 
 #[test]
 fn split_shares_are_exact() {
-    let part = |name: &str, weight| Weighted {
+    let part = |name: &str, weight| WeightedTarget {
         shards: set(&[name]),
         weight,
     };
@@ -219,7 +219,7 @@
                 true => Event::Written(one),
                 false => Event::Deleted(one.instance),
             };
-            registry.on(event, ms(step as u64));
+            registry.handle(event, ms(step as u64));
             let starts = registry.usable();
             prop_assert!(starts.iter().all(|(address, entry)| entry.address == *address));
         }
@@ -258,7 +258,7 @@
 #[test]
 fn elsewhere_are_the_shards_without_a_server_here() {
     let registry = in_three_of_six(42);
-    let elsewhere = shards::elsewhere(&numbered(42), &registry.usable(), &"dc0".into());
+    let elsewhere = shards::remote_shards(&numbered(42), &registry.usable(), &"dc0".into());
     let count = |data_centre: &str| elsewhere.get(data_centre).map_or(0, Set::len);
     let counts = ["dc0", "dc1", "dc2", "dc3", "dc4", "dc5"].map(count);
     assert_eq!(counts, [0, 7, 14, 21, 14, 7]);
@@ -268,14 +268,14 @@
 #[test]
 fn elsewhere_few_shards_are_asked_for_from_here() {
     let registry = in_three_of_six(6);
-    let elsewhere = shards::elsewhere(&numbered(6), &registry.usable(), &"dc0".into());
+    let elsewhere = shards::remote_shards(&numbered(6), &registry.usable(), &"dc0".into());
     assert!(elsewhere.is_empty(), "{elsewhere:?}");
 }
 
 #[test]
 fn elsewhere_of_a_data_centre_without_servers_is_all() {
     let registry = in_three_of_six(12);
-    let elsewhere = shards::elsewhere(&numbered(12), &registry.usable(), &"bare".into());
+    let elsewhere = shards::remote_shards(&numbered(12), &registry.usable(), &"bare".into());
     assert!(
         elsewhere.values().all(|keys| keys.len() == 6),
         "{elsewhere:?}"
--- a/crates/decision/tests/helper.rs
+++ b/crates/decision/tests/helper.rs
@@ -3,7 +3,7 @@
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::Time;
-use monsoonring_decision::gateway::helper::{Candidate, Ended, Remote, Table};
+use monsoonring_decision::gateway::helper::{Candidate, Outcome, Remote, Table};
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::placement::{Division, Homes, Role};
 use monsoonring_decision::query::coverage::Set;
@@ -23,7 +23,7 @@
 fn table(strengths: &[u32]) -> Table {
     let mut table = Table::new(OWN);
     for (number, strength) in (0..).zip(strengths) {
-        table.told(host(number), *strength);
+        table.set_strength(host(number), *strength);
     }
     table
 }
@@ -38,7 +38,7 @@
 #[test]
 fn choose_unknown_own_strength_hands_nothing_on() {
     let mut table = Table::new(0);
-    table.told(host(1), 50);
+    table.set_strength(host(1), 50);
     assert!(table.is_empty());
 }
 
@@ -61,7 +61,7 @@
     for number in 0..30 {
         let now = ms(number * 500);
         let helper = table.choose(now).expect("all are well");
-        table.ended(helper, Ended::Answered, now + ms(80));
+        table.finished(helper, Outcome::Answered, now + ms(80));
         let index = (0..3).find(|index| host(*index) == helper);
         chosen[usize::from(index.expect("it is one of them"))] += 1;
     }
@@ -90,7 +90,7 @@
 
 /// Returns who was chosen for a part, if somebody was.
 fn share(table: &mut Table, lacking: &BTreeMap<DataCentreId, Set>, now: u64) -> Option<MemberId> {
-    table.share(lacking, ms(now)).map(|share| share.host)
+    table.delegate(lacking, ms(now)).map(|share| share.host)
 }
 
 // Symptom: each of 21 to 31 shards of a search sends its kilobyte from one data centre to another.
@@ -100,28 +100,28 @@
 #[test_case(50; "at_a_strong_host")]
 fn share_goes_where_most_of_the_shards_are(own: u32) {
     let mut table = Table::new(own);
-    table.told(host(1), 100);
-    table.told_remote(remote("north", 1, &[(11, 50), (12, 50)]));
-    table.told_remote(remote("south", 1, &[(21, 50)]));
+    table.set_strength(host(1), 100);
+    table.set_remote(remote("north", 1, &[(11, 50), (12, 50)]));
+    table.set_remote(remote("south", 1, &[(21, 50)]));
     let lacking = lacking(&[("north", 21), ("south", 14)]);
     let chosen = [0, 1, 2].map(|now| share(&mut table, &lacking, now));
     assert_eq!(chosen, [Some(host(11)), Some(host(12)), Some(host(11))]);
-    let share = table.share(&lacking, ms(3)).expect("there are hosts");
+    let share = table.delegate(&lacking, ms(3)).expect("there are hosts");
     assert_eq!(share.keys.len(), 21);
 }
 
 #[test]
 fn share_weaker_hosts_are_not_asked() {
     let mut table = Table::new(50);
-    table.told_remote(remote("north", 1, &[(11, 12)]));
+    table.set_remote(remote("north", 1, &[(11, 12)]));
     assert_eq!(share(&mut table, &lacking(&[("north", 21)]), 0), None);
 }
 
 #[test]
 fn share_another_region_is_not_asked_where_one_nearby_could_be() {
     let mut table = Table::new(12);
-    table.told_remote(remote("nearby", 1, &[(11, 50)]));
-    table.told_remote(remote("abroad", 40, &[(21, 50)]));
+    table.set_remote(remote("nearby", 1, &[(11, 50)]));
+    table.set_remote(remote("abroad", 40, &[(21, 50)]));
     let both = lacking(&[("nearby", 7), ("abroad", 21)]);
     assert_eq!(share(&mut table, &both, 0), Some(host(11)));
     let only = lacking(&[("abroad", 21)]);
@@ -131,14 +131,14 @@
 // Symptom: while servers are slow or gone, one search after the other lacks what another host did not get.
 // Events:  the answer for a part lacks much, or does not come.
 // Cause:   the next part was handed over all the same. Who asks all servers itself weighs what is missing together.
-#[test_case(Ended::Poor; "poor")]
-#[test_case(Ended::Lost; "lost")]
-fn share_after_a_poor_answer_all_servers_are_asked_from_here(ended: Ended) {
+#[test_case(Outcome::Incomplete; "poor")]
+#[test_case(Outcome::Failed; "lost")]
+fn share_after_a_poor_answer_all_servers_are_asked_from_here(ended: Outcome) {
     let mut table = Table::new(12);
-    table.told_remote(remote("north", 1, &[(11, 50), (12, 50)]));
+    table.set_remote(remote("north", 1, &[(11, 50), (12, 50)]));
     let lacking = lacking(&[("north", 21)]);
     let first = share(&mut table, &lacking, 0).expect("there are hosts");
-    table.ended(first, ended, ms(100));
+    table.finished(first, ended, ms(100));
     assert_eq!(share(&mut table, &lacking, 1_000), None);
     assert!(share(&mut table, &lacking, 2_200).is_some());
 }
@@ -146,7 +146,7 @@
 #[test]
 fn share_with_hosts_elsewhere_whole_searches_stay() {
     let mut table = Table::new(12);
-    table.told_remote(remote("north", 1, &[(11, 50)]));
+    table.set_remote(remote("north", 1, &[(11, 50)]));
     assert_eq!(table.choose(ms(0)), None);
     assert!(table.is_empty());
 }
@@ -154,8 +154,8 @@
 #[test]
 fn told_remote_who_is_not_named_any_more_is_not_asked() {
     let mut table = Table::new(12);
-    table.told_remote(remote("north", 1, &[(11, 50), (12, 50)]));
-    table.told_remote(remote("north", 1, &[(12, 50)]));
+    table.set_remote(remote("north", 1, &[(11, 50), (12, 50)]));
+    table.set_remote(remote("north", 1, &[(12, 50)]));
     let lacking = lacking(&[("north", 21)]);
     let chosen = [0, 1].map(|now| share(&mut table, &lacking, now));
     assert_eq!(chosen, [Some(host(12)); 2]);
@@ -171,14 +171,14 @@
     let mut tries = 0;
     while now < ms(10_000) {
         if let Some(host) = table.choose(now) {
-            table.ended(host, Ended::Lost, now);
+            table.finished(host, Outcome::Failed, now);
             tries += 1;
         }
         now += ms(10);
     }
     assert!((3..=6).contains(&tries), "{tries} searches were lost");
     let host = table.choose(ms(30_000)).expect("it is tried again");
-    table.ended(host, Ended::Answered, ms(30_000));
+    table.finished(host, Outcome::Answered, ms(30_000));
     assert!(table.choose(ms(30_001)).is_some(), "it is well again");
 }
 
@@ -186,7 +186,7 @@
 fn ended_declined_helper_is_asked_again_soon() {
     let mut table = table(&[50]);
     let host = table.choose(ms(0)).expect("it is there");
-    table.ended(host, Ended::Declined, ms(0));
+    table.finished(host, Outcome::Declined, ms(0));
     assert_eq!(table.choose(ms(50)), None);
     assert_eq!(table.choose(ms(150)), Some(host));
 }
@@ -195,8 +195,8 @@
 fn told_after_a_start_helper_is_asked_at_once() {
     let mut table = table(&[50]);
     let host = table.choose(ms(0)).expect("it is there");
-    table.ended(host, Ended::Lost, ms(0));
-    table.told(host, 50);
+    table.finished(host, Outcome::Failed, ms(0));
+    table.set_strength(host, 50);
     assert_eq!(table.choose(ms(1)), Some(host));
 }
 
--- a/crates/decision/tests/members.rs
+++ b/crates/decision/tests/members.rs
@@ -2,7 +2,7 @@
 
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::fact::Key;
-use monsoonring_decision::gateway::helper::{Remote, Strength};
+use monsoonring_decision::gateway::helper::{Centicores, Remote};
 use monsoonring_decision::gateway::members::{Action, Datagram, Event, Members};
 use monsoonring_decision::gateway::source::Readers;
 use monsoonring_decision::member::MemberId;
@@ -44,7 +44,7 @@
 }
 
 /// Returns the strength of a host, in hundredths of a core.
-fn strength(number: usize) -> Strength {
+fn strength(number: usize) -> Centicores {
     if number < STRONG { 50 } else { 12 }
 }
 
@@ -429,7 +429,7 @@
         .collect();
     let sought: BTreeSet<DataCentreId> = ["dc1", "dc2"].into_iter().map(Into::into).collect();
     for number in &seekers {
-        hosts.feed(*number, Event::Sought(sought.clone()));
+        hosts.feed(*number, Event::RemoteDataCentres(sought.clone()));
     }
     seekers
 }
--- a/crates/decision/tests/mirror.rs
+++ b/crates/decision/tests/mirror.rs
@@ -5,7 +5,9 @@
 //! back from an older copy, several times. Seeded walks of many steps; after each step every host is held against the
 //! store as it was at the host's position. Faults put in on purpose are found by the same walks.
 
-use monsoonring_decision::gateway::mirror::{Answer, Batch, Declined, Era, Log, Position, is_new};
+use monsoonring_decision::gateway::mirror::{
+    Answer, Batch, DeclineReason, Era, Log, Position, is_new,
+};
 use monsoonring_decision::gateway::registry::Revision;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -253,7 +255,7 @@
         let at = self.seen(at);
         let (log, host, _) = &mut self.readers[index];
         host.read(at, contents);
-        log.read(at, Duration::ZERO);
+        log.reset(at, Duration::ZERO);
     }
 
     fn ask(&mut self) {
@@ -306,12 +308,12 @@
                 let is_awaited = now == life;
                 if is_awaited && known == Some(batch.after) {
                     host.take_in(batch, &self.store.decode(batch), Mutant::None);
-                    log.watched(batch.clone(), Duration::ZERO);
+                    log.append(batch.clone(), Duration::ZERO);
                 } else if is_awaited && known.is_some_and(|known| known.era < batch.to.era) {
                     match self.mutant {
                         Mutant::GoesOn => {
                             host.take_in(batch, &self.store.decode(batch), Mutant::None);
-                            log.watched(batch.clone(), Duration::ZERO);
+                            log.append(batch.clone(), Duration::ZERO);
                         }
                         _ => self.read_at(*index),
                     }
@@ -362,7 +364,7 @@
     let positions = revisions.map(|revision| Position { revision, ..newest });
     let answers = positions.map(|after| log.answer(after, Duration::ZERO));
     let mut batches = answers.filter(|answer| matches!(answer, Answer::Batch(_)));
-    batches.next().unwrap_or(Answer::Nothing)
+    batches.next().unwrap_or(Answer::UpToDate)
 }
 
 fn same(one: &Message, other: &Message) -> bool {
@@ -418,13 +420,16 @@
 fn answer_is_what_leads_on_from_the_asker() {
     let now = Duration::ZERO;
     let mut log = Log::new(Duration::from_secs(3));
-    assert_eq!(log.answer(at(5), now), Answer::Declined(Declined::NoReader));
-    log.read(at(5), now);
-    log.watched(batch(5, 8), now);
-    log.watched(batch(8, 9), now);
+    assert_eq!(
+        log.answer(at(5), now),
+        Answer::Declined(DeclineReason::NotReader)
+    );
+    log.reset(at(5), now);
+    log.append(batch(5, 8), now);
+    log.append(batch(8, 9), now);
     assert_eq!(
         log.answer(at(4), now),
-        Answer::Declined(Declined::Forgotten)
+        Answer::Declined(DeclineReason::HistoryGone)
     );
     assert_eq!(log.answer(at(5), now), Answer::Batch(batch(5, 8)));
     assert_eq!(
@@ -433,8 +438,11 @@
         "it stands within it"
     );
     assert_eq!(log.answer(at(8), now), Answer::Batch(batch(8, 9)));
-    assert_eq!(log.answer(at(9), now), Answer::Nothing);
-    assert_eq!(log.answer(at(10), now), Answer::Declined(Declined::Behind));
+    assert_eq!(log.answer(at(9), now), Answer::UpToDate);
+    assert_eq!(
+        log.answer(at(10), now),
+        Answer::Declined(DeclineReason::Behind)
+    );
 }
 
 // Symptom: hosts go on with an old configuration although they reach the store.
@@ -444,29 +452,35 @@
 fn answer_of_a_reader_that_is_not_sure_is_none() {
     let sure = Duration::from_secs(3);
     let mut log = Log::new(sure);
-    log.read(at(5), Duration::ZERO);
-    assert_eq!(log.answer(at(5), sure), Answer::Nothing);
+    log.reset(at(5), Duration::ZERO);
+    assert_eq!(log.answer(at(5), sure), Answer::UpToDate);
     let later = sure + Duration::from_millis(1);
-    assert_eq!(log.answer(at(5), later), Answer::Declined(Declined::Unsure));
-    log.watched(batch(5, 5), later);
-    assert_eq!(log.answer(at(5), later), Answer::Nothing);
+    assert_eq!(
+        log.answer(at(5), later),
+        Answer::Declined(DeclineReason::Stale)
+    );
+    log.append(batch(5, 5), later);
+    assert_eq!(log.answer(at(5), later), Answer::UpToDate);
 }
 
 #[test]
 fn outage_is_told_with_its_end() {
     let mut log = Log::new(Duration::from_secs(3));
-    log.read(at(5), Duration::ZERO);
-    assert_eq!((log.outage(SURE).count, log.outage(SURE).ended), (0, None));
-    log.lost();
-    log.lost();
+    log.reset(at(5), Duration::ZERO);
+    assert_eq!(
+        (log.outage(SURE).count, log.outage(SURE).ended_ago),
+        (0, None)
+    );
+    log.store_failed();
+    log.store_failed();
     assert_eq!(
         log.answer(at(5), Duration::ZERO),
-        Answer::Declined(Declined::Lost)
+        Answer::Declined(DeclineReason::StoreLost)
     );
-    log.watched(batch(5, 6), Duration::from_secs(1));
+    log.append(batch(5, 6), Duration::from_secs(1));
     let outage = log.outage(Duration::from_secs(3));
     assert_eq!(
-        (outage.count, outage.ended),
+        (outage.count, outage.ended_ago),
         (1, Some(Duration::from_secs(2)))
     );
 }
@@ -475,11 +489,11 @@
 fn watched_more_than_is_kept_forgets_the_oldest() {
     let now = Duration::ZERO;
     let mut log = Log::new(SURE);
-    log.read(at(0), now);
+    log.reset(at(0), now);
     let large: Arc<[u8]> = vec![0; 1_000_000].into();
     for after in 0..5 {
         let body = large.clone();
-        log.watched(
+        log.append(
             Batch {
                 after: at(after),
                 to: at(after + 1),
@@ -490,7 +504,7 @@
     }
     assert_eq!(
         log.answer(at(0), now),
-        Answer::Declined(Declined::Forgotten)
+        Answer::Declined(DeclineReason::HistoryGone)
     );
     assert!(matches!(log.answer(at(4), now), Answer::Batch(_)));
 }
@@ -498,11 +512,11 @@
 #[test]
 fn retire_a_host_that_asks_others_is_no_reader() {
     let mut log = Log::new(SURE);
-    log.read(at(5), Duration::ZERO);
-    log.retire();
+    log.reset(at(5), Duration::ZERO);
+    log.clear();
     assert_eq!(
         log.answer(at(5), Duration::ZERO),
-        Answer::Declined(Declined::NoReader)
+        Answer::Declined(DeclineReason::NotReader)
     );
 }
 
@@ -515,22 +529,26 @@
     let now = Duration::ZERO;
     let mut log = Log::new(Duration::from_secs(3));
     let later = |revision| Position { era: 1, revision };
-    log.read(at(5), now);
+    log.reset(at(5), now);
     assert_eq!(
         log.answer(later(3), now),
-        Answer::Declined(Declined::Behind)
+        Answer::Declined(DeclineReason::Behind)
     );
-    log.read(later(3), now);
+    log.reset(later(3), now);
     let body: Arc<[u8]> = Arc::from([0; 4]);
     let batch = Batch {
         after: later(3),
         to: later(9),
         body,
     };
-    log.watched(batch.clone(), now);
+    log.append(batch.clone(), now);
     for revision in [2, 3, 5, 9, 12] {
         let answer = log.answer(at(revision), now);
-        assert_eq!(answer, Answer::Declined(Declined::Forgotten), "{revision}");
+        assert_eq!(
+            answer,
+            Answer::Declined(DeclineReason::HistoryGone),
+            "{revision}"
+        );
     }
     assert_eq!(log.answer(later(4), now), Answer::Batch(batch));
 }
--- a/crates/decision/tests/mirror_pace.rs
+++ b/crates/decision/tests/mirror_pace.rs
@@ -7,9 +7,9 @@
 
 use monsoonring_decision::Time;
 use monsoonring_decision::gateway::mirror::{Answer, Batch, Log, Position};
-use monsoonring_decision::gateway::pace::Pace;
 use monsoonring_decision::gateway::registry::Revision;
-use monsoonring_decision::gateway::source::{Choice, Failure, Readers, Source};
+use monsoonring_decision::gateway::source::{Failure, Readers, Selector, Source};
+use monsoonring_decision::gateway::timing::Timing;
 use monsoonring_decision::member::MemberId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -54,7 +54,7 @@
 }
 
 impl Reader {
-    fn new(pace: Pace, rng: &mut ChaCha8Rng) -> Self {
+    fn new(pace: Timing, rng: &mut ChaCha8Rng) -> Self {
         let kinds = [Fault::Frozen, Fault::Suspended, Fault::Killed, Fault::Cut];
         let mut faults = Vec::new();
         for _ in 0..rng.random_range(1..6) {
@@ -63,7 +63,7 @@
             faults.push((kinds[rng.random_range(0..kinds.len())], from, to));
         }
         Self {
-            log: Log::new(pace.sure()),
+            log: Log::new(pace.freshness()),
             position: None,
             faults,
             call: None,
@@ -79,7 +79,7 @@
         self.faults.iter().any(meets)
     }
 
-    fn step(&mut self, store: Revision, pace: Pace, now: Time) {
+    fn step(&mut self, store: Revision, pace: Timing, now: Time) {
         if self.has(Fault::Suspended, now, now) {
             self.slept += STEP;
             return;
@@ -87,7 +87,7 @@
         if self.has(Fault::Killed, now, now) {
             let faults = std::mem::take(&mut self.faults);
             *self = Self {
-                log: Log::new(pace.sure()),
+                log: Log::new(pace.freshness()),
                 position: None,
                 faults,
                 call: None,
@@ -111,17 +111,17 @@
         if self.has(Fault::Cut, began, now) {
             if own >= until {
                 self.call = None;
-                self.log.lost();
+                self.log.store_failed();
             }
             return;
         }
         self.answered(store, pace, began, now);
     }
 
-    fn answered(&mut self, store: Revision, pace: Pace, began: Time, now: Time) {
+    fn answered(&mut self, store: Revision, pace: Timing, began: Time, now: Time) {
         let Some(after) = self.position else {
             self.position = Some(store);
-            self.log.read(at(store), now - self.slept);
+            self.log.reset(at(store), now - self.slept);
             self.call = None;
             return;
         };
@@ -129,7 +129,7 @@
             return;
         }
         let body = Arc::from([]);
-        self.log.watched(
+        self.log.append(
             Batch {
                 after: at(after),
                 to: at(store),
@@ -140,26 +140,26 @@
         self.position = Some(store);
         self.call = None;
         if store > after {
-            self.pause = now - self.slept + pace.gather();
+            self.pause = now - self.slept + pace.batch_pause();
         }
     }
 }
 
 /// The host that asks them.
 struct Asker {
-    choice: Choice,
+    choice: Selector,
     revision: Revision,
     question: Option<(Source, Time)>,
 }
 
 impl Asker {
-    fn step(&mut self, readers: &[Reader], store: Revision, pace: Pace, now: Time) {
+    fn step(&mut self, readers: &[Reader], store: Revision, pace: Timing, now: Time) {
         let Some((source, since)) = self.question else {
             self.question = Some((self.choice.next(now), now));
             return;
         };
         let is_over = match source {
-            Source::Nobody(until) => now >= until,
+            Source::Wait(until) => now >= until,
             Source::StoreOnce => {
                 self.heard(store);
                 true
@@ -193,35 +193,35 @@
         &mut self,
         reader: &Reader,
         host: MemberId,
-        pace: Pace,
+        pace: Timing,
         (since, now): (Time, Time),
     ) -> bool {
         if reader.has(Fault::Killed, now, now) {
-            self.choice.failed(host, Failure::Silent, now);
+            self.choice.reader_failed(host, Failure::Unreachable, now);
             return true;
         }
         if reader.has(Fault::Frozen, now, now) || reader.has(Fault::Suspended, now, now) {
-            let is_late = now >= since + pace.ask_limit();
+            let is_late = now >= since + pace.poll_timeout();
             if is_late {
-                self.choice.failed(host, Failure::Silent, now);
+                self.choice.reader_failed(host, Failure::Unreachable, now);
             }
             return is_late;
         }
         match reader.log.answer(at(self.revision), now - reader.slept) {
-            Answer::Nothing => {
-                let is_over = now >= since + pace.ask();
+            Answer::UpToDate => {
+                let is_over = now >= since + pace.poll();
                 if is_over {
-                    self.choice.answered(host);
+                    self.choice.reader_answered(host);
                 }
                 is_over
             }
             Answer::Batch(batch) => {
                 self.revision = batch.to.revision;
-                self.choice.answered(host);
+                self.choice.reader_answered(host);
                 true
             }
             Answer::Declined(_) => {
-                self.choice.failed(host, Failure::Declined, now);
+                self.choice.reader_failed(host, Failure::Declined, now);
                 true
             }
         }
@@ -231,10 +231,10 @@
 /// Plays a minute. Returns the longest time that a change took to reach the host.
 fn play(seed: u64, bound: Duration) -> Time {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let pace = Pace::new(bound);
+    let pace = Timing::new(bound);
     let mut readers: Vec<Reader> = (0..2).map(|_| Reader::new(pace, &mut rng)).collect();
     let mut asker = Asker {
-        choice: Choice::default(),
+        choice: Selector::default(),
         revision: 0,
         question: None,
     };
@@ -280,7 +280,7 @@
 #[test]
 fn next_reader_that_is_turned_away_asks_others_and_the_store_in_turn() {
     let other = MemberId::from(([127, 0, 0, 1], 1));
-    let mut choice = Choice::default();
+    let mut choice = Selector::default();
     choice.set_readers(Readers {
         is_reader: true,
         others: vec![other],
@@ -290,11 +290,11 @@
         let now = Duration::from_secs(second);
         choice.store_failed(now);
         assert_eq!(choice.next(now), Source::Host(other));
-        choice.answered(other);
+        choice.reader_answered(other);
         assert_eq!(choice.next(now), Source::Store, "it may be back");
     }
     choice.store_failed(Duration::from_secs(4));
-    choice.failed(other, Failure::Silent, Duration::from_secs(4));
+    choice.reader_failed(other, Failure::Unreachable, Duration::from_secs(4));
     assert_eq!(choice.next(Duration::from_secs(4)), Source::Store);
     choice.store_answered();
     assert_eq!(choice.next(Duration::from_secs(9)), Source::Store);
--- a/crates/decision/tests/pace.rs
+++ b/crates/decision/tests/pace.rs
@@ -1,6 +1,6 @@
 //! How often a host asks the store, and how long a change may be on its way.
 
-use monsoonring_decision::gateway::pace::Pace;
+use monsoonring_decision::gateway::timing::Timing;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -12,7 +12,7 @@
 #[test_case(5_000; "five_seconds")]
 fn gather_leaves_most_of_the_bound(bound: u64) {
     let bound = Duration::from_millis(bound);
-    let gathered = Pace::new(bound).gather();
+    let gathered = Timing::new(bound).batch_pause();
     assert!(
         gathered <= bound / 4 && gathered >= bound / 10,
         "{gathered:?}"
@@ -27,7 +27,7 @@
     let day = Duration::from_secs(34);
     let calls = day
         .as_nanos()
-        .div_ceil(Pace::new(Duration::from_secs(3)).watch().as_nanos());
+        .div_ceil(Timing::new(Duration::from_secs(3)).watch().as_nanos());
     assert!(calls <= 12, "{calls} calls");
 }
 
@@ -37,9 +37,9 @@
 #[test_case(5_000; "five_seconds")]
 #[test_case(12_000; "twelve_seconds")]
 fn sure_lasts_from_answer_to_answer(bound: u64) {
-    let pace = Pace::new(Duration::from_millis(bound));
-    let apart = pace.gather() + pace.reader_watch();
-    let spare = pace.sure().saturating_sub(apart);
+    let pace = Timing::new(Duration::from_millis(bound));
+    let apart = pace.batch_pause() + pace.reader_watch();
+    let spare = pace.freshness().saturating_sub(apart);
     assert!(spare >= Duration::from_millis(bound) / 20, "{spare:?}");
 }
 
@@ -48,9 +48,13 @@
 #[test_case(5_000; "five_seconds")]
 fn sure_ends_well_before_the_bound(bound: u64) {
     let bound = Duration::from_millis(bound);
-    let pace = Pace::new(bound);
-    assert!(pace.sure() + pace.ask() <= bound, "{:?}", pace.sure());
-    assert!(pace.ask_limit() < bound / 2, "{:?}", pace.ask_limit());
+    let pace = Timing::new(bound);
+    assert!(
+        pace.freshness() + pace.poll() <= bound,
+        "{:?}",
+        pace.freshness()
+    );
+    assert!(pace.poll_timeout() < bound / 2, "{:?}", pace.poll_timeout());
     assert!(
         pace.reader_watch() + WATCH_SLACK <= bound,
         "a lost answer is found out in time"
--- a/crates/decision/tests/registered/mod.rs
+++ b/crates/decision/tests/registered/mod.rs
@@ -7,7 +7,7 @@
 /// Returns a registry that has read these entries.
 pub(crate) fn listed(entries: &[Entry]) -> Registry {
     let mut registry = Registry::default();
-    registry.on(Event::Listed(entries.to_vec()), Time::ZERO);
+    registry.handle(Event::Listed(entries.to_vec()), Time::ZERO);
     registry
 }
 
--- a/crates/decision/tests/restart.rs
+++ b/crates/decision/tests/restart.rs
@@ -16,7 +16,7 @@
 const HOSTS: usize = 9;
 
 /// Returns what a server says that was born then, for the so-many-th time.
-fn entry(born: u64, sequence: u64, revision: u64, state: State) -> Entry {
+fn entry(started_at: u64, sequence: u64, revision: u64, state: State) -> Entry {
     Entry {
         instance: "a".into(),
         service: "map".into(),
@@ -25,7 +25,10 @@
         slots: 3,
         state,
         cold_for: Duration::ZERO,
-        order: Order { born, sequence },
+        order: Order {
+            started_at,
+            sequence,
+        },
         revision,
     }
 }
@@ -35,7 +38,7 @@
 }
 
 fn write(registry: &mut Registry, entry: Entry) {
-    registry.on(Seen::Written(entry), Time::ZERO);
+    registry.handle(Seen::Written(entry), Time::ZERO);
 }
 
 // Symptom: a server that has come back gets no work, or one that leaves gets some.
@@ -64,10 +67,10 @@
 fn written_heartbeat_from_before_the_removal_brings_nothing_back() {
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 1, State::Ready));
-    registry.on(Seen::Deleted("a".into()), ms(100));
-    registry.on(Seen::Written(entry(7, 4, 3, State::Ready)), ms(200));
+    registry.handle(Seen::Deleted("a".into()), ms(100));
+    registry.handle(Seen::Written(entry(7, 4, 3, State::Ready)), ms(200));
     assert!(!is_usable(&registry));
-    registry.on(Seen::Written(entry(7, 6, 4, State::Ready)), ms(300));
+    registry.handle(Seen::Written(entry(7, 6, 4, State::Ready)), ms(300));
     assert!(is_usable(&registry), "it lives");
 }
 
@@ -75,9 +78,9 @@
 fn written_nothing_is_remembered_for_good() {
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 1, State::Ready));
-    registry.on(Seen::Deleted("a".into()), ms(100));
+    registry.handle(Seen::Deleted("a".into()), ms(100));
     let later = ms(100_000);
-    registry.on(Seen::Written(entry(7, 4, 3, State::Ready)), later);
+    registry.handle(Seen::Written(entry(7, 4, 3, State::Ready)), later);
     assert!(is_usable(&registry));
 }
 
@@ -89,10 +92,10 @@
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 4, State::Ready));
     let overtaken = Seen::Unreadable("a".into(), 3);
-    assert!(!registry.on(overtaken, ms(1)), "it was written before");
-    assert!(registry.on(Seen::Unreadable("a".into(), 5), ms(1)));
+    assert!(!registry.handle(overtaken, ms(1)), "it was written before");
+    assert!(registry.handle(Seen::Unreadable("a".into(), 5), ms(1)));
     assert!(!is_usable(&registry));
-    registry.on(Seen::Written(entry(7, 6, 6, State::Ready)), ms(2));
+    registry.handle(Seen::Written(entry(7, 6, 6, State::Ready)), ms(2));
     assert!(is_usable(&registry));
 }
 
@@ -101,13 +104,13 @@
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 1, State::Ready));
     let again = Seen::Written(entry(7, 6, 2, State::Ready));
-    assert!(!registry.on(again, ms(1)));
+    assert!(!registry.handle(again, ms(1)));
 }
 
-fn expected(instance: &str, born: u64) -> Expected {
+fn expected(instance: &str, started_at: u64) -> Expected {
     Expected {
         instance: instance.into(),
-        born,
+        started_at,
         keys: Range::new(0, 1),
     }
 }
--- a/crates/decision/tests/way.rs
+++ b/crates/decision/tests/way.rs
@@ -4,9 +4,9 @@
 
 use monsoonring_configuration::document::Kind;
 use monsoonring_decision::Time;
-use monsoonring_decision::gateway::helper::Strength;
-use monsoonring_decision::gateway::table::{Gather, Route, Target};
-use monsoonring_decision::gateway::way;
+use monsoonring_decision::gateway::delivery;
+use monsoonring_decision::gateway::helper::Centicores;
+use monsoonring_decision::gateway::table::{FanOut, Route, Target};
 use monsoonring_decision::home::Event;
 use monsoonring_decision::home::event::Request;
 use session::{Session, ms, request, route};
@@ -29,10 +29,10 @@
         objective,
         attempts: 2,
         priority: 1,
-        target: Target::Gather(Gather {
+        target: Target::FanOut(FanOut {
             shards: shards.into(),
-            top: 5,
-            least: 0.85,
+            max_records: 5,
+            min_coverage: 0.85,
         }),
     }
 }
@@ -72,13 +72,13 @@
 #[test_case(25, 120, 1, 4; "quarter_of_a_core")]
 #[test_case(0, 40, 3, 8; "host_that_does_not_say")]
 fn answer_without_a_part_reaches_its_caller_in_time(
-    strength: Strength,
+    strength: Centicores,
     objective: u64,
     path: u64,
     work: u64,
 ) {
     let (objective, path, work) = (ms(objective), ms(path), ms(work));
-    let took = answered(objective, way::time(strength), path, work);
+    let took = answered(objective, delivery::margin(strength), path, work);
     assert!(took <= objective, "{took:?} of {objective:?}");
     let before = answered(objective, ms(6), path, work);
     assert!(before > objective, "{before:?} with 6 ms");
@@ -88,16 +88,16 @@
 #[test_case(12, 40; "weak_host_short_objective")]
 #[test_case(100, 40; "whole_core")]
 #[test_case(1, 1_000; "hundredth_of_a_core")]
-fn leaves_after_leaves_half_at_least(strength: Strength, objective: u64) {
+fn leaves_after_leaves_half_at_least(strength: Centicores, objective: u64) {
     let objective = ms(objective);
-    let left = way::leaves_after(objective, way::time(strength));
+    let left = delivery::cutoff(objective, delivery::margin(strength));
     assert!(left >= objective / 2, "{left:?}");
     assert!(left < objective);
 }
 
 #[test]
 fn time_of_stronger_hosts_is_shorter() {
-    let times = [12, 25, 50, 100].map(way::time);
+    let times = [12, 25, 50, 100].map(delivery::margin);
     assert!(times.is_sorted_by(|one, other| one > other), "{times:?}");
     assert!(times[0] <= ms(21) && times[3] >= ms(6), "{times:?}");
 }
--- a/crates/decision/tests/went_back.rs
+++ b/crates/decision/tests/went_back.rs
@@ -22,14 +22,17 @@
         slots: 3,
         state: State::Ready,
         cold_for: Duration::ZERO,
-        order: Order { born: 7, sequence },
+        order: Order {
+            started_at: 7,
+            sequence,
+        },
         revision,
     }
 }
 
 fn go_back_to(registry: &mut Registry, copy: &[Entry], now: Time) {
-    registry.on(Event::WentBack, now);
-    registry.on(Event::Listed(copy.to_vec()), now);
+    registry.handle(Event::StoreRestored, now);
+    registry.handle(Event::Listed(copy.to_vec()), now);
 }
 
 // Symptom: a shard whose servers are well has none for seconds.
@@ -40,10 +43,10 @@
     let mut registry = listed(&[entry("a", 1, 4, 90), entry("b", 2, 4, 91)]);
     go_back_to(&mut registry, &[], ms(1_000));
     assert_eq!(usable(&registry), ["a", "b"]);
-    registry.on(Event::Written(entry("a", 1, 6, 70)), ms(2_000));
+    registry.handle(Event::Written(entry("a", 1, 6, 70)), ms(2_000));
     let wake = registry.next_wake().expect("the other is doubted");
     assert!(wake >= ms(3_000) && wake <= ms(3_500), "{wake:?}");
-    assert!(registry.on(Event::Tick, wake));
+    assert!(registry.handle(Event::Tick, wake));
     assert_eq!(usable(&registry), ["a"]);
 }
 
@@ -58,10 +61,10 @@
         state: State::Draining,
         ..entry("a", 1, 4, 30)
     };
-    assert!(registry.on(Event::Written(leaving), ms(1_500)));
+    assert!(registry.handle(Event::Written(leaving), ms(1_500)));
     assert!(usable(&registry).is_empty());
     let unreadable = Event::Unreadable("a".into(), 31);
-    assert!(registry.on(unreadable, ms(1_600)));
+    assert!(registry.handle(unreadable, ms(1_600)));
 }
 
 // Symptom: a server that said seconds ago that it is leaving gets new work.
@@ -85,13 +88,13 @@
 #[test]
 fn server_that_was_gone_is_not_brought_back_by_the_copy() {
     let mut registry = listed(&[entry("a", 1, 4, 90), entry("b", 2, 4, 91)]);
-    registry.on(Event::Deleted("a".into()), ms(500));
+    registry.handle(Event::Deleted("a".into()), ms(500));
     let copy = [entry("a", 1, 4, 40), entry("b", 2, 4, 41)];
     go_back_to(&mut registry, &copy, ms(1_000));
     assert_eq!(usable(&registry), ["b"]);
     // It lapses, as nobody renews it.
-    registry.on(Event::Deleted("a".into()), ms(4_600));
-    registry.on(Event::Tick, ms(60_000));
+    registry.handle(Event::Deleted("a".into()), ms(4_600));
+    registry.handle(Event::Tick, ms(60_000));
     assert_eq!(usable(&registry), ["b"]);
 }
 
@@ -102,21 +105,21 @@
 #[test]
 fn server_that_was_gone_and_lives_is_believed_once_its_entry_would_have_lapsed() {
     let mut registry = listed(&[entry("a", 1, 4, 90)]);
-    registry.on(Event::Deleted("a".into()), ms(500));
+    registry.handle(Event::Deleted("a".into()), ms(500));
     go_back_to(&mut registry, &[entry("a", 1, 4, 40)], ms(1_000));
     assert!(usable(&registry).is_empty());
     let wake = registry.next_wake().expect("it is looked at again");
     assert!(wake >= ms(1_000 + 3 * 1_200), "three heartbeats: {wake:?}");
-    assert!(registry.on(Event::Tick, wake));
+    assert!(registry.handle(Event::Tick, wake));
     assert_eq!(usable(&registry), ["a"]);
 }
 
 #[test]
 fn server_that_was_gone_and_speaks_again_is_back_at_once() {
     let mut registry = listed(&[entry("a", 1, 4, 90)]);
-    registry.on(Event::Deleted("a".into()), ms(500));
+    registry.handle(Event::Deleted("a".into()), ms(500));
     go_back_to(&mut registry, &[entry("a", 1, 4, 40)], ms(1_000));
-    registry.on(Event::Written(entry("a", 1, 5, 44)), ms(2_000));
+    registry.handle(Event::Written(entry("a", 1, 5, 44)), ms(2_000));
     assert_eq!(usable(&registry), ["a"]);
 }
 
@@ -125,9 +128,9 @@
     let mut registry = listed(&[entry("a", 1, 4, 90)]);
     go_back_to(&mut registry, &[], ms(1_000));
     go_back_to(&mut registry, &[], ms(2_500));
-    registry.on(Event::Tick, ms(3_300));
+    registry.handle(Event::Tick, ms(3_300));
     assert_eq!(usable(&registry), ["a"], "it has as long again");
-    registry.on(Event::Written(entry("a", 1, 6, 20)), ms(4_000));
-    registry.on(Event::Tick, ms(60_000));
+    registry.handle(Event::Written(entry("a", 1, 6, 20)), ms(4_000));
+    registry.handle(Event::Tick, ms(60_000));
     assert_eq!(usable(&registry), ["a"]);
 }
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -53,7 +53,7 @@
         let (set, usable) = (site.shards(pool), registry.usable());
         let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
         let own = Site::place_name(place).into();
-        let far: BTreeSet<BackendServerId> = shards::far(&set, &usable, &own);
+        let far: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
         let division = Division::everyone(site.reckoned_hosts(), site.slack);
         let part = Part { division, far };
         let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
--- a/crates/experiment/src/simulation/site.rs
+++ b/crates/experiment/src/simulation/site.rs
@@ -7,7 +7,7 @@
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::Time;
 use monsoonring_decision::gateway::registry::{Entry, Event, Order, Registry, State};
-use monsoonring_decision::gateway::table::{Gather, Limits, Route, Target, Weighted};
+use monsoonring_decision::gateway::table::{FanOut, Limits, Route, Target, WeightedTarget};
 use monsoonring_decision::gateway::{Shards, Table};
 use monsoonring_decision::placement::assumed_hosts;
 use std::net::Ipv4Addr;
@@ -247,14 +247,14 @@
             attempts: 2,
             priority: kind.priority,
             target: match shards.len() {
-                1 => Target::Split(vec![Weighted {
+                1 => Target::Split(vec![WeightedTarget {
                     shards,
                     weight: 1.0,
                 }]),
-                _ => Target::Gather(Gather {
+                _ => Target::FanOut(FanOut {
                     shards,
-                    top: 0,
-                    least: kind.least,
+                    max_records: 0,
+                    min_coverage: kind.least,
                 }),
             },
         }
@@ -279,7 +279,7 @@
             }
         }
         let mut registry = Registry::default();
-        registry.on(Event::Listed(entries), Time::ZERO);
+        registry.handle(Event::Listed(entries), Time::ZERO);
         registry
     }
 }
--- a/crates/experiment/src/simulation/world/callers.rs
+++ b/crates/experiment/src/simulation/world/callers.rs
@@ -4,8 +4,8 @@
 use crate::simulation::tally::Ended;
 use crate::simulation::work;
 use monsoonring_decision::Time;
-use monsoonring_decision::gateway::helper::Strength;
-use monsoonring_decision::gateway::way;
+use monsoonring_decision::gateway::delivery;
+use monsoonring_decision::gateway::helper::Centicores;
 use monsoonring_decision::home::Event;
 use monsoonring_decision::home::event::{Request, Scope};
 use rand::Rng;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// What the modelled hosts have of a core, in hundredths, as the deployments of 7 to 9 hosts.
-const STRENGTH: Strength = 25;
+const STRENGTH: Centicores = 25;
 
 impl World<'_> {
     pub(super) fn arrival(&mut self, kind: usize) {
@@ -52,7 +52,7 @@
             fingerprint: caller.id as u64,
             body: (),
             execute_key: None,
-            terms: Some(self.routes[caller.kind].terms(way::time(STRENGTH))),
+            terms: Some(self.routes[caller.kind].terms(delivery::margin(STRENGTH))),
             scope: Scope::default(),
         };
         self.heard(host, kind.pool, Event::Request(request));
