--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -6,8 +6,8 @@
 use monsoonring_decision::attempt::{AttemptId, ConnectionId, Failure};
 use monsoonring_decision::content::Content;
 use monsoonring_decision::gateway::{Registry, Table, shards};
-use monsoonring_decision::home::{Action, Alarm, Event, Home};
-use monsoonring_decision::placement::{Division, Part};
+use monsoonring_decision::home::{Action, Event, Home, Wakeup};
+use monsoonring_decision::placement::{Allocation, Division};
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::reply::{Item, Load, Reply, Report};
 use std::collections::{BTreeSet, HashMap};
@@ -33,7 +33,7 @@
 /// One home and its connections.
 pub struct Driver {
     home: Home<Blank>,
-    alarm: Alarm,
+    alarm: Wakeup,
     /// Server at the other end of each connection.
     pub connections: HashMap<ConnectionId, BackendServerId>,
     /// Connection that each attempt is on.
@@ -54,12 +54,12 @@
         let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
         let own = Site::place_name(place).into();
         let far: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
-        let division = Division::everyone(site.reckoned_hosts(), site.slack);
-        let part = Part { division, far };
+        let division = Division::among_all_hosts(site.reckoned_hosts(), site.slack);
+        let part = Allocation { division, far };
         let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
         let mut driver = Self {
             home,
-            alarm: Alarm::default(),
+            alarm: Wakeup::default(),
             connections: HashMap::new(),
             attempts: HashMap::new(),
         };
@@ -70,7 +70,7 @@
     /// Feeds an event. Returns what is to be done.
     pub fn on(&mut self, event: Event<Blank>, now: Time) -> Vec<Action<Blank>> {
         match &event {
-            Event::Closed(connection) | Event::Unopened(connection, _) => {
+            Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
                 self.connections.remove(connection);
             }
             Event::Reply(attempt, _) | Event::Failed(attempt, _) => {
@@ -78,7 +78,7 @@
             }
             _ => {}
         }
-        self.alarm.feed(now);
+        self.alarm.on_event(now);
         let actions = self.home.on(event, now);
         self.note(&actions);
         actions
@@ -108,7 +108,7 @@
                 Action::Send(send) => {
                     self.attempts.insert(send.attempt, send.connection);
                 }
-                Action::Wake(at) => self.alarm.ask(*at),
+                Action::Wake(at) => self.alarm.schedule(*at),
                 _ => {}
             }
         }
