--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -6,8 +6,8 @@
 use super::state::Home;
 use super::timer::Timer;
 use crate::attempt::AttemptId;
-use crate::backend::suspect::Standing;
-use crate::budget::Need;
+use crate::backend::suspect::Status;
+use crate::budget::Importance;
 use crate::content::Content;
 use crate::outcome::{Outcome, Reason};
 use crate::query::run::{Cause, Part, PartId, Run};
@@ -72,14 +72,14 @@
             return;
         };
         let dispensable = self.dispensable(&run.request);
-        if dispensable == 0 || self.fleet.failing(now) > FAILING {
+        if dispensable == 0 || self.fleet.failure_rate(now) > FAILING {
             return;
         }
         let work = self.params(&run.request).work;
-        let usual = self.fleet.usual_of(work).unwrap_or_default();
+        let usual = self.fleet.median_latency(work).unwrap_or_default();
         let in_time = Duration::from_millis(soft.after_ms).mul_f64(IN_TIME);
         let in_time = in_time.saturating_sub(usual);
-        let waits = self.fleet.waits(now);
+        let waits = self.fleet.expected_waits(now);
         let late = waits.into_iter().filter(|(_, wait)| *wait > in_time);
         for (group, wait) in late.take(dispensable) {
             let in_group = |(_, part): &(&PartId, &Part)| part.group == group;
@@ -151,13 +151,13 @@
     }
 
     /// Returns what rests on another attempt for a part.
-    fn need(&self, run: &Run<C>, id: PartId, cause: Cause) -> Need {
+    fn need(&self, run: &Run<C>, id: PartId, cause: Cause) -> Importance {
         let least = self.params(&run.request).min_coverage;
         let is_retry = matches!(cause, Cause::Retry | Cause::Overdue);
         if !is_retry || least <= 0.0 || run.reachable(&self.route, Some(id)) < least {
-            return Need::Decisive(run.retries);
+            return Importance::Required(run.retries);
         }
-        Need::Spare
+        Importance::Optional
     }
 
     /// Returns the version at which a run begins again: once, if its own has vanished and there is
@@ -225,7 +225,7 @@
         run: &mut Run<C>,
         id: PartId,
         cause: Cause,
-        need: Need,
+        need: Importance,
         now: Time,
     ) {
         let params = self.params(&run.request);
@@ -287,8 +287,14 @@
     }
 
     /// Takes what an attempt costs out of the budgets. Returns whether it may be made.
-    pub(super) fn afford(&mut self, group: usize, cause: Cause, need: Need, now: Time) -> bool {
-        let budgets = self.budgets.of(group);
+    pub(super) fn afford(
+        &mut self,
+        group: usize,
+        cause: Cause,
+        need: Importance,
+        now: Time,
+    ) -> bool {
+        let budgets = self.budgets.for_group(group);
         match cause {
             Cause::First => {
                 budgets.deposit(now);
@@ -306,7 +312,7 @@
                 may
             }
             Cause::LateHedge => {
-                let may = budgets.take_late_hedge(now);
+                let may = budgets.take_required_hedge(now);
                 self.counts.hedges_denied += u64::from(!may);
                 may
             }
@@ -386,7 +392,7 @@
         let queued = self.next_attempt;
         self.with_run(request, now, |home, run| {
             let fingerprint = run.request.fingerprint;
-            let clear = home.suspects.standing(fingerprint, now) == Standing::Clear;
+            let clear = home.suspects.status(fingerprint, now) == Status::Clear;
             let most = match cause {
                 Cause::Overdue => home.route.retry.attempts,
                 _ => u32::MAX,
--- a/crates/decision/src/home/skip.rs
+++ b/crates/decision/src/home/skip.rs
@@ -77,7 +77,7 @@
             Some(until) if *until >= deadline => return SkipReason::BackOff(*until),
             _ => {}
         }
-        match self.fleet.shut_until(server, now) {
+        match self.fleet.excluded_until(server, now) {
             Some(until) if until >= deadline => SkipReason::Cold(until),
             _ => SkipReason::Tried,
         }
--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -112,7 +112,7 @@
             }
         }
         loop {
-            let commands = self.pool.want(now);
+            let commands = self.pool.reconcile(now);
             if commands.is_empty() {
                 return;
             }
@@ -132,7 +132,7 @@
                     self.open.insert(id, to);
                     self.pool.opened(id, now);
                 } else {
-                    self.pool.ended_at_once(id, now);
+                    self.pool.rejected(id, now);
                 }
             }
             Command::Close(id) => {
@@ -150,7 +150,7 @@
     let mut sets = Vec::new();
     for host in 0..HOSTS {
         let far: BTreeSet<u16> = (0..SERVERS).filter(|one| is_far(host, *one)).collect();
-        let division = Division::everyone(homes(host), 162.0);
+        let division = Division::among_all_hosts(homes(host), 162.0);
         let mut first = Set::new(division, &far);
         first.pool.set_identity(host as u64);
         sets.push(first);
