--- a/crates/daemon/src/backend/connection.rs
+++ b/crates/daemon/src/backend/connection.rs
@@ -96,10 +96,10 @@
                     serve(sender, driver, queue, clock, &codec, &report).await;
                     Event::Closed(id)
                 }
-                None => Event::Unopened(id, ConnectFailure::Closed),
+                None => Event::ConnectFailed(id, ConnectFailure::Closed),
             },
-            Ok(Err(error)) => Event::Unopened(id, unopened(&error)),
-            Err(_) => Event::Unopened(id, ConnectFailure::TimedOut),
+            Ok(Err(error)) => Event::ConnectFailed(id, unopened(&error)),
+            Err(_) => Event::ConnectFailed(id, ConnectFailure::TimedOut),
         };
         let _ = report.send(ended);
     });
--- a/crates/daemon/src/gateway/front/handing.rs
+++ b/crates/daemon/src/gateway/front/handing.rs
@@ -42,7 +42,7 @@
         body: &Bytes,
         asking: &Asking<'_>,
     ) -> Option<Response<Full<Bytes>>> {
-        let is_search = matches!(asking.route.target, Target::Gather(_));
+        let is_search = matches!(asking.route.target, Target::FanOut(_));
         if self.passing == Passing::Back || !is_search {
             return None;
         }
@@ -118,7 +118,7 @@
         self.ingress.set_patience(&mut head.headers, left);
         relay::set_on_the_way(&mut head.headers, on_the_way + PART_HOP);
         let tolerable = match &asking.route.target {
-            Target::Gather(gather) => gather.dispensable() / 2,
+            Target::FanOut(gather) => gather.dispensable() / 2,
             Target::Split(_) => 0,
         };
         let mut line = PartLine {
@@ -158,8 +158,8 @@
             reply = &mut part, if is_pending => {
                 is_pending = false;
                 home.tell(match reply {
-                    Ok(reply) => Event::Gathered(id, reply),
-                    Err(begun) => Event::NotGathered(id, begun),
+                    Ok(reply) => Event::DelegatedReply(id, reply),
+                    Err(begun) => Event::DelegationFailed(id, begun),
                 });
             }
         }
--- a/crates/daemon/src/gateway/relay/share.rs
+++ b/crates/daemon/src/gateway/relay/share.rs
@@ -10,8 +10,8 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::IndexVersion;
-use monsoonring_decision::gateway::helper::{Ended, Share};
-use monsoonring_decision::home::event::Begun;
+use monsoonring_decision::gateway::helper::{Delegation, Outcome};
+use monsoonring_decision::home::event::Progress;
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::query::coverage::KeySet;
 use monsoonring_decision::reply::{Item, Reply, Report};
@@ -43,7 +43,7 @@
 }
 
 /// What the other host covers, or whether it may have begun.
-pub(in crate::gateway) type Part = std::result::Result<Reply<Whole>, Begun>;
+pub(in crate::gateway) type Part = std::result::Result<Reply<Whole>, Progress>;
 
 /// What became of a part.
 pub(in crate::gateway) struct Shared {
@@ -56,11 +56,11 @@
 impl Relay {
     /// Chooses who looks through a part of a search; `None` where this host asks all servers itself.
     pub(in crate::gateway) fn share(&self, elsewhere: &Elsewhere) -> Option<Sharing<'_>> {
-        let Share { host, keys } = self.helpers().share(elsewhere, self.clock.now())?;
+        let Delegation { host, keys } = self.helpers().delegate(elsewhere, self.clock.now())?;
         let chosen = Chosen {
             relay: self,
             host,
-            ended: Ended::Left,
+            ended: Outcome::Cancelled,
         };
         Some(Sharing { chosen, keys })
     }
@@ -101,7 +101,7 @@
         &self,
         answer: Result<Response<Full<Bytes>>>,
         tolerable: u64,
-    ) -> (Ended, Shared) {
+    ) -> (Outcome, Shared) {
         let response = match answer {
             Ok(response) => response,
             Err(error) => return (error.ended(), lost(&error)),
@@ -111,17 +111,17 @@
         let (Some((covered, snapshot)), StatusCode::OK) = (covered, status) else {
             let begun = match status {
                 // It says that nothing has run.
-                StatusCode::SERVICE_UNAVAILABLE => Begun::No,
-                _ => Begun::Maybe,
+                StatusCode::SERVICE_UNAVAILABLE => Progress::NotStarted,
+                _ => Progress::MaybeStarted,
             };
             let why = Some(format!("status {}", status.as_u16()));
             let reply = Err(begun);
-            return (Ended::Poor, Shared { reply, why });
+            return (Outcome::Incomplete, Shared { reply, why });
         };
         let lacking = self.keys.len() - covered.len();
         let ended = match lacking > tolerable {
-            true => Ended::Poor,
-            false => Ended::Answered,
+            true => Outcome::Incomplete,
+            false => Outcome::Answered,
         };
         let reply = reply(response, &covered, snapshot).await;
         let why = (lacking > 0).then(|| format!("lacks {lacking} of {}", self.keys.len()));
@@ -139,8 +139,8 @@
 
 fn lost(error: &Error) -> Shared {
     let begun = match error.may_have_begun() {
-        true => Begun::Maybe,
-        false => Begun::No,
+        true => Progress::MaybeStarted,
+        false => Progress::NotStarted,
     };
     Shared {
         reply: Err(begun),
@@ -157,7 +157,7 @@
         headers: head.headers,
         body: body.to_bytes(),
     };
-    let first = covered.ranges().first().ok_or(Begun::Maybe)?;
+    let first = covered.ranges().first().ok_or(Progress::MaybeStarted)?;
     Ok(Reply {
         items: vec![Item {
             key: first.start,
--- a/crates/decision/src/backend/pool/line.rs
+++ b/crates/decision/src/backend/pool/line.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, State};
 use crate::Time;
 use crate::attempt::ConnectionId;
-use crate::placement::HELD_AT_MOST;
+use crate::placement::MAX_IDLE_TIME;
 use std::time::Duration;
 
 /// Connections to one server that are being opened at the same time. After a restart of the server
@@ -75,7 +75,7 @@
             peak: 0,
             misses: 0,
             shrunk: now,
-            held_for: HELD_AT_MOST,
+            held_for: MAX_IDLE_TIME,
             failures: 0,
             paused: None,
         }
@@ -154,10 +154,10 @@
 
     /// Takes out a new connection that the server has ended at once. With others open it is left
     /// alone for longer: it serves over those, and each try takes one of its slots for a while.
-    pub(super) fn ended_at_once(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
+    pub(super) fn rejected(&mut self, id: ConnectionId, connection: &Connection, now: Time) {
         self.remove(id, connection);
         if self.idle.len() + self.busy > 0 {
-            self.crowded(now);
+            self.connection_limit_reached(now);
             return;
         }
         // It is well, and has room again as soon as another home gives some up.
@@ -174,7 +174,7 @@
         }
     }
 
-    pub(super) fn crowded(&mut self, now: Time) {
+    pub(super) fn connection_limit_reached(&mut self, now: Time) {
         self.paused = self.paused.max(Some(now + CROWDED));
     }
 
--- a/crates/decision/src/home/rescue.rs
+++ b/crates/decision/src/home/deferral.rs
@@ -10,7 +10,7 @@
 
 use super::state::Home;
 use super::timer::Timer;
-use crate::budget::Need;
+use crate::budget::Importance;
 use crate::content::Content;
 use crate::query::search::{Cause, PartId, Search};
 use crate::{RequestId, Time};
@@ -24,7 +24,7 @@
     /// Lets a failed part wait for the others, if further attempts are scarce and there is time.
     /// Returns whether it waits.
     pub(super) fn defers(&mut self, run: &mut Search<C>, id: PartId, now: Time) -> bool {
-        let Some(soft) = self.terms(&run.request).soft_deadline else {
+        let Some(soft) = self.params(&run.request).soft_deadline else {
             return false;
         };
         let until = run.started + Duration::from_millis(soft.after_ms).mul_f64(WAIT_SHARE);
@@ -35,7 +35,7 @@
         let Some(part) = run.parts.get_mut(&id) else {
             return false;
         };
-        if !self.budgets.of(part.group).is_scarce(now) {
+        if !self.budgets.for_group(part.group).is_scarce(now) {
             return false;
         }
         if run.deferred.is_empty() {
@@ -82,17 +82,17 @@
 
     /// Returns what rests on further attempts for as many parts: how many of them are beyond those
     /// that the answer can do without.
-    fn need_of_all(&self, run: &Search<C>, parts: usize) -> Need {
+    fn need_of_all(&self, run: &Search<C>, parts: usize) -> Importance {
         let dispensable = self.dispensable(&run.request);
         let lost = run.parts.values().filter(|part| part.given_up.is_some());
         match (parts + lost.count()).saturating_sub(dispensable) {
-            0 => Need::Spare,
-            needed => Need::Decisive(u32::try_from(needed - 1).unwrap_or(u32::MAX)),
+            0 => Importance::Optional,
+            needed => Importance::Required(u32::try_from(needed - 1).unwrap_or(u32::MAX)),
         }
     }
 
-    fn has_budget(&mut self, run: &Search<C>, id: PartId, need: Need, now: Time) -> bool {
+    fn has_budget(&mut self, run: &Search<C>, id: PartId, need: Importance, now: Time) -> bool {
         let group = run.parts.get(&id).map(|part| part.group);
-        group.is_some_and(|group| self.budgets.of(group).has_retry(need, now))
+        group.is_some_and(|group| self.budgets.for_group(group).has_retry(need, now))
     }
 }
--- a/crates/decision/src/query/search.rs
+++ b/crates/decision/src/query/search.rs
@@ -170,7 +170,7 @@
             next_part: 0,
             retry_after: None,
         };
-        run.delegated = run.request.scope.elsewhere.clone();
+        run.delegated = run.request.scope.delegated.clone();
         let here = run.wanted(route).difference(&run.delegated);
         run.add_parts(&here, route, &Part::default());
         run
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_everyone.rs
@@ -6,7 +6,7 @@
 use monsoonring_decision::attempt::{ConnectFailure, Failure, Refusal};
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::Request;
-use monsoonring_decision::home::{Event, Terms};
+use monsoonring_decision::home::{Event, Params};
 use monsoonring_decision::outcome::{Outcome, Reason};
 use monsoonring_decision::placement::Division;
 use session::{Session, VERSION, ms, refused, report, request, route, server};
@@ -14,30 +14,30 @@
 
 const HOSTS: usize = 9;
 
-/// Terms of a search over many shards: two servers may run a part, most shards are enough.
-fn search(least_coverage: f64) -> Terms {
-    Terms {
+/// Params of a search over many shards: two servers may run a part, most shards are enough.
+fn search(min_coverage: f64) -> Params {
+    Params {
         kind: Kind::Search,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: Some(SoftDeadline {
             after_ms: 100,
-            coverage: least_coverage,
+            coverage: min_coverage,
         }),
-        least_coverage,
+        min_coverage,
         work: 0,
         urgency: None,
     }
 }
 
-fn asked(session: &Session, id: u128, terms: Terms) -> Request {
+fn asked(session: &Session, id: u128, terms: Params) -> Request {
     Request {
-        terms: Some(terms),
+        params: Some(terms),
         ..request(id, session.now)
     }
 }
 
 /// Feeds a request on these terms.
-fn begin(session: &mut Session, id: u128, terms: Terms) {
+fn begin(session: &mut Session, id: u128, terms: Params) {
     let request = asked(session, id, terms);
     session.on(Event::Request(request));
 }
@@ -48,13 +48,13 @@
     session.fail(send.attempt, Failure::ServerError { report });
 }
 
-/// Terms of a request that may run once.
-fn once() -> Terms {
-    Terms {
+/// Params of a request that may run once.
+fn once() -> Params {
+    Params {
         kind: Kind::Execute,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: None,
-        least_coverage: 0.0,
+        min_coverage: 0.0,
         work: 0,
         urgency: None,
     }
@@ -135,7 +135,7 @@
     begin(&mut session, 2, search(1.0));
     let opened = session.opens.len();
     let (connection, _) = *session.opens.last().expect("one more is wanted");
-    session.on(Event::Unopened(connection, ConnectFailure::Closed));
+    session.on(Event::ConnectFailed(connection, ConnectFailure::Closed));
     session.pass(ms(50));
     assert_eq!(session.opens.len(), opened, "the server is left alone");
     session.pass(ms(1_500));
@@ -431,7 +431,7 @@
 //          seconds.
 #[test]
 fn home_of_shared_servers_connects_on_demand() {
-    let division = Division::everyone(HOSTS, 58.0).on_demand();
+    let division = Division::among_all_hosts(HOSTS, 58.0).on_demand();
     let mut session = Session::divided(without_hedges(1, 2), division);
     assert_eq!(session.opens.len(), 0);
     begin(&mut session, 1, search(1.0));
@@ -447,7 +447,7 @@
     session.on(Event::Closed(1));
     for _ in 0..10 {
         let (connection, _) = *session.opens.last().expect("it was opened");
-        session.on(Event::Unopened(connection, ConnectFailure::Closed));
+        session.on(Event::ConnectFailed(connection, ConnectFailure::Closed));
         let opened = session.opens.len();
         session.pass(ms(450));
         assert!(session.opens.len() > opened, "{}", session.transcript);
@@ -462,7 +462,7 @@
     let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
     let near = server(0, 1);
     let far = [server(0, 0), server(0, 2)].into_iter().collect();
-    session.on(Event::Far(far));
+    session.on(Event::RemoteServers(far));
     for id in 1..=3 {
         begin(&mut session, id, search(1.0));
     }
--- a/crates/decision/tests/home_rescue.rs
+++ b/crates/decision/tests/home_rescue.rs
@@ -6,7 +6,7 @@
 use monsoonring_decision::attempt::Failure;
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::Request;
-use monsoonring_decision::home::{Event, Terms};
+use monsoonring_decision::home::{Event, Params};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_decision::placement::Division;
 use monsoonring_decision::reply::Report;
@@ -28,15 +28,15 @@
 const SOFT: u64 = 100;
 const WAIT: u64 = 35;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Params {
+    Params {
         kind: Kind::Search,
-        runs_at_most: 2,
+        max_runs: 2,
         soft_deadline: Some(SoftDeadline {
             after_ms: SOFT,
             coverage: LEAST,
         }),
-        least_coverage: LEAST,
+        min_coverage: LEAST,
         work: 0,
         urgency: None,
     }
@@ -46,7 +46,7 @@
 fn begin(session: &mut Session, id: u128) -> Vec<Send> {
     let from = session.sends.len();
     let request = Request {
-        terms: Some(terms()),
+        params: Some(terms()),
         ..request(id, session.now)
     };
     session.on(Event::Request(request));
@@ -63,7 +63,7 @@
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 10.0;
-    let mut session = Session::divided(route, Division::everyone(1, 0.0));
+    let mut session = Session::divided(route, Division::among_all_hosts(1, 0.0));
     for id in 1..=BEFORE {
         let sends = begin(&mut session, id);
         let sent = session.sends.len();
@@ -114,12 +114,12 @@
 fn fail_two_parts_of_ten_needs_one() {
     let mut session = scarce();
     let from = session.sends.len();
-    let terms = Terms {
-        least_coverage: 0.9,
+    let terms = Params {
+        min_coverage: 0.9,
         ..terms()
     };
     session.on(Event::Request(Request {
-        terms: Some(terms),
+        params: Some(terms),
         ..request(1_000, session.now)
     }));
     let sends = session.sends[from..].to_vec();
@@ -152,7 +152,7 @@
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 0.0;
-    let mut session = Session::divided(route, Division::everyone(1, 0.0));
+    let mut session = Session::divided(route, Division::among_all_hosts(1, 0.0));
     let sends = begin(&mut session, 1);
     sends[..2].iter().for_each(|send| fail(&mut session, send));
     session.pass(ms(WAIT));
--- a/crates/decision/tests/members.rs
+++ b/crates/decision/tests/members.rs
@@ -2,7 +2,7 @@
 
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::fact::Key;
-use monsoonring_decision::gateway::helper::{Remote, Strength};
+use monsoonring_decision::gateway::helper::{Centicores, Remote};
 use monsoonring_decision::gateway::members::{Action, Datagram, Event, Members};
 use monsoonring_decision::gateway::source::Readers;
 use monsoonring_decision::member::MemberId;
@@ -44,7 +44,7 @@
 }
 
 /// Returns the strength of a host, in hundredths of a core.
-fn strength(number: usize) -> Strength {
+fn strength(number: usize) -> Centicores {
     if number < STRONG { 50 } else { 12 }
 }
 
@@ -145,7 +145,7 @@
     fn shared(&self) -> (usize, f64) {
         let homes = self.hosts.iter().flatten().map(Members::hosts);
         let divisions: Vec<(Role, Division)> = homes
-            .map(|homes| (homes.role, Division::everyone(homes, SLACK)))
+            .map(|homes| (homes.role, Division::among_all_hosts(homes, SLACK)))
             .collect();
         let strong = divisions.iter().filter(|(role, _)| *role == Role::Strong);
         let connections = strong.map(|(_, own)| own.connections(CONNECTIONS));
@@ -156,7 +156,7 @@
     /// Returns the connections of one server and the extra attempts that all hosts take together.
     fn taken(&self) -> (usize, f64) {
         let divisions: Vec<_> = (self.counted().into_iter())
-            .map(|hosts| Division::everyone(hosts, SLACK))
+            .map(|hosts| Division::among_all_hosts(hosts, SLACK))
             .collect();
         let connections = divisions.iter().map(|own| own.connections(CONNECTIONS));
         let slack = divisions.iter().filter_map(Division::slack);
@@ -429,7 +429,7 @@
         .collect();
     let sought: BTreeSet<DataCentreId> = ["dc1", "dc2"].into_iter().map(Into::into).collect();
     for number in &seekers {
-        hosts.feed(*number, Event::Sought(sought.clone()));
+        hosts.feed(*number, Event::RemoteDataCentres(sought.clone()));
     }
     seekers
 }
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -11,7 +11,7 @@
 };
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 use monsoonring_decision::attempt::{AttemptId, ConnectFailure, ConnectionId, Failure, Refusal};
-use monsoonring_decision::backend::suspect::Proof;
+use monsoonring_decision::backend::suspect::CrashSignal;
 use monsoonring_decision::home::action::{Decision, Send};
 use monsoonring_decision::home::event::{Request, Scope};
 use monsoonring_decision::home::{Action, Event, Home};
@@ -105,7 +105,7 @@
         fingerprint: id as u64,
         body: "{}".into(),
         execute_key: None,
-        terms: None,
+        params: None,
         scope: Scope::default(),
     }
 }
@@ -187,13 +187,13 @@
     /// Returns a session of a home that is one of `hosts` which all are homes, and that takes
     /// nothing but a refused connect for a sign that a server died.
     pub(crate) fn everyone(route: Route, hosts: usize) -> Self {
-        Self::divided(route, Division::everyone(hosts, 58.0))
+        Self::divided(route, Division::among_all_hosts(hosts, 58.0))
     }
 
     /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
     pub(crate) fn divided(route: Route, division: Division) -> Self {
         let policy = Policy {
-            proof: Proof::Refusal,
+            proof: CrashSignal::ConnectFailed,
             ..Policy::default()
         };
         let (home, actions) = Home::with_policy(Arc::new(route), division, 7, policy, Time::ZERO);
@@ -240,7 +240,7 @@
     pub(crate) fn on(&mut self, event: Event) {
         let line = describe(&event);
         let is_tick = event == Event::Tick;
-        let actions = self.home.on(event, self.now);
+        let actions = self.home.handle(event, self.now);
         let quiet = actions
             .iter()
             .all(|action| matches!(action, Action::Wake(_)));
@@ -263,11 +263,11 @@
                         continue;
                     }
                     let event = match self.refusing.contains(&server) {
-                        true => Event::Unopened(connection, ConnectFailure::Refused),
+                        true => Event::ConnectFailed(connection, ConnectFailure::Refused),
                         false => Event::Opened(connection),
                     };
                     self.write("<-", &describe(&event));
-                    actions.extend(self.home.on(event, self.now));
+                    actions.extend(self.home.handle(event, self.now));
                 }
                 Action::Close(connection) => self.closes.push(connection),
                 Action::Send(send) => self.sends.push(send),
