--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -20,7 +20,7 @@
 use monsoonring_decision::gateway::table::{Route, Target};
 use monsoonring_decision::home::event::{self, Scope};
 use monsoonring_decision::outcome::{Answer, Outcome, Reason};
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use monsoonring_decision::query::greatest::greatest;
 use monsoonring_decision::{Fingerprint, RequestId};
 use rand::Rng;
@@ -138,7 +138,7 @@
         let sharing = elsewhere.and_then(|elsewhere| self.relay.share(elsewhere));
         let sharing = sharing.map(|sharing| (sharing, head.clone(), body.clone()));
         let forward = Forward {
-            is_merged: matches!(route.target, Target::Gather(_)),
+            is_merged: matches!(route.target, Target::FanOut(_)),
             ..self.ingress.forward(head, &ask, body)
         };
         let asked = event::Request {
@@ -218,12 +218,12 @@
         asking: &Asking<'_>,
         forward: Forward,
         on_the_way: Duration,
-        only: Option<&Set>,
+        only: Option<&KeySet>,
     ) -> event::Request<Opaque> {
         let route = asking.route;
         let terms = route.terms(on_the_way);
         let terms = match (&route.target, only) {
-            (Target::Gather(gather), Some(only)) => {
+            (Target::FanOut(gather), Some(only)) => {
                 terms.for_groups(only.len(), gather.shards.len())
             }
             _ => terms,
@@ -242,7 +242,7 @@
     }
 
     /// Writes how a request ended.
-    fn reply(&self, outcome: Ending, route: &Route, only: Option<&Set>) -> Reply {
+    fn reply(&self, outcome: Ending, route: &Route, only: Option<&KeySet>) -> Reply {
         match outcome {
             Outcome::Answered(answer) => self.answered(answer, route, only),
             Outcome::Executed(whole) => Reply {
@@ -271,8 +271,8 @@
         }
     }
 
-    fn answered(&self, answer: Answer<Whole>, route: &Route, only: Option<&Set>) -> Reply {
-        let lacking: Set = answer.missing.iter().copied().collect();
+    fn answered(&self, answer: Answer<Whole>, route: &Route, only: Option<&KeySet>) -> Reply {
+        let lacking: KeySet = answer.missing.iter().copied().collect();
         let missing = lacking.len() as usize;
         let version = answer.index_version;
         let ended = match missing {
@@ -281,9 +281,9 @@
         };
         let mut parts: Vec<Whole> = answer.items.into_iter().map(|item| item.value).collect();
         let (response, why) = match &route.target {
-            Target::Gather(gather) => {
+            Target::FanOut(gather) => {
                 let bodies = parts.iter().map(|part| &part.body[..]);
-                let records = greatest(bodies, self.ingress.record_bytes(), gather.top);
+                let records = greatest(bodies, self.ingress.record_bytes(), gather.max_records);
                 let asked = only.map_or(gather.shards.len(), |only| only.len() as usize);
                 let held = asked.saturating_sub(missing);
                 let why = format!("{held} parts, {missing} missing, set {version}");
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -15,7 +15,7 @@
 use monsoonring_decision::home::action::{Decision, Send};
 use monsoonring_decision::home::{Action, Event, Home, Wakeup};
 use monsoonring_decision::outcome::Outcome;
-use monsoonring_decision::placement::Part;
+use monsoonring_decision::placement::Allocation;
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::{Fingerprint, RequestId};
 use slog::Logger;
@@ -46,7 +46,7 @@
     pub(crate) codec: K,
     pub(crate) side: Side,
     pub(crate) route: Arc<Route>,
-    pub(crate) part: Part,
+    pub(crate) part: Allocation,
     pub(crate) policy: Policy,
     pub(crate) seed: u64,
     pub(crate) clock: Clock,
@@ -189,7 +189,7 @@
         }
         let now = self.clock.now();
         self.alarm.on_event(now);
-        let actions = self.home.on(event, now);
+        let actions = self.home.handle(event, now);
         self.perform(actions);
         self.gauges.follow(&self.home, self.connections.len(), now);
     }
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -5,10 +5,10 @@
 use monsoonring_configuration::section::transfer::{self, Base, Part};
 use monsoonring_configuration::section::{self, Index, Section};
 use monsoonring_decision::configuration::Version;
-use monsoonring_decision::idempotency::lookup::{Answer, Question};
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt, Refusal};
 use monsoonring_decision::member::{
-    Attachment, Digest, Incarnation, MemberId, Message, Page, Span,
+    Attachment, BucketRange, Digest, Incarnation, MemberId, Message, Page,
 };
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_wire::channel::Endpoint;
@@ -130,7 +130,7 @@
         None
     }
 
-    async fn page(self, _: Context, _: Span) -> Option<Page> {
+    async fn page(self, _: Context, _: BucketRange) -> Option<Page> {
         None
     }
 
@@ -164,8 +164,8 @@
         Err(Declined::NotHome)
     }
 
-    async fn ask(self, _: Context, _: Question) -> Answer {
-        Answer::Nothing
+    async fn ask(self, _: Context, _: Lookup) -> Finding {
+        Finding::Nothing
     }
 
     async fn hear(
--- a/crates/decision/src/admission/rank.rs
+++ b/crates/decision/src/admission/rank.rs
@@ -7,9 +7,9 @@
 //!
 //! Starvation is prevented: a kind that is answered far less often than all together has only its own budget to keep.
 
-use super::{Ranked, Waits};
+use super::{RankedRequest, Waits};
 use crate::backend::Wait;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use derive_more::Display;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -104,12 +104,12 @@
 /// The kinds of request that share a set of servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ranks {
-    kinds: BTreeMap<Work, Kind>,
+    kinds: BTreeMap<WorkKind, Kind>,
 }
 
 impl Ranks {
     /// Records that a request is asked for.
-    pub(super) fn asked(&mut self, ranked: &Ranked, now: Time) {
+    pub(super) fn asked(&mut self, ranked: &RankedRequest, now: Time) {
         self.make_room(ranked.work);
         let Urgency { rank, objective } = ranked.urgency;
         let kind = self.kinds.entry(ranked.work).or_default();
@@ -125,14 +125,14 @@
     }
 
     /// Records that a request of a kind was answered.
-    pub(super) fn answered(&mut self, work: Work, now: Time) {
+    pub(super) fn answered(&mut self, work: WorkKind, now: Time) {
         if let Some(kind) = self.kinds.get_mut(&work) {
             kind.answered.add(now);
         }
     }
 
     /// Returns the first delay budget that is exceeded for a request, more urgent kinds' first.
-    pub(super) fn excess(&self, ranked: &Ranked, now: Time) -> Option<Excess> {
+    pub(super) fn excess(&self, ranked: &RankedRequest, now: Time) -> Option<Excess> {
         let Urgency { rank, objective } = ranked.urgency;
         let own = Excess {
             rank,
@@ -169,7 +169,7 @@
 
     /// Tells whether a kind keeps out of the servers' queues: one with a shorter objective was requested recently, and this one does not
     /// starve behind it.
-    pub(super) fn yields(&self, work: Work, objective: Duration, now: Time) -> bool {
+    pub(super) fn yields(&self, work: WorkKind, objective: Duration, now: Time) -> bool {
         let most = objective.mul_f64(SHORTER);
         self.recent(now).any(|kind| kind.objective < most) && !self.is_starved(work, now)
     }
@@ -192,20 +192,20 @@
     /// Returns the queueing delay of a kind with this objective.
     fn wait(
         &self,
-        work: Work,
+        work: WorkKind,
         objective: Duration,
         waits: &Waits,
         dispensable: usize,
         now: Time,
     ) -> Wait {
         match self.yields(work, objective, now) {
-            true => waits.in_all.without(dispensable),
+            true => waits.total.without(dispensable),
             false => waits.at_servers.without(dispensable),
         }
     }
 
     /// Forgets the kind that was requested the longest ago if there is no room for another.
-    fn make_room(&mut self, work: Work) {
+    fn make_room(&mut self, work: WorkKind) {
         if self.kinds.len() < KINDS_AT_MOST || self.kinds.contains_key(&work) {
             return;
         }
@@ -215,7 +215,7 @@
         }
     }
 
-    fn is_starved(&self, work: Work, now: Time) -> bool {
+    fn is_starved(&self, work: WorkKind, now: Time) -> bool {
         let Some(kind) = self.kinds.get(&work) else {
             return false;
         };
--- a/crates/decision/src/backend/choice.rs
+++ b/crates/decision/src/backend/choice.rs
@@ -10,7 +10,7 @@
 use super::baseline::Baseline;
 use super::server::Server;
 use crate::Time;
-use crate::why::Least;
+use crate::rationale::LeastLoaded;
 use monsoonring_configuration::id::BackendServerId;
 use rand::Rng;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     /// The chosen server.
     pub server: BackendServerId,
     /// The score that decided, and its components.
-    pub why: Least,
+    pub why: LeastLoaded,
 }
 
 /// Returns the load that other homes are estimated to have at a server, relative to its mean.
--- a/crates/decision/src/backend/cold.rs
+++ b/crates/decision/src/backend/cold.rs
@@ -2,7 +2,7 @@
 //!
 //! A server that has just started, or has lost its caches, crashes if it receives too many requests
 //! within one second from all homes together. Homes share no counter, so each has a fixed quota per
-//! second ([`Division::cold`](crate::placement::Division::cold)), and the sum of all quotas stays
+//! second ([`Division::cold_quota`](crate::placement::Division::cold_quota)), and the sum of all quotas stays
 //! below the server's limit. Without it, every home would send its full load to a data centre that
 //! comes back cold.
 
--- a/crates/decision/src/backend/events.rs
+++ b/crates/decision/src/backend/events.rs
@@ -7,7 +7,7 @@
 use super::verdict::{StatusChange, Verdict};
 use crate::attempt::{AttemptId, Failure, Refusal};
 use crate::reply::Report;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use monsoonring_configuration::id::{BackendServerId, Incarnation};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -30,11 +30,17 @@
 impl Fleet {
     /// Records that an attempt was assigned to a server; it may still wait for a connection.
     pub fn sent(&mut self, server: BackendServerId, attempt: AttemptId, now: Time) {
-        self.sent_for(Work::default(), server, attempt, now);
+        self.sent_for(WorkKind::default(), server, attempt, now);
     }
 
     /// Records that an attempt for this kind of work was assigned to a server.
-    pub fn sent_for(&mut self, work: Work, server: BackendServerId, attempt: AttemptId, now: Time) {
+    pub fn sent_for(
+        &mut self,
+        work: WorkKind,
+        server: BackendServerId,
+        attempt: AttemptId,
+        now: Time,
+    ) {
         let Some(state) = self.servers.get(&server) else {
             return;
         };
@@ -148,7 +154,7 @@
         if record.stale {
             return Verdict {
                 discard_connection: true,
-                not_run: failure.is_unrun(),
+                not_run: failure.is_not_run(),
                 server: Some(server),
                 ..Verdict::default()
             };
@@ -165,7 +171,7 @@
                 retry_after,
                 report,
             } => self.handle_refusal(server, refusal, *retry_after, report, now),
-            Failure::Ran { report } | Failure::Cancelled { report } => Verdict {
+            Failure::ServerError { report } | Failure::Cancelled { report } => Verdict {
                 status_change: self.apply_report(server, report, now),
                 ..Verdict::default()
             },
@@ -283,7 +289,7 @@
     fn record_latency(
         &mut self,
         server: BackendServerId,
-        work: Work,
+        work: WorkKind,
         elapsed: Duration,
         load: f64,
         now: Time,
@@ -300,7 +306,7 @@
         }
     }
 
-    fn record_work_latency(&mut self, work: Work, elapsed: Duration) {
+    fn record_work_latency(&mut self, work: WorkKind, elapsed: Duration) {
         if self.latency_by_work.len() < MAX_WORK_KINDS || self.latency_by_work.contains_key(&work) {
             let latency = self
                 .latency_by_work
@@ -445,7 +451,7 @@
             .weight(baseline.service_time.div_f64(baseline.slots));
         // Requests are spread evenly over homes: without trusted reports, assume that each other
         // home has the same load there as this one.
-        let assumed_others = state.own_load() * (self.division.alike() - 1.0).max(0.0);
+        let assumed_others = state.own_load() * (self.division.similar_homes() - 1.0).max(0.0);
         let reported_others = state.load_regression.mean() * report_weight
             + choice::excess_load(state, baseline, now);
         (state.own_load() + reported_others + (1.0 - report_weight) * assumed_others)
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -10,8 +10,8 @@
 use crate::attempt::AttemptId;
 use crate::placement::{Division, Homes};
 use crate::policy::Policy;
-use crate::why::Least;
-use crate::{Time, Work};
+use crate::rationale::LeastLoaded;
+use crate::{Time, WorkKind};
 use monsoonring_configuration::document::{Capacity, Route};
 use monsoonring_configuration::id::{BackendServerId, Incarnation, IndexVersion};
 use rand::Rng;
@@ -62,7 +62,7 @@
     pub(super) groups: Vec<Group>,
     pub(super) latency: Latency,
     /// Latency by kind of work, over all servers.
-    pub(super) latency_by_work: FxHashMap<Work, Latency>,
+    pub(super) latency_by_work: FxHashMap<WorkKind, Latency>,
     pub(super) attempts: FxHashMap<AttemptId, Attempt>,
     pub(super) leaving: LeavingServers,
     /// Rate limits of all cold servers, including those of other routes.
@@ -101,7 +101,7 @@
 pub(super) struct Attempt {
     pub(super) server: BackendServerId,
     pub(super) sent: Time,
-    pub(super) work: Work,
+    pub(super) work: WorkKind,
     /// Time at which cancellation began.
     pub(super) cancelled: Option<Time>,
     /// Whether the attempt has exceeded the silence timeout.
@@ -204,7 +204,7 @@
         let is_far = self.servers.get(&server).is_none_or(|state| state.far);
         match is_far {
             true => 0,
-            false => self.division.cold(limit.max_rate, server),
+            false => self.division.cold_quota(limit.max_rate, server),
         }
     }
 
@@ -293,7 +293,7 @@
     /// server's own latency.
     pub fn hedge_delay_of(
         &self,
-        work: Work,
+        work: WorkKind,
         server: BackendServerId,
         quantile: f64,
         now: Time,
@@ -307,7 +307,7 @@
     }
 
     /// Returns the median latency of a kind of work, or `None` with too few measurements.
-    pub fn median_latency(&self, work: Work) -> Option<Duration> {
+    pub fn median_latency(&self, work: WorkKind) -> Option<Duration> {
         self.latency_by_work.get(&work)?.quantile(0.5)
     }
 
@@ -481,10 +481,16 @@
             .collect()
     }
 
-    fn explain(&self, server: BackendServerId, scores: &[f64], index: usize, now: Time) -> Least {
+    fn explain(
+        &self,
+        server: BackendServerId,
+        scores: &[f64],
+        index: usize,
+        now: Time,
+    ) -> LeastLoaded {
         let state = &self.servers[&server];
         let others = choice::excess_load(state, self.baseline(state.group), now);
-        Least {
+        LeastLoaded {
             score: scores[index],
             open: scores.len(),
             own: state.outstanding,
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -43,8 +43,8 @@
     Limits {
         max: division.connections(capacity.connections),
         spare: division.spare,
-        min_idle: division.floor,
-        idle_time: division.held_for(capacity.connections),
+        min_idle: division.min_idle,
+        idle_time: division.idle_time(capacity.connections),
     }
 }
 
@@ -405,8 +405,9 @@
     /// selected part of them. If every home kept one at every server, their number could exceed the
     /// servers' connection limits.
     fn limits_for(&self, server: BackendServerId) -> Limits {
-        let idle_share = self.division.kept(self.capacity.connections);
-        let is_selected = idle_share >= 1.0 || placement::lot(self.identity, server) < idle_share;
+        let idle_share = self.division.idle_share(self.capacity.connections);
+        let is_selected =
+            idle_share >= 1.0 || placement::uniform_hash(self.identity, server) < idle_share;
         let keeps_idle = is_selected && !self.far.contains(&server);
         Limits {
             min_idle: if keeps_idle { self.limits.min_idle } else { 0 },
--- a/crates/decision/src/backend/pool/server_pool.rs
+++ b/crates/decision/src/backend/pool/server_pool.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, State};
 use crate::Time;
 use crate::attempt::ConnectionId;
-use crate::placement::HELD_AT_MOST;
+use crate::placement::MAX_IDLE_TIME;
 use std::time::Duration;
 
 /// Maximum number of connections to a server that are opened concurrently. When a server restarts,
@@ -75,7 +75,7 @@
             peak: 0,
             misses: 0,
             peak_changed_at: now,
-            idle_time: HELD_AT_MOST,
+            idle_time: MAX_IDLE_TIME,
             failures: 0,
             paused_until: None,
         }
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -8,23 +8,23 @@
 use super::params::Params;
 use super::placement::Placement;
 use super::timer::{self, Timer};
-use crate::admission::shortage;
-use crate::admission::{Admission, Gate, Ranked, Shortage, Waits};
+use crate::admission::overload;
+use crate::admission::{Admission, Gate, Overload, RankedRequest, Waits};
 use crate::attempt::AttemptId;
 use crate::backend::pool::Pool;
 use crate::backend::suspect::{Detector, Status};
 use crate::backend::{Fleet, GroupLoad, Wait};
-use crate::budget::{Budgets, Purse};
+use crate::budget::{Budgets, RouteBudgets};
 use crate::content::{Content, Json};
 use crate::outcome::{Outcome, Reason};
-use crate::placement::Part;
+use crate::placement::Allocation;
 use crate::policy::Policy;
-use crate::query::attempt::Unrun;
+use crate::query::attempt::NotRunProof;
 use crate::query::coverage;
 use crate::query::execution::Execution;
 use crate::query::pin::Pin;
-use crate::query::run::{Run, Waiter};
-use crate::why::Why;
+use crate::query::search::{Search, Waiter};
+use crate::rationale::Rationale;
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::document::{Kind, Route};
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
@@ -48,12 +48,12 @@
     pub(super) fleet: Fleet,
     pub(super) pool: Pool,
     pub(super) gate: Gate,
-    pub(super) shortage: Shortage,
+    pub(super) shortage: Overload,
     pub(super) suspects: Detector,
-    pub(super) budgets: Purse,
+    pub(super) budgets: RouteBudgets,
     pub(super) pin: Pin,
     pub(super) placement: Placement,
-    pub(super) runs: BTreeMap<RequestId, Run<C>>,
+    pub(super) runs: BTreeMap<RequestId, Search<C>>,
     pub(super) executions: BTreeMap<RequestId, Execution<C>>,
     pub(super) flights: flight::Table,
     /// By group: what waits for room at one of its servers.
@@ -89,7 +89,7 @@
     /// `seed` decides every random choice.
     pub fn new(
         route: Arc<Route>,
-        part: impl Into<Part>,
+        part: impl Into<Allocation>,
         seed: u64,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
@@ -99,21 +99,21 @@
     /// Makes the home of a route, as [`Self::new`] does, with some decisions replaced.
     pub fn with_policy(
         route: Arc<Route>,
-        part: impl Into<Part>,
+        part: impl Into<Allocation>,
         seed: u64,
         policy: Policy,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
-        let Part { division, far } = part.into();
+        let Allocation { division, far } = part.into();
         let mut home = Self {
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
             fleet: Fleet::new(&route, division, now),
             pool: Pool::new(&route, division, FIRST_CONNECTION, now),
             gate: Gate::new(&route),
-            shortage: Shortage::default(),
+            shortage: Overload::default(),
             suspects: Detector::with_crash_signal(policy.proof),
-            budgets: Purse::new(&route, &division),
+            budgets: RouteBudgets::new(&route, &division),
             pin: Pin::default(),
             placement: Placement::new(&route),
             runs: BTreeMap::new(),
@@ -147,9 +147,9 @@
     ///
     /// What came due before is handled first: a process that was paused finds that a deadline has
     /// passed before it finds the reply that waited.
-    pub fn on(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
+    pub fn handle(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
         self.fire(now);
-        self.handle(event, now);
+        self.apply(event, now);
         self.conclude(now)
     }
 
@@ -185,11 +185,11 @@
     }
 
     /// Returns the room that the route's backend servers have for this home.
-    pub fn room(&self, now: Time) -> GroupLoad {
+    pub fn busiest_group(&self, now: Time) -> GroupLoad {
         self.fleet.busiest_group(now)
     }
 
-    fn handle(&mut self, event: Event<C>, now: Time) {
+    fn apply(&mut self, event: Event<C>, now: Time) {
         match event {
             Event::Request(request) => self.arrived(request, now),
             Event::Abandoned(id) => self.abandoned(id, now),
@@ -205,7 +205,7 @@
             Event::Failed(attempt, failure) => self.failed(attempt, &failure, now),
             Event::Route(route) => self.reroute(route, now),
             Event::Replaced(servers) => self.replaced(&servers, now),
-            Event::Far(far) => self.set_far(far),
+            Event::RemoteServers(far) => self.set_far(far),
             Event::Cold(cold) => self.set_cold(&cold, now),
             Event::Homes(homes) => {
                 self.fleet.set_homes(homes, now);
@@ -237,7 +237,7 @@
             return;
         }
         if let Some((reason, retry_after)) = self.refusal(&request, now) {
-            let outcome = Unrun::arrived().outcome(reason, retry_after);
+            let outcome = NotRunProof::on_arrival().into_outcome(reason, retry_after);
             let is_overload = reason == Reason::Overload;
             let why = match is_overload {
                 true => format!("{reason} {}", self.refused_by(&request, now)),
@@ -282,7 +282,7 @@
     /// Returns the budgets of the first group that a server is in, if it is still in one.
     pub(super) fn budgets_of(&mut self, server: BackendServerId) -> Option<&mut Budgets> {
         let group = self.placement.groups(server).first()?;
-        Some(self.budgets.of(*group))
+        Some(self.budgets.for_group(*group))
     }
 
     /// Returns why a new request is not taken on. Admission comes last, as it counts those that it
@@ -313,7 +313,7 @@
         }
     }
 
-    fn log_shortage(&mut self, change: Option<shortage::Change>) {
+    fn log_shortage(&mut self, change: Option<overload::Change>) {
         if let Some(change) = change {
             self.log(None, "overload", None, change.to_string());
         }
@@ -344,9 +344,9 @@
     }
 
     /// Returns what admission has to know of a request whose rank is known.
-    fn ranked(&self, request: &Request<C>, now: Time) -> Option<Ranked> {
+    fn ranked(&self, request: &Request<C>, now: Time) -> Option<RankedRequest> {
         let params = self.params(request);
-        Some(Ranked {
+        Some(RankedRequest {
             work: params.work,
             urgency: params.urgency?,
             dispensable: self.dispensable(request),
@@ -361,7 +361,7 @@
             self.fleet.time_to_send(group, waiting)
         };
         Waits {
-            in_all: at_servers
+            total: at_servers
                 .iter()
                 .map(|wait| Wait {
                     time: wait.time + here(wait.group),
@@ -369,7 +369,7 @@
                 })
                 .collect(),
             at_servers: at_servers.into_iter().collect(),
-            are_reported: self.fleet.has_recent_reports(now),
+            has_load_reports: self.fleet.has_recent_reports(now),
         }
     }
 
@@ -487,7 +487,7 @@
         request: Option<RequestId>,
         what: &'static str,
         backend_server: Option<BackendServerId>,
-        why: impl Into<Why>,
+        why: impl Into<Rationale>,
     ) {
         self.actions.push(Action::Log(Decision {
             request,
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_everyone.rs
@@ -3,7 +3,7 @@
 mod session;
 
 use monsoonring_configuration::document::{Class, Kind, Route, SoftDeadline};
-use monsoonring_decision::attempt::{Failure, Refusal, Unopened};
+use monsoonring_decision::attempt::{ConnectFailure, Failure, Refusal};
 use monsoonring_decision::home::action::Send;
 use monsoonring_decision::home::event::Request;
 use monsoonring_decision::home::{Event, Params};
@@ -45,7 +45,7 @@
 /// Has a server fail an attempt that it ran.
 fn fail(session: &mut Session, send: &Send) {
     let report = report(&[VERSION]);
-    session.fail(send.attempt, Failure::Ran { report });
+    session.fail(send.attempt, Failure::ServerError { report });
 }
 
 /// Params of a request that may run once.
@@ -135,7 +135,7 @@
     begin(&mut session, 2, search(1.0));
     let opened = session.opens.len();
     let (connection, _) = *session.opens.last().expect("one more is wanted");
-    session.on(Event::ConnectFailed(connection, Unopened::Ended));
+    session.on(Event::ConnectFailed(connection, ConnectFailure::Closed));
     session.pass(ms(50));
     assert_eq!(session.opens.len(), opened, "the server is left alone");
     session.pass(ms(1_500));
@@ -185,7 +185,7 @@
     session.answer(&one);
     session.fail(
         other.attempt,
-        Failure::Ran {
+        Failure::ServerError {
             report: report(&[]),
         },
     );
@@ -251,7 +251,7 @@
             match send.ranges[0].start {
                 0 => session.fail(
                     send.attempt,
-                    Failure::Ran {
+                    Failure::ServerError {
                         report: report(&[VERSION]),
                     },
                 ),
@@ -431,7 +431,7 @@
 //          seconds.
 #[test]
 fn home_of_shared_servers_connects_on_demand() {
-    let division = Division::everyone(HOSTS, 58.0).on_demand();
+    let division = Division::among_all_hosts(HOSTS, 58.0).on_demand();
     let mut session = Session::divided(without_hedges(1, 2), division);
     assert_eq!(session.opens.len(), 0);
     begin(&mut session, 1, search(1.0));
@@ -447,7 +447,7 @@
     session.on(Event::Closed(1));
     for _ in 0..10 {
         let (connection, _) = *session.opens.last().expect("it was opened");
-        session.on(Event::ConnectFailed(connection, Unopened::Ended));
+        session.on(Event::ConnectFailed(connection, ConnectFailure::Closed));
         let opened = session.opens.len();
         session.pass(ms(450));
         assert!(session.opens.len() > opened, "{}", session.transcript);
@@ -462,7 +462,7 @@
     let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
     let near = server(0, 1);
     let far = [server(0, 0), server(0, 2)].into_iter().collect();
-    session.on(Event::Far(far));
+    session.on(Event::RemoteServers(far));
     for id in 1..=3 {
         begin(&mut session, id, search(1.0));
     }
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -7,7 +7,7 @@
 use monsoonring_decision::content::Content;
 use monsoonring_decision::gateway::{Registry, Table, shards};
 use monsoonring_decision::home::{Action, Event, Home, Wakeup};
-use monsoonring_decision::placement::{Division, Part};
+use monsoonring_decision::placement::{Allocation, Division};
 use monsoonring_decision::policy::Policy;
 use monsoonring_decision::reply::{Item, Load, Reply, Report};
 use std::collections::{BTreeSet, HashMap};
@@ -53,9 +53,9 @@
         let (set, usable) = (site.shards(pool), registry.usable());
         let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
         let own = Site::place_name(place).into();
-        let far: BTreeSet<BackendServerId> = shards::far(&set, &usable, &own);
-        let division = Division::everyone(site.reckoned_hosts(), site.slack);
-        let part = Part { division, far };
+        let far: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
+        let division = Division::among_all_hosts(site.reckoned_hosts(), site.slack);
+        let part = Allocation { division, far };
         let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
         let mut driver = Self {
             home,
@@ -79,7 +79,7 @@
             _ => {}
         }
         self.alarm.on_event(now);
-        let actions = self.home.on(event, now);
+        let actions = self.home.handle(event, now);
         self.note(&actions);
         actions
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -6,9 +6,9 @@
 use monsoonring_configuration::section::transfer::Base;
 use monsoonring_decision::configuration::Version;
 use monsoonring_decision::fact;
-use monsoonring_decision::idempotency::lookup::{Answer, Question};
+use monsoonring_decision::idempotency::lookup::{Finding, Lookup};
 use monsoonring_decision::idempotency::{Handover, Key, Receipt};
-use monsoonring_decision::member::{MemberId, Message, Page, Span};
+use monsoonring_decision::member::{BucketRange, MemberId, Message, Page};
 use monsoonring_decision::outcome::Outcome;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     async fn probe_for(target: MemberId) -> Option<Message>;
 
     /// Returns a page of the member table.
-    async fn page(span: Span) -> Option<Page>;
+    async fn page(span: BucketRange) -> Option<Page>;
 
     /// Returns the document in force as it differs from the base, `None` where it is lesser than
     /// `least`.
@@ -59,7 +59,7 @@
     async fn run(request: Request, key: String) -> Result<Outcome, Declined>;
 
     /// Tells what this daemon's ledger knows.
-    async fn ask(question: Question) -> Answer;
+    async fn ask(question: Lookup) -> Finding;
 
     /// Takes the ledger of a daemon that stops.
     async fn take_over(handover: Handover) -> Option<Receipt>;
