--- a/crates/daemon/src/gateway/relay/share.rs
+++ b/crates/daemon/src/gateway/relay/share.rs
@@ -10,10 +10,10 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::IndexVersion;
-use monsoonring_decision::gateway::helper::{Ended, Share};
+use monsoonring_decision::gateway::helper::{Delegation, Outcome};
 use monsoonring_decision::home::event::Progress;
 use monsoonring_decision::member::MemberId;
-use monsoonring_decision::query::coverage::Set;
+use monsoonring_decision::query::coverage::KeySet;
 use monsoonring_decision::reply::{Item, Reply, Report};
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 
 /// The keys that a search of another host is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Only(pub(in crate::gateway) Set);
+pub(in crate::gateway) struct Only(pub(in crate::gateway) KeySet);
 
 impl Only {
     /// Takes the keys out of the headers of a search, as they are no backend server's concern.
@@ -39,7 +39,7 @@
 /// A part of a search that a host was chosen for.
 pub(in crate::gateway) struct Sharing<'a> {
     chosen: Chosen<'a>,
-    keys: Set,
+    keys: KeySet,
 }
 
 /// What the other host covers, or whether it may have begun.
@@ -56,11 +56,11 @@
 impl Relay {
     /// Chooses who looks through a part of a search; `None` where this host asks all servers itself.
     pub(in crate::gateway) fn share(&self, elsewhere: &Elsewhere) -> Option<Sharing<'_>> {
-        let Share { host, keys } = self.helpers().share(elsewhere, self.clock.now())?;
+        let Delegation { host, keys } = self.helpers().delegate(elsewhere, self.clock.now())?;
         let chosen = Chosen {
             relay: self,
             host,
-            ended: Ended::Left,
+            ended: Outcome::Cancelled,
         };
         Some(Sharing { chosen, keys })
     }
@@ -73,7 +73,7 @@
     }
 
     /// Returns the keys.
-    pub(in crate::gateway) fn keys(&self) -> &Set {
+    pub(in crate::gateway) fn keys(&self) -> &KeySet {
         &self.keys
     }
 
@@ -101,7 +101,7 @@
         &self,
         answer: Result<Response<Full<Bytes>>>,
         tolerable: u64,
-    ) -> (Ended, Shared) {
+    ) -> (Outcome, Shared) {
         let response = match answer {
             Ok(response) => response,
             Err(error) => return (error.ended(), lost(&error)),
@@ -116,12 +116,12 @@
             };
             let why = Some(format!("status {}", status.as_u16()));
             let reply = Err(begun);
-            return (Ended::Poor, Shared { reply, why });
+            return (Outcome::Incomplete, Shared { reply, why });
         };
         let lacking = self.keys.len() - covered.len();
         let ended = match lacking > tolerable {
-            true => Ended::Poor,
-            false => Ended::Answered,
+            true => Outcome::Incomplete,
+            false => Outcome::Answered,
         };
         let reply = reply(response, &covered, snapshot).await;
         let why = (lacking > 0).then(|| format!("lacks {lacking} of {}", self.keys.len()));
@@ -129,7 +129,7 @@
     }
 
     /// Returns what an answer says that it covers, if that was asked for.
-    fn covered(&self, headers: &HeaderMap) -> Option<(Set, IndexVersion)> {
+    fn covered(&self, headers: &HeaderMap) -> Option<(KeySet, IndexVersion)> {
         let covered = keys(headers.get(COVERED)?)?;
         let is_asked = covered.difference(&self.keys).is_empty();
         let snapshot = number(headers, &SNAPSHOT)?;
@@ -149,7 +149,7 @@
 }
 
 /// Makes a reply of one merged answer, which stands for all keys that it covers.
-async fn reply(response: Response<Full<Bytes>>, covered: &Set, snapshot: IndexVersion) -> Part {
+async fn reply(response: Response<Full<Bytes>>, covered: &KeySet, snapshot: IndexVersion) -> Part {
     let (head, body) = response.into_parts();
     let Ok(body) = body.collect().await;
     let value = Whole {
@@ -172,7 +172,7 @@
 /// Writes into the answer for a part of a search what it covers.
 pub(in crate::gateway) fn set_covered(
     headers: &mut HeaderMap,
-    covered: &Set,
+    covered: &KeySet,
     snapshot: IndexVersion,
 ) {
     if let Ok(covered) = HeaderValue::from_str(&text(covered)) {
@@ -181,7 +181,7 @@
     }
 }
 
-fn text(keys: &Set) -> String {
+fn text(keys: &KeySet) -> String {
     let ranges = keys.ranges().iter();
     let ranges: Vec<String> = ranges
         .map(|range| format!("{}-{}", range.start, range.end))
@@ -189,7 +189,7 @@
     ranges.join(",")
 }
 
-fn keys(value: &HeaderValue) -> Option<Set> {
+fn keys(value: &HeaderValue) -> Option<KeySet> {
     let ranges = value.to_str().ok()?.split(',');
     let ranges = ranges.map(|range| {
         let (start, end) = range.split_once('-')?;
--- a/crates/decision/src/admission/mod.rs
+++ b/crates/decision/src/admission/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::backend::{self, GroupLoad};
 use crate::outcome::Reason;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use limit::Limit;
 use monsoonring_configuration::document::{Class, Route};
 pub use overload::Overload;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankedRequest {
     /// Kind of work that it causes at the backend servers.
-    pub work: Work,
+    pub work: WorkKind,
     /// Rank and latency objective.
     pub urgency: Urgency,
     /// Number of groups that may be missing from its answer.
@@ -166,7 +166,7 @@
 
     /// Returns whether requests of this kind yield: they wait in the home rather than in the servers'
     /// queues, so that they don't delay requests with shorter objectives.
-    pub fn yields(&self, work: Work, urgency: Urgency, now: Time) -> bool {
+    pub fn yields(&self, work: WorkKind, urgency: Urgency, now: Time) -> bool {
         self.ranks.yields(work, urgency.objective, now)
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Records that a request of this kind was answered, for starvation detection.
-    pub fn answered(&mut self, work: Work, now: Time) {
+    pub fn answered(&mut self, work: WorkKind, now: Time) {
         self.ranks.record_answer(work, now);
     }
 
--- a/crates/decision/src/admission/rank.rs
+++ b/crates/decision/src/admission/rank.rs
@@ -10,7 +10,7 @@
 
 use super::{RankedRequest, Waits};
 use crate::backend::Wait;
-use crate::{Time, Work};
+use crate::{Time, WorkKind};
 use derive_more::Display;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -108,7 +108,7 @@
 /// The kinds of requests that share a set of backend servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ranks {
-    kinds: BTreeMap<Work, Kind>,
+    kinds: BTreeMap<WorkKind, Kind>,
 }
 
 impl Ranks {
@@ -129,7 +129,7 @@
     }
 
     /// Records that a request of this kind was answered.
-    pub(super) fn record_answer(&mut self, work: Work, now: Time) {
+    pub(super) fn record_answer(&mut self, work: WorkKind, now: Time) {
         if let Some(kind) = self.kinds.get_mut(&work) {
             kind.answered.add(now);
         }
@@ -173,7 +173,7 @@
 
     /// Returns whether requests of this kind wait in the home rather than in the servers' queues: a kind
     /// with a shorter objective was requested recently, and this kind is not starved.
-    pub(super) fn yields(&self, work: Work, objective: Duration, now: Time) -> bool {
+    pub(super) fn yields(&self, work: WorkKind, objective: Duration, now: Time) -> bool {
         let limit = objective.mul_f64(SHORTER_OBJECTIVE_SHARE);
         self.recent(now).any(|kind| kind.objective < limit) && !self.is_starved(work, now)
     }
@@ -196,7 +196,7 @@
     /// Returns the expected queueing delay of a kind with this objective.
     fn wait(
         &self,
-        work: Work,
+        work: WorkKind,
         objective: Duration,
         waits: &Waits,
         dispensable: usize,
@@ -209,7 +209,7 @@
     }
 
     /// Drops the least recently requested kind if `work` is a new kind and the table is full.
-    fn make_room(&mut self, work: Work) {
+    fn make_room(&mut self, work: WorkKind) {
         if self.kinds.len() < MAX_KINDS || self.kinds.contains_key(&work) {
             return;
         }
@@ -219,7 +219,7 @@
         }
     }
 
-    fn is_starved(&self, work: Work, now: Time) -> bool {
+    fn is_starved(&self, work: WorkKind, now: Time) -> bool {
         let Some(kind) = self.kinds.get(&work) else {
             return false;
         };
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -10,7 +10,7 @@
     Capacity, Class, Group, Hedge, Kind, Retry, Route, SoftDeadline,
 };
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
-use monsoonring_decision::attempt::{AttemptId, ConnectionId, Failure, Refusal, Unopened};
+use monsoonring_decision::attempt::{AttemptId, ConnectFailure, ConnectionId, Failure, Refusal};
 use monsoonring_decision::backend::suspect::CrashSignal;
 use monsoonring_decision::home::action::{Decision, Send};
 use monsoonring_decision::home::event::{Request, Scope};
@@ -240,7 +240,7 @@
     pub(crate) fn on(&mut self, event: Event) {
         let line = describe(&event);
         let is_tick = event == Event::Tick;
-        let actions = self.home.on(event, self.now);
+        let actions = self.home.handle(event, self.now);
         let quiet = actions
             .iter()
             .all(|action| matches!(action, Action::Wake(_)));
@@ -263,11 +263,11 @@
                         continue;
                     }
                     let event = match self.refusing.contains(&server) {
-                        true => Event::ConnectFailed(connection, Unopened::Refused),
+                        true => Event::ConnectFailed(connection, ConnectFailure::Refused),
                         false => Event::Opened(connection),
                     };
                     self.write("<-", &describe(&event));
-                    actions.extend(self.home.on(event, self.now));
+                    actions.extend(self.home.handle(event, self.now));
                 }
                 Action::Close(connection) => self.closes.push(connection),
                 Action::Send(send) => self.sends.push(send),
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -53,7 +53,7 @@
         let (set, usable) = (site.shards(pool), registry.usable());
         let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
         let own = Site::place_name(place).into();
-        let far: BTreeSet<BackendServerId> = shards::far(&set, &usable, &own);
+        let far: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
         let division = Division::among_all_hosts(site.reckoned_hosts(), site.slack);
         let part = Allocation { division, far };
         let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
@@ -79,7 +79,7 @@
             _ => {}
         }
         self.alarm.on_event(now);
-        let actions = self.home.on(event, now);
+        let actions = self.home.handle(event, now);
         self.note(&actions);
         actions
     }
