--- a/crates/decision/src/admission/mod.rs
+++ b/crates/decision/src/admission/mod.rs
@@ -1,9 +1,9 @@
 //! Admission control: decides whether a new request is accepted.
 //!
 //! A request is admitted if it can meet its deadline behind the work already queued at the backend
-//! servers, if its class still fits within the limit on requests in flight ([`limit`]), and if it
-//! exceeds no queueing delay budget ([`rank`]). Otherwise it is refused with the time after which to
-//! retry ([`pace`]). Refusals cost the backend servers nothing, so their throughput stays the same in an
+//! servers, if its class still fits within the limit on requests in flight (`limit`), and if it
+//! exceeds no queueing delay budget (`rank`). Otherwise it is refused with the time after which to
+//! retry (`pace`). Refusals cost the backend servers nothing, so their throughput stays the same in an
 //! overload.
 //!
 //! Requests are never queued here: a queue in front of the servers' own queues would only add delay.
--- a/crates/decision/src/admission/overload.rs
+++ b/crates/decision/src/admission/overload.rs
@@ -15,7 +15,7 @@
     /// A request was refused for the first time in the period.
     #[display("overload began")]
     Began,
-    /// No request was refused for [`QUIET_PERIOD`].
+    /// No request was refused for `QUIET_PERIOD`.
     #[display("overload over, {refused} refused in {lasted:.1?}")]
     Ended {
         /// Number of requests refused.
