--- a/crates/decision/src/home/action.rs
+++ b/crates/decision/src/home/action.rs
@@ -1,4 +1,4 @@
-//! What a home wants done.
+//! Actions that a home asks its driver to carry out.
 
 use crate::attempt::{AttemptId, ConnectionId};
 use crate::content::{Content, Json};
@@ -10,50 +10,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Something that the daemon does for a home.
+/// An instruction for the daemon, returned by [`Home::handle`](super::Home::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<C: Content = Json> {
-    /// Open a connection; answered by `Opened` or `Closed`.
+    /// Opens a connection. The driver answers with `Opened`, `Closed` or `ConnectFailed`.
     Open(ConnectionId, BackendServerId),
-    /// Close a connection. An attempt on it ends without a further event.
+    /// Closes a connection. The driver reports no event for an attempt on it.
     Close(ConnectionId),
-    /// Send an attempt on an idle connection.
+    /// Sends an attempt on an idle connection.
     Send(Send<C>),
-    /// Tell the backend server, on another connection, to cancel an attempt. The attempt's own
+    /// Asks the backend server, on another connection, to cancel an attempt. The attempt's own
     /// connection stays in use until its reply arrives.
     Cancel(AttemptId, BackendServerId),
-    /// The one final result of a request.
+    /// Delivers the final result of a request. There is exactly one per request.
     Finish(RequestId, Outcome<C::Value>),
-    /// Tell the other homes that a backend server is leaving.
+    /// Announces to the other homes that a backend server is leaving.
     AnnounceLeaving(BackendServerId, Option<Incarnation>),
-    /// Tell the other homes that requests with this fingerprint crash backend servers.
+    /// Announces to the other homes that requests with this fingerprint crash backend servers, and
+    /// for how long to refuse them.
     AnnounceSuspect(Fingerprint, Duration),
-    /// Feed `Tick` at this time, or earlier; kept by any event from that time on, as in
+    /// Schedules a `Tick` at this time or earlier. Any event at or after that time replaces it, see
     /// [`Wakeup`](super::Wakeup).
     Wake(Time),
-    /// Write a line to the log.
+    /// Writes a decision to the log.
     Log(Decision),
 }
 
-/// One attempt on its way to a backend server.
+/// An attempt to send to a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send<C: Content = Json> {
-    /// The attempt.
+    /// Id that the events about this attempt refer to.
     pub attempt: AttemptId,
-    /// The idle connection it goes out on.
+    /// The idle connection to send it on.
     pub connection: ConnectionId,
-    /// The server at its other end.
+    /// The server that the connection leads to.
     pub backend_server: BackendServerId,
-    /// The request that it belongs to.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The keys asked for; empty for a non-idempotent request.
+    /// The requested key ranges; empty for a non-idempotent request.
     pub ranges: Vec<Range>,
-    /// The pinned version; `None` while nothing is known of the server's versions.
+    /// The pinned version; `None` while the server's versions are unknown.
     pub index_version: Option<IndexVersion>,
-    /// Time after which the reply is of no use. A driver that comes to send later than this must
-    /// not send, and reports `Failure::NotSent`.
+    /// Time after which the reply is useless. A driver that gets to send later than this must not
+    /// send, and reports `Failure::NotSent`.
     pub deadline: Time,
-    /// What the request asks.
+    /// The body of the request.
     pub body: C::Query,
     /// Idempotency key of a non-idempotent request; `None` for a search.
     pub execute_key: Option<Arc<str>>,
@@ -62,12 +63,12 @@
 /// A routing or placement decision, for the log and for `explain`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// The request decided on, if it is about one.
+    /// The request, if the decision concerns a single one.
     pub request: Option<RequestId>,
-    /// What was decided: `send`, `hedge`, `retry`, `refuse`, `deny`, `discard`, `leave`, `pin`, …
+    /// Kind of decision: `send`, `hedge`, `retry`, `refuse`, `deny`, `discard`, `leave`, `pin`, …
     pub what: &'static str,
-    /// The backend server concerned, if there is one.
+    /// The backend server, if the decision concerns one.
     pub backend_server: Option<BackendServerId>,
-    /// Why it was decided.
+    /// Reason for the decision.
     pub why: Rationale,
 }
--- a/crates/decision/src/home/counts.rs
+++ b/crates/decision/src/home/counts.rs
@@ -1,14 +1,14 @@
-//! Numbers of what a home does, where a line of the log for each would say nothing more.
+//! Counters of a home's decisions on hedges and retries.
 
-/// What a home has counted since its start.
+/// Counters since the start of the home.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Hedges whose reply was taken.
+    /// Hedges whose reply contributed to the answer.
     pub hedges_won: u64,
-    /// Hedges whose keys another attempt answered first.
+    /// Hedges cancelled because another attempt answered first.
     pub hedges_lost: u64,
-    /// Hedges that the budget did not allow.
+    /// Hedges denied by the budget.
     pub hedges_denied: u64,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the budget.
     pub retries_denied: u64,
 }
--- a/crates/decision/src/home/delegation.rs
+++ b/crates/decision/src/home/delegation.rs
@@ -1,8 +1,9 @@
-//! Searches of which another home looks through a part.
+//! Searches that delegate some of their keys to another home.
 //!
-//! What the other home covers is merged like the reply of a backend server, so that coverage, soft deadline and the end
-//! of the search are those of the whole answer. Its keys are not asked for here while it may have begun: it may ask as
-//! many servers of a group as the request may run on.
+//! The other home's reply is merged like the reply of a backend server, so coverage, soft deadline
+//! and completion are those of the whole answer. As long as the other home may have started, this
+//! home doesn't search the delegated keys itself: the other home may already have sent as many
+//! attempts per part as the request allows.
 
 use super::event::Progress;
 use super::state::Home;
@@ -15,53 +16,54 @@
 use crate::{RequestId, Time};
 
 impl<C: Content> Home<C> {
-    /// Takes in what another home has looked through.
-    pub(super) fn gathered(&mut self, id: RequestId, reply: Reply<C::Value>, now: Time) {
-        self.with_run(id, now, |home, run| {
-            run.fanout.send();
+    /// Merges another home's reply for the delegated keys.
+    pub(super) fn delegated_reply(&mut self, id: RequestId, reply: Reply<C::Value>, now: Time) {
+        self.with_search(id, now, |home, search| {
+            search.fanout.send();
             let minimum = home.route.minimum_index_version;
             let covered: KeySet = reply.ranges.iter().copied().collect();
-            let elsewhere = run.take_delegated();
-            let is_asked = covered.difference(&elsewhere).is_empty();
-            if !is_asked
+            let delegated = search.take_delegated();
+            let is_delegated = covered.difference(&delegated).is_empty();
+            if !is_delegated
                 || merge::check(&reply).is_err()
-                || !run.accepts_version(reply.index_version, minimum)
+                || !search.accepts_version(reply.index_version, minimum)
             {
-                home.lose_elsewhere(run, &elsewhere, "answered what was not asked");
+                home.give_up_delegated(search, &delegated, "invalid reply");
                 return;
             }
-            run.accept_delegated(&covered, reply);
-            let lost = elsewhere.difference(&covered);
+            search.accept_delegated(&covered, reply);
+            let lost = delegated.difference(&covered);
             if !lost.is_empty() {
-                home.lose_elsewhere(run, &lost, "not covered");
+                home.give_up_delegated(search, &lost, "missing from the reply");
             }
         });
     }
 
-    /// Takes in that another home does not look through what it was asked for.
-    pub(super) fn not_gathered(&mut self, id: RequestId, begun: Progress, now: Time) {
-        self.with_run(id, now, |home, run| {
-            let elsewhere = run.take_delegated();
-            match begun {
+    /// Searches the delegated keys here if the other home did not start, and gives them up
+    /// otherwise.
+    pub(super) fn delegation_failed(&mut self, id: RequestId, progress: Progress, now: Time) {
+        self.with_search(id, now, |home, search| {
+            let delegated = search.take_delegated();
+            match progress {
                 Progress::NotStarted => {
-                    let why = format!("keys {:?} are asked for here", elsewhere.ranges());
+                    let why = format!("delegated keys {:?} searched here", delegated.ranges());
                     home.log(Some(id), "elsewhere", None, why);
-                    for part in run.add_new_parts(&elsewhere, &home.route) {
-                        home.assign(run, part, Cause::First, now);
+                    for part in search.add_new_parts(&delegated, &home.route) {
+                        home.assign(search, part, Cause::First, now);
                     }
                 }
                 Progress::MaybeStarted => {
-                    run.fanout.send();
-                    home.lose_elsewhere(run, &elsewhere, "lost");
+                    search.fanout.send();
+                    home.give_up_delegated(search, &delegated, "no reply");
                 }
             }
         });
     }
 
-    /// Gives up keys that another home was asked for.
-    fn lose_elsewhere(&mut self, run: &mut Search<C>, keys: &KeySet, what: &str) {
-        let why = format!("keys {:?} elsewhere: {what}", keys.ranges());
-        self.log(Some(run.request.id), "elsewhere", None, why);
-        run.give_up_keys(keys, &self.route, Reason::Lost);
+    /// Gives up delegated keys for which no usable reply exists.
+    fn give_up_delegated(&mut self, search: &mut Search<C>, keys: &KeySet, problem: &str) {
+        let why = format!("delegated keys {:?} given up: {problem}", keys.ranges());
+        self.log(Some(search.request.id), "elsewhere", None, why);
+        search.give_up_keys(keys, &self.route, Reason::Lost);
     }
 }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -1,12 +1,12 @@
-//! Bringing attempts onto connections, and off them.
+//! Queues attempts, sends them on connections, and cancels them.
 //!
-//! An attempt counts as outstanding at its server from the moment that the server is chosen, also
-//! while it waits for a connection: otherwise a burst that finds no connection open would choose
-//! the same server again and again. The time that a caller sees includes that wait, so the learned
-//! latencies do too.
+//! An attempt counts as outstanding at its server as soon as the server is chosen, also while it
+//! waits for a connection. Otherwise a burst that finds no open connection would choose the same
+//! server for every request. Callers see the wait for a connection too, so learned latencies
+//! include it.
 
 use super::action::{Action, Send};
-use super::ending::LOOK_AT_MOST;
+use super::completion::MAX_CHECK_INTERVAL;
 use super::event::Request;
 use super::flight::{Flight, Owner};
 use super::state::Home;
@@ -20,88 +20,87 @@
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 use std::time::Duration;
 
-/// How long after its request's deadline an attempt may still occupy a connection. A server gives
-/// up at the deadline and says so; without an answer the connection has gone silent, and would
-/// be lost from the home's share for good.
-const ANSWER_GRACE: Duration = Duration::from_secs(1);
+/// Time after a request's deadline at which its connection is given up. A server reports by then
+/// that it stopped at the deadline, so a connection without a reply is broken.
+const REPLY_GRACE: Duration = Duration::from_secs(1);
 
-/// Time within which cancellations are confirmed. The fleet looks for those that were not.
-const CONFIRMATION: Duration = Duration::from_secs(5);
+/// Time within which a server has to confirm a cancellation; the fleet detects missing
+/// confirmations.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time from a hedge that was denied to the one that may use the budget's reserve, as a share of the
-/// hedge's delay. With this the second comes at about the 99th percentile if the first comes at the
-/// 95th, so that ordinary slowness alone asks for a fifth of what it asked for first.
-const LATE: f64 = 0.5;
+/// Time from a denied hedge to the late hedge that may use the budget's reserve, as a share of the
+/// hedge delay.
+const LATE_HEDGE_DELAY_SHARE: f64 = 0.5;
 
-/// How many of those who wait may find no room before the others are not asked any more.
-const MISSES_AT_MOST: usize = 4;
+/// Number of waiters of a group that may find no slot before the rest of the group is skipped.
+const MAX_MISSES: usize = 4;
 
-/// What a new attempt is about.
-pub(super) struct Task<'a, C: Content> {
+/// Parameters of a new attempt.
+pub(super) struct AttemptSpec<'a, C: Content> {
     pub(super) owner: Owner,
     pub(super) request: &'a Request<C>,
     pub(super) server: BackendServerId,
-    pub(super) asked: KeySet,
+    pub(super) keys: KeySet,
     pub(super) version: Option<IndexVersion>,
     pub(super) cause: Cause,
 }
 
 impl<C: Content> Home<C> {
-    /// Makes an attempt and puts it into the queue of its server.
-    pub(super) fn enqueue(&mut self, task: Task<'_, C>, now: Time) -> AttemptId {
+    /// Creates an attempt and adds it to the queue of its server.
+    pub(super) fn enqueue(&mut self, spec: AttemptSpec<'_, C>, now: Time) -> AttemptId {
         let id = self.next_attempt;
         self.next_attempt += 1;
-        let server = task.server;
-        let hedge_delay = self.hedge_delay(&task, now);
+        let server = spec.server;
+        let hedge_delay = self.hedge_delay(&spec, now);
         let flight = Flight {
             id,
-            owner: task.owner,
+            owner: spec.owner,
             server,
-            class: task.request.class,
-            fingerprint: task.request.fingerprint,
-            asked: task.asked,
-            version: task.version,
+            class: spec.request.class,
+            fingerprint: spec.request.fingerprint,
+            keys: spec.keys,
+            version: spec.version,
             connection: None,
-            cause: task.cause,
-            deadline: task.request.deadline,
+            cause: spec.cause,
+            deadline: spec.request.deadline,
             hedge_at: hedge_delay.map(|delay| now + delay),
-            late_by: hedge_delay.map(|delay| delay.mul_f64(LATE)),
+            late_hedge_delay: hedge_delay.map(|delay| delay.mul_f64(LATE_HEDGE_DELAY_SHARE)),
             check_at: None,
-            lost_at: task.request.deadline + ANSWER_GRACE,
+            give_up_at: spec.request.deadline + REPLY_GRACE,
         };
-        self.timers.set(flight.next(), Timer::Attempt(id));
-        let work = self.params(task.request).work;
+        self.timers.set(flight.next_due(), Timer::Attempt(id));
+        let work = self.params(spec.request).work;
         self.fleet.sent_for(work, server, id, now);
         self.flights.queue(flight);
-        *self.callable.entry(server).or_default() += 1;
+        *self.pending_acquires.entry(server).or_default() += 1;
         id
     }
 
-    fn hedge_delay(&self, task: &Task<'_, C>, now: Time) -> Option<Duration> {
+    fn hedge_delay(&self, spec: &AttemptSpec<'_, C>, now: Time) -> Option<Duration> {
         let hedge = self.route.hedge;
-        let may = hedge.budget_percent > 0.0
-            && !task.cause.is_second()
-            && matches!(task.owner, Owner::Part(..));
-        let work = self.params(task.request).work;
-        may.then(|| {
+        let is_allowed = hedge.budget_percent > 0.0
+            && !spec.cause.is_second()
+            && matches!(spec.owner, Owner::Part(..));
+        let work = self.params(spec.request).work;
+        is_allowed.then(|| {
             self.fleet
-                .hedge_delay_of(work, task.server, hedge.quantile, now)
+                .hedge_delay_of(work, spec.server, hedge.quantile, now)
         })
     }
 
-    /// Sends what waits for connections that are there. Each attempt asks for a connection once
-    /// when it is queued and each connection once when it is free: the pool counts every miss as
-    /// demand for one more.
-    pub(super) fn transmit(&mut self, now: Time) {
-        while let Some((server, asks)) = self.callable.pop_first() {
-            for _ in 0..asks {
-                self.transmit_first(server, now);
+    /// Sends queued attempts on idle connections. Acquires a connection once per queued attempt and
+    /// once per freed connection only, because the pool counts each failed acquire as demand for
+    /// another connection.
+    pub(super) fn send_queued(&mut self, now: Time) {
+        while let Some((server, count)) = self.pending_acquires.pop_first() {
+            for _ in 0..count {
+                self.send_next(server, now);
             }
         }
     }
 
-    fn transmit_first(&mut self, server: BackendServerId, now: Time) {
-        let Some(id) = self.flights.first(server) else {
+    fn send_next(&mut self, server: BackendServerId, now: Time) {
+        let Some(id) = self.flights.first_queued(server) else {
             return;
         };
         let owner = self.flights.get(id).map(|flight| flight.owner);
@@ -112,67 +111,68 @@
         let Some(connection) = connection else {
             return;
         };
-        if self.may_send(id, now) {
+        if self.can_send(id, now) {
             self.send(id, connection, now);
             return;
         }
         self.pool.put_back(connection, now);
-        *self.callable.entry(server).or_default() += 1;
+        *self.pending_acquires.entry(server).or_default() += 1;
         if let Some(owner) = owner {
-            self.hold(id, owner, now);
+            self.quarantine(id, owner, now);
         }
     }
 
-    fn may_send(&self, id: AttemptId, now: Time) -> bool {
+    fn can_send(&self, id: AttemptId, now: Time) -> bool {
         let flight = self.flights.get(id);
         flight.is_some_and(|flight| self.suspects.may_send(flight.fingerprint, now))
     }
 
-    /// Takes back an attempt whose fingerprint went into quarantine while it waited.
-    fn hold(&mut self, id: AttemptId, owner: Owner, now: Time) {
+    /// Withdraws an attempt whose fingerprint was quarantined while the attempt was queued; its
+    /// owner waits for the quarantine.
+    fn quarantine(&mut self, id: AttemptId, owner: Owner, now: Time) {
         let Some(flight) = self.withdraw(id, now) else {
             return;
         };
         let (request, part) = match owner {
             Owner::Part(request, part) => (request, Some(part)),
             Owner::Execution(request) => (request, None),
-            Owner::Nobody => return,
+            Owner::Detached => return,
         };
         self.release_owner(&flight, owner);
-        let held = self.held.entry(flight.fingerprint).or_default();
-        held.insert((flight.class, now, request, part));
+        let quarantined = self.quarantined.entry(flight.fingerprint).or_default();
+        quarantined.insert((flight.class, now, request, part));
     }
 
-    /// Makes the owner forget an attempt that was withdrawn before it was sent.
+    /// Removes a withdrawn attempt from its owner.
     pub(super) fn release_owner(&mut self, flight: &Flight, owner: Owner) {
         match owner {
             Owner::Part(request, part) => {
-                let run = self.runs.get_mut(&request);
-                if let Some(part) = run.and_then(|run| run.parts.get_mut(&part)) {
+                let search = self.searches.get_mut(&request);
+                if let Some(part) = search.and_then(|search| search.parts.get_mut(&part)) {
                     part.live.retain(|live| *live != flight.id);
                     part.attempts = part.attempts.saturating_sub(1);
                 }
             }
             Owner::Execution(request) => self.withdraw_execution(request),
-            Owner::Nobody => {}
+            Owner::Detached => {}
         }
     }
 
     fn send(&mut self, id: AttemptId, connection: ConnectionId, now: Time) {
-        let Some(flight) = self.flights.board(id, connection) else {
+        let Some(flight) = self.flights.mark_sent(id, connection) else {
             return;
         };
-        let planned = flight.next();
-        let patience = self.fleet.silence_timeout(flight.server, now);
-        flight.check_at = Some(now + patience.min(LOOK_AT_MOST));
+        let planned = flight.next_due();
+        let timeout = self.fleet.silence_timeout(flight.server, now);
+        flight.check_at = Some(now + timeout.min(MAX_CHECK_INTERVAL));
         let flight = flight.clone();
         self.timers.clear(planned, Timer::Attempt(id));
-        self.timers.set(flight.next(), Timer::Attempt(id));
-        let Some(request) = self.depart(&flight) else {
+        self.timers.set(flight.next_due(), Timer::Attempt(id));
+        let Some(request) = self.mark_sent(&flight) else {
             return;
         };
         self.fleet.transmitted(id, now);
-        self.fleet_changed |= self.fleet.is_cold(flight.server);
+        self.fleet_wake_stale |= self.fleet.is_cold(flight.server);
         self.suspects
             .sent(id, flight.fingerprint, flight.server, now);
         self.actions.push(Action::Send(Send {
@@ -180,7 +180,7 @@
             connection,
             backend_server: flight.server,
             request: request.id,
-            ranges: flight.asked.ranges().to_vec(),
+            ranges: flight.keys.ranges().to_vec(),
             index_version: flight.version,
             deadline: flight.deadline,
             body: request.body,
@@ -188,29 +188,30 @@
         }));
     }
 
-    /// Tells the owner that its attempt may be running from now on.
-    fn depart(&mut self, flight: &Flight) -> Option<Request<C>> {
+    /// Records at the owner that the attempt may be running from now on, and returns the request.
+    fn mark_sent(&mut self, flight: &Flight) -> Option<Request<C>> {
         match flight.owner {
             Owner::Part(request, _) => {
-                let run = self.runs.get_mut(&request)?;
-                run.fanout.send();
-                Some(run.request.clone())
+                let search = self.searches.get_mut(&request)?;
+                search.fanout.send();
+                Some(search.request.clone())
             }
-            Owner::Execution(request) => self.depart_execution(request),
-            Owner::Nobody => None,
+            Owner::Execution(request) => self.mark_execution_sent(request),
+            Owner::Detached => None,
         }
     }
 
-    /// Takes an attempt out of the queue of its server; no byte of it has left.
+    /// Removes a queued attempt and refunds its hedge or retry. Returns `None` if the attempt was
+    /// already sent.
     pub(super) fn withdraw(&mut self, id: AttemptId, now: Time) -> Option<Flight> {
         let is_sent = self.flights.get(id)?.connection.is_some();
         if is_sent {
             return None;
         }
         let flight = self.flights.remove(id)?;
-        self.timers.clear(flight.next(), Timer::Attempt(id));
+        self.timers.clear(flight.next_due(), Timer::Attempt(id));
         self.fleet.forget(id, now);
-        let mut why = format!("attempt {id} had not left");
+        let mut why = format!("attempt {id} was not sent");
         match flight.cause {
             Cause::Hedge | Cause::LateHedge => {
                 if let Some(budgets) = self.budgets_of(flight.server) {
@@ -227,12 +228,12 @@
             _ => {}
         }
         self.log(None, "withdraw", Some(flight.server), why);
-        self.touch(flight.server);
+        self.mark_room(flight.server);
         Some(flight)
     }
 
-    /// Cancels an attempt that nobody needs any more. One that was sent stays on record until its
-    /// reply frees the connection.
+    /// Cancels an attempt whose result is no longer needed. A sent attempt keeps its connection
+    /// until its reply arrives.
     pub(super) fn cancel(&mut self, id: AttemptId, now: Time) {
         if self.withdraw(id, now).is_some() {
             return;
@@ -240,58 +241,61 @@
         let Some(flight) = self.flights.get_mut(id) else {
             return;
         };
-        flight.owner = Owner::Nobody;
+        flight.owner = Owner::Detached;
         let server = flight.server;
         self.fleet.cancelling(id, now);
-        if self.fleet_at.is_none_or(|at| at > now + CONFIRMATION) {
-            self.fleet_changed = true;
+        if self
+            .fleet_wake_at
+            .is_none_or(|at| at > now + CANCEL_TIMEOUT)
+        {
+            self.fleet_wake_stale = true;
         }
         self.actions.push(Action::Cancel(id, server));
     }
 
-    /// Lets those try again whose group has changed or whose turn may have come.
-    fn serve_held(&mut self, now: Time) {
-        for fingerprint in std::mem::take(&mut self.freed) {
-            let held = self.held.remove(&fingerprint).unwrap_or_default();
-            for waiter in held {
+    /// Resumes the waiters of fingerprints for which an attempt has ended.
+    fn resume_quarantined(&mut self, now: Time) {
+        for fingerprint in std::mem::take(&mut self.freed_fingerprints) {
+            let quarantined = self.quarantined.remove(&fingerprint).unwrap_or_default();
+            for waiter in quarantined {
                 self.resume(waiter, now);
             }
         }
     }
 
-    /// Serves those who wait: all of a group whose servers changed, and of a group that only has
-    /// room again as many as find some. Past saturation there are many who wait, and asking them
-    /// all after each reply would cost more than the replies.
-    pub(super) fn serve(&mut self, now: Time) {
-        self.serve_held(now);
-        for group in std::mem::take(&mut self.changed) {
-            self.touched.remove(&group);
-            self.serve_group(group, usize::MAX, now);
+    /// Resumes waiters: all of a group whose usable servers changed, and of a group with a freed
+    /// slot until [`MAX_MISSES`] of them find none. Under overload there are many waiters, and
+    /// resuming all after each reply would cost more than the replies.
+    pub(super) fn resume_waiters(&mut self, now: Time) {
+        self.resume_quarantined(now);
+        for group in std::mem::take(&mut self.changed_groups) {
+            self.groups_with_room.remove(&group);
+            self.resume_group(group, usize::MAX, now);
         }
-        for group in std::mem::take(&mut self.touched) {
-            self.serve_group(group, MISSES_AT_MOST, now);
+        for group in std::mem::take(&mut self.groups_with_room) {
+            self.resume_group(group, MAX_MISSES, now);
         }
     }
 
-    fn serve_group(&mut self, group: usize, misses_at_most: usize, now: Time) {
+    fn resume_group(&mut self, group: usize, max_misses: usize, now: Time) {
         let Some(mut waiting) = self.waiting.remove(&group) else {
             return;
         };
         let mut misses = 0;
-        while misses < misses_at_most {
+        while misses < max_misses {
             let Some(waiter) = waiting.pop_first() else {
                 return;
             };
-            let queued = self.next_attempt;
+            let before = self.next_attempt;
             self.resume(waiter, now);
-            misses += usize::from(self.next_attempt == queued);
+            misses += usize::from(self.next_attempt == before);
         }
         self.waiting.entry(group).or_default().append(&mut waiting);
     }
 
-    /// Takes one who waits off the lists. Without this, a group whose servers are all gone would
-    /// collect one entry for each request of that time.
-    pub(super) fn forget(&mut self, group: usize, waiter: &Waiter) {
+    /// Removes a waiter whose request has ended. Otherwise the list would grow without bound while
+    /// all servers of a group are down.
+    pub(super) fn remove_waiter(&mut self, group: usize, waiter: &Waiter) {
         if let Some(waiting) = self.waiting.get_mut(&group) {
             waiting.remove(waiter);
         }
@@ -304,8 +308,8 @@
         }
     }
 
-    /// Carries out what the pool wants.
-    pub(super) fn command(&mut self, now: Time) {
+    /// Turns the commands of the pool into actions.
+    pub(super) fn apply_pool_commands(&mut self, now: Time) {
         for command in self.pool.reconcile(now) {
             self.actions.push(match command {
                 Command::Open(id, server) => Action::Open(id, server),
--- a/crates/decision/src/home/event.rs
+++ b/crates/decision/src/home/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a home.
+//! Events that a home handles.
 
 use super::params::Params;
 use crate::attempt::{AttemptId, ConnectFailure, ConnectionId, Failure};
@@ -13,99 +13,101 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A request that reached its home.
+/// A request that was routed to this home.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request<C: Content = Json> {
-    /// Its id.
+    /// Id of the request, unique over all daemons.
     pub id: RequestId,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// How much it counts.
+    /// Priority class, which decides the order in queues and admission.
     pub class: Class,
-    /// Time by which the caller wants the answer, on this process's clock.
+    /// Time by which the caller needs the answer, on this process's clock.
     pub deadline: Time,
     /// Hash of route and body.
     pub fingerprint: Fingerprint,
-    /// What goes to the backend servers.
+    /// Body that is sent to the backend servers.
     pub body: C::Query,
     /// Idempotency key of a non-idempotent request; `None` for a search.
     pub execute_key: Option<Arc<str>>,
-    /// What holds for this request; `None` for what the home's route says.
+    /// Parameters of the request; `None` for the parameters of the home's route.
     pub params: Option<Params>,
-    /// Which keys are asked for.
+    /// The requested keys.
     pub scope: Scope,
 }
 
-/// Which keys a search asks for, and who looks through them.
+/// The keys that a search covers, and those of them that another home searches.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scope {
-    /// The keys asked for; `None` for all keys of the route.
+    /// The requested keys; `None` for all keys of the route.
     pub only: Option<KeySet>,
-    /// Those of them that another home looks through, which
-    /// [`Event::DelegatedReply`] or [`Event::DelegationFailed`] tell of.
+    /// Keys among them that are delegated to another home. [`Event::DelegatedReply`] or
+    /// [`Event::DelegationFailed`] reports the result.
     pub delegated: KeySet,
 }
 
-/// Whether another home has begun what it was asked for.
+/// Whether another home started to search the keys delegated to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It has not, and won't.
+    /// It sent no attempt and will not.
     NotStarted,
-    /// It may have asked as many servers as the request may run on.
+    /// It may have sent as many attempts per part as the request allows.
     MaybeStarted,
 }
 
-/// Something that a home has to react to.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<C: Content = Json> {
     /// A request arrived.
     Request(Request<C>),
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     Abandoned(RequestId),
-    /// Another home has looked through keys of a search; the ranges of the reply are those that it covers.
+    /// Another home searched delegated keys; the ranges of the reply are the keys that it covers.
     DelegatedReply(RequestId, Reply<C::Value>),
-    /// Another home does not look through the keys of a search that it was asked for.
+    /// Another home did not return a result for the keys delegated to it.
     DelegationFailed(RequestId, Progress),
-    /// A connection asked for by an action is ready.
+    /// A requested connection is ready.
     Opened(ConnectionId),
-    /// A connection asked for could not be made, or an idle one has ended.
+    /// A requested connection could not be opened, or an idle one was closed.
     Closed(ConnectionId),
-    /// A connection asked for could not be made, with what is known of why.
+    /// A requested connection could not be opened, with the cause.
     ConnectFailed(ConnectionId, ConnectFailure),
     /// An attempt was answered; its connection is idle again.
     Reply(AttemptId, Reply<C::Value>),
-    /// An attempt of a non-idempotent request was answered with its result.
+    /// An attempt of a non-idempotent request returned its result.
     Executed(AttemptId, C::Value, Report),
-    /// An attempt ended otherwise.
+    /// An attempt ended without a usable reply.
     Failed(AttemptId, Failure),
     /// The configuration of the route changed.
     Route(Arc<Route>),
-    /// Other starts are at the addresses of these backend servers.
+    /// Backend servers that were replaced: the instances at these addresses have other start
+    /// numbers.
     Replaced(BTreeSet<BackendServerId>),
-    /// The backend servers of the route that are in other data centres than this home.
+    /// The backend servers of the route that are in other data centres than this home. Replaces the
+    /// previous set.
     RemoteServers(BTreeSet<BackendServerId>),
-    /// The backend servers that are cold, of the route or not.
+    /// All backend servers that are cold, of this route or others. Replaces the previous set.
     Cold(BTreeMap<BackendServerId, ColdLimit>),
-    /// The homes of the route, this one included, changed.
+    /// The set of homes of the route, this one included, changed.
     Homes(Homes),
-    /// A backend server is leaving; only a start number above `start` undoes it.
+    /// A backend server is leaving. Only a start number above `start` ends this state.
     Leaving {
-        /// The server.
+        /// The server that is leaving.
         backend_server: BackendServerId,
-        /// The start number that is leaving, where it is known.
+        /// The start number that is leaving, if known.
         start: Option<Incarnation>,
     },
     /// Another home found that requests with this fingerprint crash backend servers.
     Suspect {
-        /// The requests' fingerprint.
+        /// Fingerprint of the requests.
         fingerprint: Fingerprint,
         /// Time until which they are refused, on this process's clock.
         until: Time,
     },
-    /// The load endpoint of a backend server was read, `None` where it did not answer.
+    /// The load endpoint of a backend server was polled; `None` if it did not answer.
     Polled(BackendServerId, Option<Report>),
     /// The time of the earliest `Wake` has come.
     Tick,
-    /// The daemon stops: finish what is in flight, refuse what is new.
+    /// The daemon is stopping: requests in progress finish, new ones are refused.
     Stop,
 }
--- a/crates/decision/src/home/execute.rs
+++ b/crates/decision/src/home/execute.rs
@@ -1,9 +1,9 @@
-//! Non-idempotent requests: one server, once.
+//! Non-idempotent requests: at most one server runs each.
 //!
-//! There is no hedge here, no retry after a lost connection and no cancellation. The states of
-//! [`Execution`] leave no other way.
+//! They are never hedged, retried after a lost connection, or cancelled. The states of
+//! [`Execution`] enforce this.
 
-use super::dispatch::Task;
+use super::dispatch::AttemptSpec;
 use super::event::Request;
 use super::flight::{Flight, Owner};
 use super::state::Home;
@@ -20,39 +20,39 @@
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::id::BackendServerId;
 
-/// The only group of a route whose requests run at one server.
+/// Index of the only group of a route for non-idempotent requests.
 const EXECUTE_GROUP: usize = 0;
 
 impl<C: Content> Home<C> {
     /// Starts a non-idempotent request.
     pub(super) fn execute(&mut self, request: Request<C>, now: Time) {
-        self.place(Execution::new(request, now), now);
+        self.assign_execution(Execution::new(request, now), now);
     }
 
-    /// Finds the one server for a request of which nothing has run; without one it waits, or ends
+    /// Assigns a server to a request that has not run. Without a server the request waits, or ends
     /// as not run.
-    fn place(&mut self, execution: Execution<C>, now: Time) {
+    fn assign_execution(&mut self, execution: Execution<C>, now: Time) {
         if !execution.is_waiting() {
             self.executions.insert(execution.request.id, execution);
             return;
         }
         let cause = execution.cause;
         if cause == Cause::Retry && execution.attempts >= self.route.retry.attempts {
-            self.end_unplaced(execution, now);
+            self.end_unassigned(execution, now);
             return;
         }
         if !self.suspects.may_send(execution.request.fingerprint, now) {
-            self.hold_execution(execution);
+            self.quarantine_execution(execution);
             return;
         }
         match self.pick_for_execution(&execution, now) {
             Some((server, why))
-                if self.afford(EXECUTE_GROUP, cause, Importance::Required(0), now) =>
+                if self.take_budget(EXECUTE_GROUP, cause, Importance::Required(0), now) =>
             {
                 self.log(Some(execution.request.id), "execute", Some(server), why);
                 self.queue_execution(execution, server, now);
             }
-            Some(_) => self.end_unplaced(execution, now),
+            Some(_) => self.end_unassigned(execution, now),
             None => self.park_execution(execution, now),
         }
     }
@@ -64,10 +64,10 @@
     ) -> Option<(BackendServerId, LeastLoaded)> {
         let candidates = self.placement.servers();
         let rng = &mut self.rng;
-        let fresh =
+        let untried =
             self.fleet
                 .choose_with(candidates, &execution.tried, None, Repeat::Never, now, rng);
-        let choice = match fresh {
+        let choice = match untried {
             Some(choice) => Some(choice),
             None if execution.tried.is_empty() => None,
             None => self
@@ -78,23 +78,23 @@
     }
 
     fn queue_execution(&mut self, execution: Execution<C>, server: BackendServerId, now: Time) {
-        let task = Task {
+        let spec = AttemptSpec {
             owner: Owner::Execution(execution.request.id),
             request: &execution.request,
             server,
-            asked: KeySet::default(),
+            keys: KeySet::default(),
             version: None,
             cause: execution.cause,
         };
-        let id = self.enqueue(task, now);
+        let id = self.enqueue(spec, now);
         self.executions
             .insert(execution.request.id, execution.queue(id));
     }
 
-    fn hold_execution(&mut self, execution: Execution<C>) {
+    fn quarantine_execution(&mut self, execution: Execution<C>) {
         let request = &execution.request;
-        let held = self.held.entry(request.fingerprint).or_default();
-        held.insert(execution.waiter());
+        let quarantined = self.quarantined.entry(request.fingerprint).or_default();
+        quarantined.insert(execution.waiter());
         self.executions.insert(request.id, execution);
     }
 
@@ -102,9 +102,10 @@
         let request = &execution.request;
         let deadline = request.deadline;
         let servers = self.placement.servers();
-        let hopeful = |server: &BackendServerId| self.is_hopeful(*server, None, deadline, now);
-        if !servers.iter().any(hopeful) {
-            self.end_unplaced(execution, now);
+        let is_available =
+            |server: &BackendServerId| self.is_available_before(*server, None, deadline, now);
+        if !servers.iter().any(is_available) {
+            self.end_unassigned(execution, now);
             return;
         }
         for group in 0..self.route.groups.len() {
@@ -114,42 +115,44 @@
         self.executions.insert(request.id, execution);
     }
 
-    fn end_unplaced(&mut self, execution: Execution<C>, now: Time) {
+    fn end_unassigned(&mut self, execution: Execution<C>, now: Time) {
         let reason = execution.reason;
         self.finish_execution(execution, reason, now);
     }
 
-    /// Tries again for a request that waited.
+    /// Resumes a request that waited for a server.
     pub(super) fn resume_execution(&mut self, id: RequestId, now: Time) {
         if let Some(execution) = self.executions.remove(&id) {
-            self.place(execution, now);
+            self.assign_execution(execution, now);
         }
     }
 
-    /// Finds another server for a request whose server can't be used any more.
+    /// Assigns another server to a request whose server became unusable before the request was
+    /// sent.
     pub(super) fn move_execution(&mut self, id: RequestId, now: Time) {
         if let Some(mut execution) = self.executions.remove(&id) {
             execution.cause = Cause::Remainder;
-            self.place(execution, now);
+            self.assign_execution(execution, now);
         }
     }
 
-    /// Marks the attempt as possibly running, and returns the request.
-    pub(super) fn depart_execution(&mut self, id: RequestId) -> Option<Request<C>> {
+    /// Marks the request as possibly running, and returns it.
+    pub(super) fn mark_execution_sent(&mut self, id: RequestId) -> Option<Request<C>> {
         let execution = self.executions.remove(&id)?;
         let request = execution.request.clone();
         self.executions.insert(id, execution.send());
         Some(request)
     }
 
-    /// Takes the attempt out of the queue; the request waits again.
+    /// Puts a request whose attempt was withdrawn back into the waiting state.
     pub(super) fn withdraw_execution(&mut self, id: RequestId) {
         if let Some(execution) = self.executions.remove(&id) {
             self.executions.insert(id, execution.withdraw());
         }
     }
 
-    /// Takes in how the one attempt ended without a result.
+    /// Handles the failure of the only attempt: assigns another server if the request provably did
+    /// not run, and ends it otherwise.
     pub(super) fn execution_failed(
         &mut self,
         id: RequestId,
@@ -166,9 +169,9 @@
             return;
         };
         match attempt.fail(failure) {
-            Disposition::NotRun(unrun) => {
-                execution.state = State::Waiting(unrun);
-                self.place_again(execution, failure, now);
+            Disposition::NotRun(proof) => {
+                execution.state = State::Waiting(proof);
+                self.reassign_execution(execution, failure, now);
             }
             Disposition::Ran => {
                 let outcome = Outcome::Failed {
@@ -185,19 +188,19 @@
         }
     }
 
-    fn place_again(&mut self, mut execution: Execution<C>, failure: &Failure, now: Time) {
+    fn reassign_execution(&mut self, mut execution: Execution<C>, failure: &Failure, now: Time) {
         if search::is_final(failure) {
-            self.end_unplaced(execution, now);
+            self.end_unassigned(execution, now);
             return;
         }
         execution.cause = match failure {
             Failure::NotSent => Cause::Remainder,
             _ => Cause::Retry,
         };
-        self.place(execution, now);
+        self.assign_execution(execution, now);
     }
 
-    /// Takes in the result of the one attempt.
+    /// Ends a request with the result of its only attempt.
     pub(super) fn execution_succeeded(&mut self, id: RequestId, value: C::Value, now: Time) {
         if let Some(execution) = self.executions.remove(&id) {
             let outcome = Outcome::Executed(value);
@@ -205,8 +208,8 @@
         }
     }
 
-    /// The caller went away. A request that may be running goes on: its result is still worth
-    /// knowing when the caller sends it again under the same key.
+    /// Ends an abandoned request unless it may be running. In that case the result is kept for a
+    /// caller that sends the request again with the same idempotency key.
     pub(super) fn abandon_execution(&mut self, id: RequestId, now: Time) {
         let Some(execution) = self.executions.remove(&id) else {
             return;
@@ -218,14 +221,14 @@
         self.finish_execution(execution, Reason::Abandoned, now);
     }
 
-    /// Ends the requests of a fingerprint that crashes servers, except for those that may be
-    /// running: how they end is still to be seen.
-    pub(super) fn condemn_executions(&mut self, fingerprint: Fingerprint, now: Time) {
+    /// Ends waiting requests of a fingerprint that crashes servers. Those that may be running
+    /// continue, because their result is still open.
+    pub(super) fn end_suspect_executions(&mut self, fingerprint: Fingerprint, now: Time) {
         let executions = self.executions.values();
-        let like = executions
+        let matching = executions
             .filter(|execution| execution.request.fingerprint == fingerprint)
             .filter(|execution| !execution.is_sent());
-        let ids: Vec<RequestId> = like.map(|execution| execution.request.id).collect();
+        let ids: Vec<RequestId> = matching.map(|execution| execution.request.id).collect();
         for id in ids {
             if let Some(execution) = self.executions.remove(&id) {
                 self.finish_execution(execution, Reason::Suspect, now);
@@ -233,33 +236,33 @@
         }
     }
 
-    /// Ends a request without a result: not run where that is proved, unknown otherwise.
+    /// Ends a request without a result: as not run if that is proven, as unknown otherwise.
     pub(super) fn finish_execution(&mut self, execution: Execution<C>, reason: Reason, now: Time) {
         if let Some(attempt) = execution.attempt() {
-            self.disown(attempt, now);
+            self.detach_attempt(attempt, now);
         }
         for group in 0..self.route.groups.len() {
-            self.forget(group, &execution.waiter());
+            self.remove_waiter(group, &execution.waiter());
         }
         let request = execution.request.clone();
-        let began = execution.started;
+        let started = execution.started;
         let outcome = execution.give_up(reason);
-        self.end(&request, began, outcome, now);
+        self.end(&request, started, outcome, now);
     }
 
-    /// Lets an attempt go on without its request; one that waits is taken back.
-    fn disown(&mut self, attempt: u64, now: Time) {
+    /// Detaches an attempt from its request; withdraws it if it is still queued.
+    fn detach_attempt(&mut self, attempt: u64, now: Time) {
         if self.withdraw(attempt, now).is_some() {
             return;
         }
         if let Some(flight) = self.flights.get_mut(attempt) {
-            flight.owner = Owner::Nobody;
+            flight.owner = Owner::Detached;
         }
     }
 
-    fn end(&mut self, request: &Request<C>, began: Time, outcome: Outcome<C::Value>, now: Time) {
+    fn end(&mut self, request: &Request<C>, started: Time, outcome: Outcome<C::Value>, now: Time) {
         self.log(Some(request.id), "finish", None, summary(&outcome));
-        self.finish(request, began, outcome, now);
+        self.finish(request, started, outcome, now);
     }
 }
 
--- a/crates/decision/src/home/flight.rs
+++ b/crates/decision/src/home/flight.rs
@@ -1,4 +1,4 @@
-//! Attempts in progress, and those that wait for a connection.
+//! Attempts in flight or queued for a connection.
 
 use crate::attempt::{AttemptId, ConnectionId};
 use crate::query::coverage::KeySet;
@@ -10,19 +10,19 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What an attempt is made for.
+/// What an attempt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Owner {
     /// A part of a search.
     Part(RequestId, PartId),
     /// A non-idempotent request.
     Execution(RequestId),
-    /// Nobody any more: it was cancelled or its request has ended. It stays on record because its
-    /// connection is busy until it ends.
-    Nobody,
+    /// Nothing: it was cancelled or its request has ended. It stays in the table until it ends,
+    /// because it occupies its connection until then.
+    Detached,
 }
 
-/// An attempt in progress.
+/// An attempt that is queued or in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Flight {
     pub(super) id: AttemptId,
@@ -30,32 +30,32 @@
     pub(super) server: BackendServerId,
     pub(super) class: Class,
     pub(super) fingerprint: Fingerprint,
-    /// The keys asked for.
-    pub(super) asked: KeySet,
+    /// The requested keys.
+    pub(super) keys: KeySet,
     pub(super) version: Option<IndexVersion>,
-    /// The connection it was sent on; `None` while it waits for one.
+    /// The connection that it was sent on; `None` while queued.
     pub(super) connection: Option<ConnectionId>,
     pub(super) cause: Cause,
     pub(super) deadline: Time,
-    /// When to send a second one, if nothing has come by then.
+    /// When to send a hedge if no reply has arrived.
     pub(super) hedge_at: Option<Time>,
-    /// How much later to try again where the hedge budget has nothing to spare; `None` after that.
-    pub(super) late_by: Option<Duration>,
-    /// When to look whether its connection has gone silent; `None` while it waits for one.
+    /// Delay until the late hedge if the budget denies the first one; `None` once that is used.
+    pub(super) late_hedge_delay: Option<Duration>,
+    /// When to check whether the connection is silent; `None` while queued.
     pub(super) check_at: Option<Time>,
-    /// When to give up its connection, whatever others do.
-    pub(super) lost_at: Time,
+    /// When to give up the connection unconditionally.
+    pub(super) give_up_at: Time,
 }
 
 impl Flight {
-    /// Returns when something is due next.
-    pub(super) fn next(&self) -> Time {
-        let due = [self.hedge_at, self.check_at, Some(self.lost_at)];
-        due.into_iter().flatten().min().unwrap_or(self.lost_at)
+    /// Returns when the next timer of the attempt is due.
+    pub(super) fn next_due(&self) -> Time {
+        let due = [self.hedge_at, self.check_at, Some(self.give_up_at)];
+        due.into_iter().flatten().min().unwrap_or(self.give_up_at)
     }
 }
 
-/// The attempts in progress.
+/// The attempts of a home, by id, by connection and by server queue.
 #[derive(Debug, Default)]
 pub(super) struct Table {
     flights: FxHashMap<AttemptId, Flight>,
@@ -73,31 +73,35 @@
     }
 
     /// Returns the attempt that occupies a connection.
-    pub(super) fn on(&self, connection: ConnectionId) -> Option<AttemptId> {
+    pub(super) fn attempt_on(&self, connection: ConnectionId) -> Option<AttemptId> {
         self.by_connection.get(&connection).copied()
     }
 
-    /// Adds an attempt that waits for a connection.
+    /// Adds an attempt to the queue of its server.
     pub(super) fn queue(&mut self, flight: Flight) {
-        let place = (flight.class, flight.id);
-        self.queues.entry(flight.server).or_default().insert(place);
+        let entry = (flight.class, flight.id);
+        self.queues.entry(flight.server).or_default().insert(entry);
         self.flights.insert(flight.id, flight);
     }
 
-    /// Returns the first attempt in the queue of a server: the most urgent class, then the oldest.
-    pub(super) fn first(&self, server: BackendServerId) -> Option<AttemptId> {
+    /// Returns the head of a server's queue: the most urgent class, then the oldest attempt.
+    pub(super) fn first_queued(&self, server: BackendServerId) -> Option<AttemptId> {
         let queue = self.queues.get(&server)?;
         queue.first().map(|(_, id)| *id)
     }
 
-    /// Returns the attempts that wait for a connection to a server.
+    /// Returns the attempts in a server's queue.
     pub(super) fn queued(&self, server: BackendServerId) -> Vec<AttemptId> {
         let queue = self.queues.get(&server).into_iter().flatten();
         queue.map(|(_, id)| *id).collect()
     }
 
-    /// Puts an attempt from the queue onto a connection.
-    pub(super) fn board(&mut self, id: AttemptId, connection: ConnectionId) -> Option<&mut Flight> {
+    /// Moves an attempt from the queue to a connection.
+    pub(super) fn mark_sent(
+        &mut self,
+        id: AttemptId,
+        connection: ConnectionId,
+    ) -> Option<&mut Flight> {
         let flight = self.flights.get_mut(&id)?;
         flight.connection = Some(connection);
         self.by_connection.insert(connection, id);
@@ -105,7 +109,7 @@
         Some(flight)
     }
 
-    /// Takes an attempt out.
+    /// Removes an attempt.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<Flight> {
         let flight = self.flights.remove(&id)?;
         match flight.connection {
@@ -117,8 +121,8 @@
         Some(flight)
     }
 
-    /// Takes an attempt out if it was sent: only then can it end.
-    pub(super) fn land(&mut self, id: AttemptId) -> Option<Flight> {
+    /// Removes an attempt that was sent. Returns `None` for a queued one, which can't have ended.
+    pub(super) fn take_sent(&mut self, id: AttemptId) -> Option<Flight> {
         self.get(id)?.connection?;
         self.remove(id)
     }
--- a/crates/decision/src/home/mod.rs
+++ b/crates/decision/src/home/mod.rs
@@ -1,21 +1,21 @@
-//! One route at one of its homes.
+//! State machine of a home: the daemon that owns the connections to a route's backend servers.
 //!
-//! A home owns everything that its queries share: the runs in progress, the state of the route's
-//! backend servers, their connections, the budgets and admission. The daemon feeds it [`Event`]s
+//! A home holds everything that the route's requests share: searches in progress, the state of the
+//! backend servers, their connections, the budgets and admission. The daemon passes it [`Event`]s
 //! in the order in which they happen and carries out the [`Action`]s that it returns.
 //!
-//! [`Home`] is one state machine in several files, by what happens: `search` and `execute` start
-//! requests, choose servers and end requests; `dispatch` brings attempts onto connections; `ending`
-//! takes in how attempts end; `server` takes in what is learned of backend servers, and `reroute`
-//! a new configuration;
-//! `timer` keeps what is due.
+//! [`Home`] is split over several files by event: `search`, `execute` and `delegation` start
+//! requests, choose servers and finish requests; `deferral` decides on retries while budgets are
+//! scarce; `dispatch` sends attempts on connections; `completion` handles the end of attempts;
+//! `server` handles changes of backend servers and `route` a new configuration; `timer` orders what
+//! is due.
 
 pub mod action;
+mod completion;
 mod counts;
 mod deferral;
 mod delegation;
 mod dispatch;
-mod ending;
 pub mod event;
 mod execute;
 mod flight;
--- a/crates/decision/src/home/outage.rs
+++ b/crates/decision/src/home/outage.rs
@@ -1,9 +1,9 @@
-//! Why a backend server can't be reached.
+//! Why a backend server is unreachable.
 
 use crate::attempt::ConnectFailure;
 use derive_more::Display;
 
-/// What made a server count as unreachable.
+/// The event that made a server unreachable.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(super) enum Outage {
     #[display("connect: {_0}")]
--- a/crates/decision/src/home/params.rs
+++ b/crates/decision/src/home/params.rs
@@ -1,47 +1,48 @@
-//! What holds for one request, where requests of several routes share a home.
+//! Parameters of a single request.
 //!
-//! A home owns the connections, the loads and the budgets of a set of backend servers. Where several
-//! routes lead to the same set, one home for each would divide the servers' connections further and
-//! know less of their load, so that they share one, and each request brings what its route says.
+//! Routes that lead to the same set of backend servers share one home, because separate homes would
+//! divide the servers' connections further and know less of their load. Each request therefore
+//! carries the parameters of its own route.
 
 use crate::WorkKind;
 use crate::admission::Urgency;
 use crate::query::coverage;
 use monsoonring_configuration::document::{Kind, Route, SoftDeadline};
 
-/// What holds for one request.
+/// Parameters of a single request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Params {
     /// Whether the request may run more than once.
     pub kind: Kind,
-    /// Backend servers that may come to run one part of it, hedges included. A server that proves
-    /// that it did not run it does not count.
+    /// Largest number of backend servers that may run one part of the request, hedges included.
+    /// Servers that prove that they did not run it don't count.
     pub max_runs: u32,
-    /// When and at which coverage waiting on is no longer worth it.
+    /// When, and at which coverage, a partial answer is returned instead of waiting longer.
     pub soft_deadline: Option<SoftDeadline>,
-    /// Share of the data, from 0 to 1, below which an answer is of no use to the caller.
+    /// Share of the data, from 0 to 1, below which an answer is useless to the caller.
     pub min_coverage: f64,
-    /// What it asks of the backend servers.
+    /// Kind of work that it causes at the backend servers.
     pub work: WorkKind,
-    /// How urgent it is, where requests of other ranks share the backend servers.
+    /// Urgency relative to requests of other ranks; `None` if the backend servers are not shared
+    /// between ranks.
     pub urgency: Option<Urgency>,
 }
 
 impl Params {
-    /// Returns the same for a search of so many of all groups, as they weigh alike: its answer may lack as many as one
-    /// of all groups may.
+    /// Returns the parameters for a search of `groups` out of `total` groups of equal weight. Its
+    /// answer may lack as many groups as an answer over all groups may.
     #[must_use]
-    pub fn for_groups(self, part: u64, of: usize) -> Self {
-        let least = |coverage: f64| {
-            let dispensable = coverage::dispensable(coverage, of as f64);
-            (1.0 - dispensable as f64 / part.max(1) as f64).max(0.0)
+    pub fn for_groups(self, groups: u64, total: usize) -> Self {
+        let scale = |coverage: f64| {
+            let dispensable = coverage::dispensable(coverage, total as f64);
+            (1.0 - dispensable as f64 / groups.max(1) as f64).max(0.0)
         };
         Self {
             soft_deadline: self.soft_deadline.map(|soft| SoftDeadline {
-                coverage: least(soft.coverage),
+                coverage: scale(soft.coverage),
                 ..soft
             }),
-            min_coverage: least(self.min_coverage),
+            min_coverage: scale(self.min_coverage),
             ..self
         }
     }
--- a/crates/decision/src/home/placement.rs
+++ b/crates/decision/src/home/placement.rs
@@ -1,20 +1,20 @@
-//! Where the backend servers of a route stand, and what each was last known to serve.
+//! Index of the route's backend servers by group, and the versions that each can serve.
 
 use monsoonring_configuration::document::Route;
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 use rustc_hash::FxHashMap;
 
-/// Which groups a backend server is in.
+/// The groups, replicas and served versions of each backend server.
 #[derive(Debug, Default)]
 pub(super) struct Placement {
     groups: FxHashMap<BackendServerId, Vec<usize>>,
     replicas: FxHashMap<BackendServerId, Vec<BackendServerId>>,
     servers: Vec<BackendServerId>,
-    /// What each server was last known to be able to serve; empty while it is not usable.
+    /// Last known state per server.
     serving: FxHashMap<BackendServerId, Serving>,
 }
 
-/// What a backend server was last known to be able to serve.
+/// Whether a server is usable, and the versions that it serves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Serving {
     usable: bool,
@@ -41,7 +41,7 @@
         &self.servers
     }
 
-    /// Returns the servers that hold what `server` holds, itself included.
+    /// Returns the servers that hold the same data as `server`, itself included.
     pub(super) fn replicas(&self, server: BackendServerId) -> &[BackendServerId] {
         self.replicas.get(&server).map_or(&[], Vec::as_slice)
     }
@@ -50,8 +50,8 @@
         self.groups.get(&server).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in what a server can serve. Returns whether that is new.
-    pub(super) fn learn(
+    /// Updates what a server can serve. Returns whether it changed.
+    pub(super) fn update(
         &mut self,
         server: BackendServerId,
         usable: bool,
@@ -66,13 +66,13 @@
         true
     }
 
-    /// Takes over what was known before a change of the route; returns the servers that are no
-    /// longer in it.
-    pub(super) fn inherit(&mut self, old: Self) -> Vec<BackendServerId> {
-        let stays = |server: &BackendServerId| self.groups.contains_key(server);
+    /// Carries over the server states of the previous placement. Returns the servers that were
+    /// removed from the route.
+    pub(super) fn carry_over(&mut self, old: Self) -> Vec<BackendServerId> {
+        let is_kept = |server: &BackendServerId| self.groups.contains_key(server);
         let serving = old.serving.into_iter();
-        self.serving = serving.filter(|(server, _)| stays(server)).collect();
-        let gone = old.servers.into_iter().filter(|server| !stays(server));
-        gone.collect()
+        self.serving = serving.filter(|(server, _)| is_kept(server)).collect();
+        let removed = old.servers.into_iter().filter(|server| !is_kept(server));
+        removed.collect()
     }
 }
--- a/crates/decision/src/home/route.rs
+++ b/crates/decision/src/home/route.rs
@@ -1,8 +1,8 @@
-//! A new configuration of the route in the midst of queries.
+//! Applies a new configuration of the route while requests are in progress.
 //!
-//! Symptom guarded against: an answer that misses what was moved while the query ran, or one that
-//! calls itself complete by a placement that no longer holds. What was merged stays merged, as it
-//! is counted in keys; only what is missing is dealt out by the new placement.
+//! Without this, an answer could miss keys that moved during the search, or count as complete by an
+//! outdated placement. Merged results stay, because coverage is counted in keys; only missing keys
+//! are assigned again by the new placement.
 
 use super::flight::Flight;
 use super::placement::Placement;
@@ -17,83 +17,84 @@
 use std::sync::Arc;
 
 impl<C: Content> Home<C> {
-    /// Takes over a new configuration of the route. Queries in progress keep what they have merged;
-    /// what they lack is asked of the servers that hold it now.
-    pub(super) fn reroute(&mut self, route: Arc<Route>, now: Time) {
+    /// Applies a new configuration of the route. Searches in progress keep their merged results;
+    /// missing keys are assigned to the servers that hold them now.
+    pub(super) fn apply_route(&mut self, route: Arc<Route>, now: Time) {
         self.fleet.reconfigure(&route, now);
         self.pool.reconfigure(&route, now);
         self.gate.reconfigure(&route);
         self.budgets.reconfigure(&route);
-        let gone = self.replace(route);
-        for server in gone {
-            self.evacuate(server, now);
+        let removed = self.install(route);
+        for server in removed {
+            self.move_queued(server, now);
             self.outages.remove(&server);
         }
         let groups = 0..self.route.groups.len();
-        self.changed.extend(groups);
-        self.repin();
-        for id in self.runs.keys().copied().collect::<Vec<_>>() {
-            self.with_run(id, now, |home, run| home.redeal(run, now));
+        self.changed_groups.extend(groups);
+        self.update_pin();
+        for id in self.searches.keys().copied().collect::<Vec<_>>() {
+            self.with_search(id, now, |home, search| home.reassign_parts(search, now));
         }
     }
 
-    /// Puts the route in force; returns the servers that are no longer in it.
-    fn replace(&mut self, route: Arc<Route>) -> Vec<BackendServerId> {
+    /// Installs the route. Returns the servers that it no longer contains.
+    fn install(&mut self, route: Arc<Route>) -> Vec<BackendServerId> {
         let new = Placement::new(&route);
         let old = std::mem::replace(&mut self.placement, new);
-        let gone = self.placement.inherit(old);
+        let removed = self.placement.carry_over(old);
         let waiting = std::mem::take(&mut self.waiting);
         self.waiting
             .insert(0, waiting.into_values().flatten().collect());
         self.route = route;
-        gone
+        removed
     }
 
-    /// Deals the missing keys of a run out again by the new placement. A part that its servers
-    /// still hold as a whole stays as it is. Of the others, attempts that were sent may still bring
-    /// what they were asked for, and what they bring first is not asked again.
-    fn redeal(&mut self, run: &mut Search<C>, now: Time) {
-        let mut lacking = KeySet::default();
-        for (id, mut part) in std::mem::take(&mut run.parts) {
-            let home = match run.deferred.contains(&id) {
-                true => self.same_keys(&part),
-                false => self.home_of(&part),
+    /// Assigns the missing keys of a search by the new placement. Parts that a group still holds as
+    /// a whole stay as they are. Of the others, sent attempts may still deliver keys, and delivered
+    /// keys are not requested again.
+    fn reassign_parts(&mut self, search: &mut Search<C>, now: Time) {
+        let mut missing = KeySet::default();
+        for (id, mut part) in std::mem::take(&mut search.parts) {
+            let target = match search.deferred.contains(&id) {
+                true => self.group_with_keys(&part),
+                false => self.group_for(&part),
             };
-            match home {
+            match target {
                 Some(group) => {
                     part.group = group;
-                    self.recall(&mut part, now);
-                    run.parts.insert(id, part);
+                    self.withdraw_moved(&mut part, now);
+                    search.parts.insert(id, part);
                 }
                 None => {
-                    run.deferred.remove(&id);
-                    lacking.union_with(&part.wanted);
-                    self.detach(run, &part.live, now);
+                    search.deferred.remove(&id);
+                    missing.union_with(&part.wanted);
+                    self.detach(search, &part.live, now);
                 }
             }
         }
-        lacking.union_with(&run.unplanned(&self.route));
-        for part in run.add_parts(&lacking, &self.route, &Part::default()) {
-            self.assign(run, part, Cause::Remainder, now);
+        missing.union_with(&search.unplanned(&self.route));
+        for part in search.add_parts(&missing, &self.route, &Part::default()) {
+            self.assign(search, part, Cause::Remainder, now);
         }
     }
 
-    /// Returns the group that has kept just the part's keys. A failed part that waits for the others
-    /// of its search waits on: dealt out again, it would get a further attempt outside the budget.
-    fn same_keys(&self, part: &Part) -> Option<usize> {
+    /// Returns the group that holds exactly the keys of a part. Deferred parts use this and stay
+    /// deferred: assigned again, they would get a retry outside the budget.
+    fn group_with_keys(&self, part: &Part) -> Option<usize> {
         let groups = &self.route.groups;
         groups
             .iter()
             .position(|group| KeySet::from(group.keys) == part.wanted)
     }
 
-    /// Returns the group that holds a part as a whole and has all servers that work on it, or that
-    /// has kept just the part's keys while one of its servers, gone from the route, still works on
-    /// them. A part on which nobody works has none: it is dealt out again.
+    /// Returns the group that a part belongs to in the new placement: it holds all keys of the
+    /// part, and either all servers with attempts of the part are in it, or its keys are unchanged
+    /// and an attempt was sent. Returns `None` for a part without attempts, so it is assigned
+    /// again.
     ///
-    /// A server that left a group finishes what it has. Asking another one for each attempt that it
-    /// still works on would send a burst of extra attempts whenever servers are replaced.
-    fn home_of(&self, part: &Part) -> Option<usize> {
+    /// A server that was removed from a group still finishes its attempts. Sending another attempt
+    /// for each of them would cause a burst of attempts whenever servers are replaced.
+    fn group_for(&self, part: &Part) -> Option<usize> {
         let flights = part.live.iter().filter_map(|id| self.flights.get(*id));
         let flights: Vec<&Flight> = flights.collect();
         if flights.is_empty() {
@@ -102,21 +103,21 @@
         let is_sent = flights.iter().any(|flight| flight.connection.is_some());
         self.route.groups.iter().position(|group| {
             let keys = KeySet::from(group.keys);
-            let works = |flight: &&Flight| group.backend_servers.contains(&flight.server);
-            let holds = part.wanted.difference(&keys).is_empty();
-            holds && (flights.iter().all(works) || is_sent && part.wanted == keys)
+            let is_in_group = |flight: &&Flight| group.backend_servers.contains(&flight.server);
+            let is_held = part.wanted.difference(&keys).is_empty();
+            is_held && (flights.iter().all(is_in_group) || is_sent && part.wanted == keys)
         })
     }
 
-    /// Takes back what waits for a connection to a server that is not in the part's group any more.
-    /// Its address may be another server's by now, which would answer from another part of the data.
-    fn recall(&mut self, part: &mut Part, now: Time) {
+    /// Withdraws queued attempts to servers that left the part's group. Such an address may belong
+    /// to another server by now, which would answer from other data.
+    fn withdraw_moved(&mut self, part: &mut Part, now: Time) {
         let group = &self.route.groups[part.group].backend_servers;
-        let elsewhere = |id: &AttemptId| {
+        let is_moved = |id: &AttemptId| {
             let flight = self.flights.get(*id);
             flight.is_some_and(|flight| !group.contains(&flight.server))
         };
-        let moved: Vec<AttemptId> = part.live.iter().copied().filter(elsewhere).collect();
+        let moved: Vec<AttemptId> = part.live.iter().copied().filter(is_moved).collect();
         for id in moved {
             if self.withdraw(id, now).is_some() {
                 part.live.retain(|live| *live != id);
@@ -125,11 +126,11 @@
         }
     }
 
-    /// Leaves attempts without a part: those not yet sent are taken back.
-    fn detach(&mut self, run: &mut Search<C>, live: &[AttemptId], now: Time) {
+    /// Detaches attempts from their part; withdraws those that were not sent.
+    fn detach(&mut self, search: &mut Search<C>, live: &[AttemptId], now: Time) {
         for id in live {
             if self.withdraw(*id, now).is_none() {
-                run.detached.push(*id);
+                search.detached.push(*id);
             }
         }
     }
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -1,6 +1,6 @@
-//! Searches: who is asked for which keys, and when that ends.
+//! Searches: assigns parts to servers, and decides when a search ends.
 
-use super::dispatch::Task;
+use super::dispatch::AttemptSpec;
 use super::event::Request;
 use super::flight::Owner;
 use super::state::Home;
@@ -17,266 +17,274 @@
 use smallvec::{SmallVec, smallvec};
 use std::time::Duration;
 
-/// Share of failing attempts above which no group is left out. What an answer can do without is then needed for
-/// those that fail: where servers failed four of ten attempts, leaving out cost 0.03 of a day's worth.
-const FAILING: f64 = 0.05;
+/// Failure rate of attempts above which no group is omitted: the missing coverage that an answer
+/// tolerates is then needed for parts that fail.
+const MAX_FAILURE_RATE: f64 = 0.05;
 
-/// Share of the time up to the soft deadline within which a group's answer has to be expected.
-const IN_TIME: f64 = 0.7;
+/// Share of the time up to the soft deadline within which a group has to be expected to answer.
+const IN_TIME_SHARE: f64 = 0.7;
 
-/// Time after the soft deadline that is still waited for what another home looks through. It leaves there a moment
-/// before, and is half of the answer, where a late one is late by these milliseconds.
-const ELSEWHERE_GRACE: Duration = Duration::from_millis(5);
+/// Time after the soft deadline for which a search waits for delegated keys. The other home replies
+/// at about its own soft deadline, and its reply covers much of the answer.
+const DELEGATED_GRACE: Duration = Duration::from_millis(5);
 
-/// Quantile of a server's latency that has to fit before the deadline for a search to begin again
-/// at a newer version.
+/// Quantile of a server's latency that has to fit before the deadline for a search to restart at a
+/// newer version.
 const RESTART_QUANTILE: f64 = 0.5;
 
 impl<C: Content> Home<C> {
-    /// Starts a search: every group is asked at once.
+    /// Starts a search with attempts to all groups in parallel.
     pub(super) fn search(&mut self, request: Request<C>, now: Time) {
         let id = request.id;
-        let run = Search::new(request, self.pin.version(), &self.route, now);
-        for at in self.soft_times(&run) {
-            self.timers.set(at, Timer::Soft(id));
+        let search = Search::new(request, self.pin.version(), &self.route, now);
+        for at in self.soft_deadlines(&search) {
+            self.timers.set(at, Timer::SoftDeadline(id));
         }
-        self.runs.insert(id, run);
-        self.with_run(id, now, |home, run| {
-            home.leave_out(run, now);
-            home.assign_all(run, Cause::First, now);
+        self.searches.insert(id, search);
+        self.with_search(id, now, |home, search| {
+            home.omit_late_groups(search, now);
+            home.assign_all(search, Cause::First, now);
         });
     }
 
-    /// Returns the times at which a partial answer becomes better than a later one: with what another home looks
-    /// through, and without it.
-    fn soft_times(&self, run: &Search<C>) -> SmallVec<[Time; 2]> {
-        let Some(soft) = self.params(&run.request).soft_deadline else {
+    /// Returns the times from which a partial answer is returned: with delegated keys still
+    /// outstanding the later one applies.
+    fn soft_deadlines(&self, search: &Search<C>) -> SmallVec<[Time; 2]> {
+        let Some(soft) = self.params(&search.request).soft_deadline else {
             return SmallVec::new();
         };
-        let at = run.started + Duration::from_millis(soft.after_ms);
-        match run.request.scope.delegated.is_empty() {
+        let at = search.started + Duration::from_millis(soft.after_ms);
+        match search.request.scope.delegated.is_empty() {
             true => smallvec![at],
-            false => smallvec![at, at + ELSEWHERE_GRACE],
+            false => smallvec![at, at + DELEGATED_GRACE],
         }
     }
 
-    /// Leaves the groups out whose answers would hardly come in time, as far as the answer can do without
-    /// them. Asking them all the same would hold the caller until its time is nearly over, and keep their
-    /// servers busy with what comes too late.
+    /// Omits groups that are unlikely to answer in time, as far as the answer can do without them.
+    /// Waiting for them would delay the caller, and keep their servers busy with replies that come
+    /// too late.
     ///
-    /// Where several groups are short of servers and an answer can do without one, each search so asks those
-    /// that are least behind, and all of them are answered. Asked for all, two groups that had one server of
-    /// three left gave late answers to one search in four, and one in twenty was refused.
-    fn leave_out(&mut self, run: &mut Search<C>, now: Time) {
-        let Some(soft) = self.params(&run.request).soft_deadline else {
+    /// The groups with the longest expected waits are omitted first. If several groups are short of
+    /// servers, each search thus uses those with the shortest queues.
+    fn omit_late_groups(&mut self, search: &mut Search<C>, now: Time) {
+        let Some(soft) = self.params(&search.request).soft_deadline else {
             return;
         };
-        let dispensable = self.dispensable(&run.request);
-        if dispensable == 0 || self.fleet.failure_rate(now) > FAILING {
+        let dispensable = self.dispensable(&search.request);
+        if dispensable == 0 || self.fleet.failure_rate(now) > MAX_FAILURE_RATE {
             return;
         }
-        let work = self.params(&run.request).work;
-        let usual = self.fleet.median_latency(work).unwrap_or_default();
-        let in_time = Duration::from_millis(soft.after_ms).mul_f64(IN_TIME);
-        let in_time = in_time.saturating_sub(usual);
+        let work = self.params(&search.request).work;
+        let median = self.fleet.median_latency(work).unwrap_or_default();
+        let in_time = Duration::from_millis(soft.after_ms).mul_f64(IN_TIME_SHARE);
+        let in_time = in_time.saturating_sub(median);
         let waits = self.fleet.expected_waits(now);
-        let late = waits.into_iter().filter(|(_, wait)| *wait > in_time);
-        for (group, wait) in late.take(dispensable) {
+        let late_groups = waits.into_iter().filter(|(_, wait)| *wait > in_time);
+        for (group, wait) in late_groups.take(dispensable) {
             let in_group = |(_, part): &(&PartId, &Part)| part.group == group;
-            let Some(id) = run.parts.iter().find(in_group).map(|(id, _)| *id) else {
+            let Some(id) = search.parts.iter().find(in_group).map(|(id, _)| *id) else {
                 continue;
             };
-            let why = format!("part {id} would wait {wait:?}, in time is {in_time:?}");
-            self.log(Some(run.request.id), "leave_out", None, why);
-            run.give_up(id);
+            let why = format!("part {id} would wait {wait:?}, limit {in_time:?}");
+            self.log(Some(search.request.id), "leave_out", None, why);
+            search.give_up(id);
         }
     }
 
-    /// Lets `act` change a run, and ends the run if that decided it.
-    pub(super) fn with_run(
+    /// Calls `update` with a search, and ends the search if that decided it.
+    pub(super) fn with_search(
         &mut self,
         id: RequestId,
         now: Time,
-        act: impl FnOnce(&mut Self, &mut Search<C>),
+        update: impl FnOnce(&mut Self, &mut Search<C>),
     ) {
-        let Some(mut run) = self.runs.remove(&id) else {
+        let Some(mut search) = self.searches.remove(&id) else {
             return;
         };
-        act(self, &mut run);
-        self.decide_deferred(&mut run, now);
-        self.settle(run, now);
+        update(self, &mut search);
+        self.decide_deferred(&mut search, now);
+        self.finish_if_decided(search, now);
     }
 
-    /// Ends a run as soon as nothing but the deadline would.
-    fn settle(&mut self, mut run: Search<C>, now: Time) {
-        if let Some(version) = self.restart_version(&run, now) {
-            self.restart(&mut run, version, now);
+    /// Ends a search if no further reply can change its result, and puts it back otherwise.
+    fn finish_if_decided(&mut self, mut search: Search<C>, now: Time) {
+        if let Some(version) = self.restart_version(&search, now) {
+            self.restart(&mut search, version, now);
         }
-        if run.is_complete(&self.route) || !run.is_open() {
-            let reason = run.reason();
-            self.finish_search(run, reason, now);
+        if search.is_complete(&self.route) || !search.is_open() {
+            let reason = search.reason();
+            self.finish_search(search, reason, now);
             return;
         }
-        if self.is_hopeless(&run) {
-            let reason = run.reason();
-            self.finish_search(run, reason, now);
+        if self.cannot_reach_min_coverage(&search) {
+            let reason = search.reason();
+            self.finish_search(search, reason, now);
             return;
         }
-        if self.is_enough(&run, now) {
-            self.finish_search(run, Reason::Deadline, now);
+        if self.is_soft_deadline_met(&search, now) {
+            self.finish_search(search, Reason::Deadline, now);
             return;
         }
-        self.runs.insert(run.request.id, run);
+        self.searches.insert(search.request.id, search);
     }
 
-    /// Tells whether waiting on is no longer worth it.
-    fn is_enough(&self, run: &Search<C>, now: Time) -> bool {
-        let Some(soft) = self.params(&run.request).soft_deadline else {
+    /// Tells whether a soft deadline has passed and the coverage that it requires is reached.
+    fn is_soft_deadline_met(&self, search: &Search<C>, now: Time) -> bool {
+        let Some(soft) = self.params(&search.request).soft_deadline else {
             return false;
         };
-        let times = self.soft_times(run);
-        let at = match run.has_delegated() {
-            true => times.last(),
-            false => times.first(),
+        let deadlines = self.soft_deadlines(search);
+        let at = match search.has_delegated() {
+            true => deadlines.last(),
+            false => deadlines.first(),
         };
-        at.is_some_and(|at| now >= *at) && run.coverage(&self.route) >= soft.coverage
+        at.is_some_and(|at| now >= *at) && search.coverage(&self.route) >= soft.coverage
     }
 
-    /// Tells whether so much was given up that no answer can come of the rest. Waiting on would hold
-    /// the caller, and the servers with it, for nothing.
-    pub(super) fn is_hopeless(&self, run: &Search<C>) -> bool {
-        let least = self.params(&run.request).min_coverage;
-        let is_whole = || run.parts.values().all(|part| part.given_up.is_none());
-        least > 0.0 && !is_whole() && run.reachable(&self.route, None) < least
+    /// Tells whether so many parts were given up that the answer can't reach the minimum coverage.
+    /// Such a search ends early to free the caller and the servers.
+    pub(super) fn cannot_reach_min_coverage(&self, search: &Search<C>) -> bool {
+        let min_coverage = self.params(&search.request).min_coverage;
+        let is_intact = || search.parts.values().all(|part| part.given_up.is_none());
+        min_coverage > 0.0 && !is_intact() && search.reachable(&self.route, None) < min_coverage
     }
 
-    /// Returns what rests on another attempt for a part.
-    fn need(&self, run: &Search<C>, id: PartId, cause: Cause) -> Importance {
-        let least = self.params(&run.request).min_coverage;
+    /// Returns how important another attempt for a part is.
+    fn importance(&self, search: &Search<C>, id: PartId, cause: Cause) -> Importance {
+        let min_coverage = self.params(&search.request).min_coverage;
         let is_retry = matches!(cause, Cause::Retry | Cause::Overdue);
-        if !is_retry || least <= 0.0 || run.reachable(&self.route, Some(id)) < least {
-            return Importance::Required(run.retries);
+        if !is_retry
+            || min_coverage <= 0.0
+            || search.reachable(&self.route, Some(id)) < min_coverage
+        {
+            return Importance::Required(search.retries);
         }
         Importance::Optional
     }
 
-    /// Returns the version at which a run begins again: once, if its own has vanished and there is
-    /// time for a reply at a newer one.
-    fn restart_version(&self, run: &Search<C>, now: Time) -> Option<IndexVersion> {
-        let pinned = run.pin?;
+    /// Returns the newer version to restart a search at, if its pinned version is no longer served
+    /// and there is time for a reply. A search restarts once at most.
+    fn restart_version(&self, search: &Search<C>, now: Time) -> Option<IndexVersion> {
+        let pinned = search.pin?;
         let newer = self.pin.version().filter(|version| *version > pinned)?;
-        let is_low = pinned < self.route.minimum_index_version;
-        let gone = |part: &&Part| part.vanished || is_low;
-        let part = run.parts.values().find(gone)?;
+        let is_below_min = pinned < self.route.minimum_index_version;
+        let is_lost = |part: &&Part| part.vanished || is_below_min;
+        let part = search.parts.values().find(is_lost)?;
         let server = self.route.groups.get(part.group)?.backend_servers.first()?;
-        let needed = self.fleet.hedge_delay(*server, RESTART_QUANTILE, now);
-        let in_time = now + needed < run.request.deadline;
-        (!run.restarted && in_time).then_some(newer)
+        let latency = self.fleet.hedge_delay(*server, RESTART_QUANTILE, now);
+        let in_time = now + latency < search.request.deadline;
+        (!search.restarted && in_time).then_some(newer)
     }
 
-    fn restart(&mut self, run: &mut Search<C>, version: IndexVersion, now: Time) {
+    fn restart(&mut self, search: &mut Search<C>, version: IndexVersion, now: Time) {
         let why = format!(
-            "version {} vanished, again at {version}",
-            run.pin.unwrap_or(0)
+            "version {} is no longer served, restarted at {version}",
+            search.pin.unwrap_or(0)
         );
-        self.log(Some(run.request.id), "restart", None, why);
-        for attempt in run.restart(version, &self.route) {
+        self.log(Some(search.request.id), "restart", None, why);
+        for attempt in search.restart(version, &self.route) {
             self.cancel(attempt, now);
         }
-        self.assign_all(run, Cause::First, now);
+        self.assign_all(search, Cause::First, now);
     }
 
-    pub(super) fn assign_all(&mut self, run: &mut Search<C>, cause: Cause, now: Time) {
-        run.yields = self.yields(&run.request, now);
-        let wanted = run.parts.iter().filter(|(_, part)| part.given_up.is_none());
+    pub(super) fn assign_all(&mut self, search: &mut Search<C>, cause: Cause, now: Time) {
+        search.yields = self.yields(&search.request, now);
+        let wanted = search
+            .parts
+            .iter()
+            .filter(|(_, part)| part.given_up.is_none());
         for part in wanted.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.assign(run, part, cause, now);
+            self.assign(search, part, cause, now);
         }
     }
 
-    /// Tries again for a part that waited, or for which no server was in sight.
+    /// Resumes a part that waited, or that was given up for lack of a server.
     pub(super) fn resume_part(&mut self, request: RequestId, id: PartId, now: Time) {
-        self.with_run(request, now, |home, run| {
-            run.yields = home.yields(&run.request, now);
-            let Some(part) = run.parts.get_mut(&id) else {
+        self.with_search(request, now, |home, search| {
+            search.yields = home.yields(&search.request, now);
+            let Some(part) = search.parts.get_mut(&id) else {
                 return;
             };
             if part.live.is_empty() {
                 part.given_up = None;
                 part.vanished = false;
                 let cause = part.cause;
-                home.assign(run, id, cause, now);
+                home.assign(search, id, cause, now);
             }
         });
     }
 
-    /// Finds a server for a part. Without one the part waits if one is expected to have room before
-    /// the deadline, and is given up otherwise.
-    pub(super) fn assign(&mut self, run: &mut Search<C>, id: PartId, cause: Cause, now: Time) {
-        if cause != Cause::Retry || !self.defers(run, id, now) {
-            let need = self.need(run, id, cause);
-            self.assign_with(run, id, cause, need, now);
+    /// Assigns a server to a part, or defers its retry. Without a server the part waits if one is
+    /// expected to have a free slot before the deadline, and is given up otherwise.
+    pub(super) fn assign(&mut self, search: &mut Search<C>, id: PartId, cause: Cause, now: Time) {
+        if cause != Cause::Retry || !self.try_defer(search, id, now) {
+            let importance = self.importance(search, id, cause);
+            self.assign_with(search, id, cause, importance, now);
         }
     }
 
-    /// Does so for an attempt on which so much rests.
+    /// Assigns a server to a part, with a budget that depends on the importance of the attempt.
     pub(super) fn assign_with(
         &mut self,
-        run: &mut Search<C>,
+        search: &mut Search<C>,
         id: PartId,
         cause: Cause,
-        need: Importance,
+        importance: Importance,
         now: Time,
     ) {
-        let params = self.params(&run.request);
-        let Some(part) = run.parts.get_mut(&id) else {
+        let params = self.params(&search.request);
+        let Some(part) = search.parts.get_mut(&id) else {
             return;
         };
         if !cause.is_second() {
             part.cause = cause;
         }
-        let many = cause == Cause::Retry && part.attempts >= self.route.retry.attempts;
-        if many || part.may_have_run() >= params.max_runs {
+        let is_exhausted = cause == Cause::Retry && part.attempts >= self.route.retry.attempts;
+        if is_exhausted || part.may_have_run() >= params.max_runs {
             if part.live.is_empty() {
                 part.give_up();
             }
             return;
         }
         let group = part.group;
-        if !self.suspects.may_send(run.request.fingerprint, now) {
+        if !self.suspects.may_send(search.request.fingerprint, now) {
             if part.live.is_empty() {
-                let held = self.held.entry(run.request.fingerprint).or_default();
-                held.insert(run.waiter(id));
+                let quarantined = self
+                    .quarantined
+                    .entry(search.request.fingerprint)
+                    .or_default();
+                quarantined.insert(search.waiter(id));
             }
             return;
         }
-        match self.pick(run, id, now) {
-            Some((server, why)) if self.afford(group, cause, need, now) => {
-                run.retries += u32::from(cause == Cause::Retry);
-                self.log(Some(run.request.id), cause.label(), Some(server), why);
-                self.ask(run, id, server, cause, now);
+        match self.pick(search, id, now) {
+            Some((server, why)) if self.take_budget(group, cause, importance, now) => {
+                search.retries += u32::from(cause == Cause::Retry);
+                self.log(Some(search.request.id), cause.label(), Some(server), why);
+                self.start_attempt(search, id, server, cause, now);
             }
-            Some((server, _)) => self.deny(run, id, server, cause),
-            None => self.park(run, id, now),
+            Some((server, _)) => self.deny(search, id, server, cause),
+            None => self.park(search, id, now),
         }
     }
 
-    /// Chooses a server that was not tried for the part; if there is none, one that was.
+    /// Chooses a server that was not tried for the part, or a tried one if there is no other.
     fn pick(
         &mut self,
-        run: &Search<C>,
+        search: &Search<C>,
         id: PartId,
         now: Time,
     ) -> Option<(BackendServerId, LeastLoaded)> {
-        let part = run.parts.get(&id)?;
+        let part = search.parts.get(&id)?;
         let mut candidates = self.candidates(part);
-        if run.yields {
+        if search.yields {
             candidates.retain(|server| self.fleet.has_free_slot(*server, now));
         }
-        let version = run.pin;
+        let version = search.pin;
         let fleet = &mut self.fleet;
-        let fresh = fleet.choose(&candidates, &part.tried, version, now, &mut self.rng);
-        let choice = match fresh {
+        let untried = fleet.choose(&candidates, &part.tried, version, now, &mut self.rng);
+        let choice = match untried {
             Some(choice) => Some(choice),
             None if part.tried.is_empty() || !part.live.is_empty() => None,
             None => fleet.choose(&candidates, &[], version, now, &mut self.rng),
@@ -287,16 +295,17 @@
     fn candidates(&self, part: &Part) -> SmallVec<[BackendServerId; 4]> {
         let group = self.route.groups.get(part.group);
         let servers = group.into_iter().flat_map(|group| &group.backend_servers);
-        let able = servers.filter(|server| !part.unable.contains(server) && !self.is_old(**server));
-        able.copied().collect()
+        let capable = servers
+            .filter(|server| !part.unable.contains(server) && !self.is_below_min_version(**server));
+        capable.copied().collect()
     }
 
-    /// Takes what an attempt costs out of the budgets. Returns whether it may be made.
-    pub(super) fn afford(
+    /// Charges an attempt to the budgets. Returns whether it is allowed.
+    pub(super) fn take_budget(
         &mut self,
         group: usize,
         cause: Cause,
-        need: Importance,
+        importance: Importance,
         now: Time,
     ) -> bool {
         let budgets = self.budgets.for_group(group);
@@ -307,65 +316,65 @@
             }
             Cause::Remainder => true,
             Cause::Retry | Cause::Overdue => {
-                let may = budgets.take_retry(need, now);
-                self.counts.retries_denied += u64::from(!may);
-                may
+                let is_allowed = budgets.take_retry(importance, now);
+                self.counts.retries_denied += u64::from(!is_allowed);
+                is_allowed
             }
             Cause::Hedge => {
-                let may = budgets.take_hedge(now);
-                self.counts.hedges_denied += u64::from(!may);
-                may
+                let is_allowed = budgets.take_hedge(now);
+                self.counts.hedges_denied += u64::from(!is_allowed);
+                is_allowed
             }
             Cause::LateHedge => {
-                let may = budgets.take_required_hedge(now);
-                self.counts.hedges_denied += u64::from(!may);
-                may
+                let is_allowed = budgets.take_required_hedge(now);
+                self.counts.hedges_denied += u64::from(!is_allowed);
+                is_allowed
             }
         }
     }
 
-    fn deny(&mut self, run: &mut Search<C>, id: PartId, server: BackendServerId, cause: Cause) {
-        let Some(part) = run.parts.get_mut(&id) else {
+    fn deny(&mut self, search: &mut Search<C>, id: PartId, server: BackendServerId, cause: Cause) {
+        let Some(part) = search.parts.get_mut(&id) else {
             return;
         };
         if part.live.is_empty() {
             part.give_up();
         }
-        let why = format!("budget of {} spent, part {id}", cause.label());
-        self.log(Some(run.request.id), "deny", Some(server), why);
+        let why = format!("{} budget is spent, part {id}", cause.label());
+        self.log(Some(search.request.id), "deny", Some(server), why);
     }
 
-    fn ask(
+    fn start_attempt(
         &mut self,
-        run: &mut Search<C>,
+        search: &mut Search<C>,
         id: PartId,
         server: BackendServerId,
         cause: Cause,
         now: Time,
     ) {
-        let Some(part) = run.parts.get_mut(&id) else {
+        let Some(part) = search.parts.get_mut(&id) else {
             return;
         };
-        let task = Task {
-            owner: Owner::Part(run.request.id, id),
-            request: &run.request,
+        let spec = AttemptSpec {
+            owner: Owner::Part(search.request.id, id),
+            request: &search.request,
             server,
-            asked: part.wanted.clone(),
-            version: run.pin,
+            keys: part.wanted.clone(),
+            version: search.pin,
             cause,
         };
         part.attempts += 1;
         part.tried.push(server);
-        part.live.push(self.enqueue(task, now));
+        part.live.push(self.enqueue(spec, now));
     }
 
-    /// Lets a part wait for room. Where none is to be expected in time it counts as given up, so
-    /// that the answer waits for nothing; but as long as other parts are in progress, a server that
-    /// comes back is asked.
-    fn park(&mut self, run: &mut Search<C>, id: PartId, now: Time) {
-        let (version, deadline) = (run.pin, run.request.deadline);
-        let waiter = run.waiter(id);
-        let Some(part) = run.parts.get_mut(&id) else {
+    /// Adds a part to the waiters of its group. If no server is expected to have a free slot before
+    /// the deadline, the part counts as given up so that the answer doesn't wait for it; it is
+    /// still assigned if a server becomes usable while other parts are in progress.
+    fn park(&mut self, search: &mut Search<C>, id: PartId, now: Time) {
+        let (version, deadline) = (search.pin, search.request.deadline);
+        let waiter = search.waiter(id);
+        let Some(part) = search.parts.get_mut(&id) else {
             return;
         };
         if !part.live.is_empty() {
@@ -374,67 +383,69 @@
         let waiting = self.waiting.entry(part.group).or_default();
         waiting.insert(waiter);
         let candidates = self.candidates(part);
-        let hopeful = |server: &BackendServerId| self.is_hopeful(*server, version, deadline, now);
-        if candidates.iter().any(hopeful) {
+        let is_available =
+            |server: &BackendServerId| self.is_available_before(*server, version, deadline, now);
+        if candidates.iter().any(is_available) {
             return;
         }
-        part.vanished = self.has_vanished(part.group, version);
+        part.vanished = self.has_lost_version(part.group, version);
         part.give_up();
         let group = part.group;
         let skip_reasons = self.skip_reasons(group, version, deadline, now);
         let why = format!("no server for part {id}, {skip_reasons}");
-        self.log(Some(run.request.id), "give_up", None, why);
+        self.log(Some(search.request.id), "give_up", None, why);
     }
 
-    /// Sends a second attempt for a part whose only one is slow. Returns whether it did.
-    pub(super) fn double(
+    /// Sends a second attempt for a part whose only attempt is slow. Returns whether it was queued.
+    pub(super) fn send_second(
         &mut self,
         request: RequestId,
         part: PartId,
         cause: Cause,
         now: Time,
     ) -> bool {
-        let queued = self.next_attempt;
-        self.with_run(request, now, |home, run| {
-            let fingerprint = run.request.fingerprint;
-            let clear = home.suspects.status(fingerprint, now) == Status::Clear;
-            let most = match cause {
+        let before = self.next_attempt;
+        self.with_search(request, now, |home, search| {
+            let fingerprint = search.request.fingerprint;
+            let is_clear = home.suspects.status(fingerprint, now) == Status::Clear;
+            let max_attempts = match cause {
                 Cause::Overdue => home.route.retry.attempts,
                 _ => u32::MAX,
             };
-            let single = |part: &Part| part.live.len() == 1 && part.attempts < most;
-            if clear && run.parts.get(&part).is_some_and(single) {
-                home.assign(run, part, cause, now);
+            let is_single = |part: &Part| part.live.len() == 1 && part.attempts < max_attempts;
+            if is_clear && search.parts.get(&part).is_some_and(is_single) {
+                home.assign(search, part, cause, now);
             }
         });
-        self.next_attempt > queued
+        self.next_attempt > before
     }
 
-    /// Ends a search with what it has, and cancels what is still being asked for.
-    pub(super) fn finish_search(&mut self, run: Search<C>, reason: Reason, now: Time) {
-        for attempt in run.live() {
+    /// Ends a search with the results so far, and cancels its attempts.
+    pub(super) fn finish_search(&mut self, search: Search<C>, reason: Reason, now: Time) {
+        for attempt in search.live() {
             self.cancel(attempt, now);
         }
-        for at in self.soft_times(&run) {
-            self.timers.clear(at, Timer::Soft(run.request.id));
+        for at in self.soft_deadlines(&search) {
+            self.timers
+                .clear(at, Timer::SoftDeadline(search.request.id));
         }
-        let waits = run
+        let waiters = search
             .parts
             .iter()
-            .map(|(id, part)| (part.group, run.waiter(*id)));
-        for (group, waiter) in waits {
-            self.forget(group, &waiter);
+            .map(|(id, part)| (part.group, search.waiter(*id)));
+        for (group, waiter) in waiters {
+            self.remove_waiter(group, &waiter);
         }
-        let request = run.request.clone();
-        let began = run.started;
-        let least = self.params(&request).min_coverage;
-        let outcome = run.finish(&self.route, least, reason);
+        let request = search.request.clone();
+        let started = search.started;
+        let min_coverage = self.params(&request).min_coverage;
+        let outcome = search.finish(&self.route, min_coverage, reason);
         let why = summary(&outcome, reason);
         self.log(Some(request.id), "finish", None, why);
-        self.finish(&request, began, outcome, now);
+        self.finish(&request, started, outcome, now);
     }
 
-    /// Cancels attempts that lost against another.
+    /// Cancels the attempts whose keys another attempt answered first.
     pub(super) fn cancel_losers(&mut self, losers: Vec<AttemptId>, winner: AttemptId, now: Time) {
         for loser in losers {
             if loser != winner {
--- a/crates/decision/src/home/skip.rs
+++ b/crates/decision/src/home/skip.rs
@@ -1,8 +1,8 @@
-//! Why a backend server gets no work, for the line that says why a part of a search has none.
+//! Describes why the backend servers of a group get no work, for the log.
 //!
-//! A search that is refused because a shard has no server in reach tells its caller only that much. Without
-//! the servers and what stands in the way of each, operators can't tell a shard whose servers have all
-//! left from one whose servers are full of other hosts' connections.
+//! A search that is refused because a shard has no available server tells its caller only that. The
+//! log line names each server with its reason, so operators can tell a shard whose servers have
+//! left from one whose servers are out of connections.
 
 use super::outage::Outage;
 use super::state::Home;
@@ -11,25 +11,25 @@
 use derive_more::Display;
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
 
-/// What stands in the way of work for a server.
+/// Why a server is not chosen for a part of a search.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 enum SkipReason {
     #[display("leaving")]
     Leaving,
     #[display("unreachable, {_0}")]
     Unreachable(Outage),
-    #[display("lacks the version")]
+    #[display("does not serve the pinned version")]
     Version,
-    #[display("asked to be left alone until {_0:?}")]
+    #[display("backing off until {_0:?}")]
     BackOff(Time),
     #[display("cold until {_0:?}")]
     Cold(Time),
-    #[display("tried")]
+    #[display("already tried")]
     Tried,
 }
 
 impl<C: Content> Home<C> {
-    /// Says for each server of a group why it gets no work of a search.
+    /// Describes for each server of a group why it gets no work of a search.
     pub(super) fn skip_reasons(
         &self,
         group: usize,
@@ -38,17 +38,17 @@
         now: Time,
     ) -> String {
         let Some(group) = self.route.groups.get(group) else {
-            return "group gone".to_owned();
+            return "group no longer exists".to_owned();
         };
         let servers = group.backend_servers.iter();
-        let told = servers.map(|server| {
+        let lines = servers.map(|server| {
             let skip_reason = self.skip_reason(*server, version, deadline, now);
             format!("{server} {skip_reason}")
         });
-        let told: Vec<String> = told.collect();
-        match told.is_empty() {
-            true => format!("{}: none registered", group.name),
-            false => format!("{}: {}", group.name, told.join(", ")),
+        let lines: Vec<String> = lines.collect();
+        match lines.is_empty() {
+            true => format!("{}: no registered servers", group.name),
+            false => format!("{}: {}", group.name, lines.join(", ")),
         }
     }
 
@@ -70,7 +70,7 @@
                 .unwrap_or(Outage::ConnectionLost);
             return SkipReason::Unreachable(outage);
         }
-        if self.lacks(server, version) {
+        if self.lacks_version(server, version) {
             return SkipReason::Version;
         }
         match self.back_offs.get(&server) {
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -1,4 +1,4 @@
-//! The state of a home, and the way of an event through it.
+//! State of a home, and the handling of events.
 
 use super::action::{Action, Decision};
 use super::counts::Counts;
@@ -37,10 +37,10 @@
 /// Id of the first connection of a home.
 const FIRST_CONNECTION: u64 = 1;
 
-/// Those who wait, in the order in which they are served.
-pub(super) type Waiting = BTreeSet<Waiter>;
+/// Waiters in the order in which they are resumed.
+pub(super) type WaitList = BTreeSet<Waiter>;
 
-/// One route at one of its homes.
+/// State machine of one home of a route.
 pub struct Home<C: Content = Json> {
     pub(super) route: Arc<Route>,
     pub(super) policy: Policy,
@@ -48,35 +48,35 @@
     pub(super) fleet: Fleet,
     pub(super) pool: Pool,
     pub(super) gate: Gate,
-    pub(super) shortage: Overload,
+    pub(super) overload: Overload,
     pub(super) suspects: Detector,
     pub(super) budgets: RouteBudgets,
     pub(super) pin: Pin,
     pub(super) placement: Placement,
-    pub(super) runs: BTreeMap<RequestId, Search<C>>,
+    pub(super) searches: BTreeMap<RequestId, Search<C>>,
     pub(super) executions: BTreeMap<RequestId, Execution<C>>,
     pub(super) flights: flight::Table,
-    /// By group: what waits for room at one of its servers.
-    pub(super) waiting: BTreeMap<usize, Waiting>,
-    /// By fingerprint in quarantine: what waits until its turn.
-    pub(super) held: BTreeMap<Fingerprint, Waiting>,
-    /// Groups in which a server may have room again.
-    pub(super) touched: BTreeSet<usize>,
-    /// Groups in which a server became usable, or ceased to be: all who wait have to look again.
-    pub(super) changed: BTreeSet<usize>,
+    /// By group: parts and requests that wait for a free slot at one of its servers.
+    pub(super) waiting: BTreeMap<usize, WaitList>,
+    /// By quarantined fingerprint: parts and requests that wait for their turn.
+    pub(super) quarantined: BTreeMap<Fingerprint, WaitList>,
+    /// Groups in which a server may have a free slot again.
+    pub(super) groups_with_room: BTreeSet<usize>,
+    /// Groups in which a server became usable or unusable: all waiters are resumed.
+    pub(super) changed_groups: BTreeSet<usize>,
     /// Fingerprints for which an attempt ended.
-    pub(super) freed: BTreeSet<Fingerprint>,
-    /// Servers, with the number of connections to be asked for.
-    pub(super) callable: BTreeMap<BackendServerId, usize>,
-    /// Until when a server asked for no work.
+    pub(super) freed_fingerprints: BTreeSet<Fingerprint>,
+    /// Number of connections to acquire, by server.
+    pub(super) pending_acquires: BTreeMap<BackendServerId, usize>,
+    /// Time until which a server wants no work.
     pub(super) back_offs: BTreeMap<BackendServerId, Time>,
-    /// What made servers unreachable, for those that are.
+    /// Why each unreachable server is unreachable.
     pub(super) outages: BTreeMap<BackendServerId, Outage>,
     pub(super) timers: timer::Queue,
-    /// When the fleet is to be told the time.
-    pub(super) fleet_at: Option<Time>,
-    /// Whether that may have to be earlier.
-    pub(super) fleet_changed: bool,
+    /// When the fleet's timer is due.
+    pub(super) fleet_wake_at: Option<Time>,
+    /// Whether the fleet may need an earlier timer.
+    pub(super) fleet_wake_stale: bool,
     pub(super) next_attempt: AttemptId,
     pub(super) stopping: bool,
     pub(super) counts: Counts,
@@ -84,52 +84,52 @@
 }
 
 impl<C: Content> Home<C> {
-    /// Makes a home of a route, and returns what is to be done at once. `part` says what it may
-    /// take of the backend servers beside other homes.
-    /// `seed` decides every random choice.
+    /// Creates a home, and returns the first actions. `allocation` is the home's share of the
+    /// backend servers' connections, and says which servers are remote. `seed` determines every
+    /// random choice.
     pub fn new(
         route: Arc<Route>,
-        part: impl Into<Allocation>,
+        allocation: impl Into<Allocation>,
         seed: u64,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
-        Self::with_policy(route, part, seed, Policy::default(), now)
+        Self::with_policy(route, allocation, seed, Policy::default(), now)
     }
 
-    /// Makes the home of a route, as [`Self::new`] does, with some decisions replaced.
+    /// Creates a home as [`Self::new`] does, with some decisions replaced by `policy`.
     pub fn with_policy(
         route: Arc<Route>,
-        part: impl Into<Allocation>,
+        allocation: impl Into<Allocation>,
         seed: u64,
         policy: Policy,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
-        let Allocation { division, far } = part.into();
+        let Allocation { division, far } = allocation.into();
         let mut home = Self {
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
             fleet: Fleet::new(&route, division, now),
             pool: Pool::new(&route, division, FIRST_CONNECTION, now),
             gate: Gate::new(&route),
-            shortage: Overload::default(),
+            overload: Overload::default(),
             suspects: Detector::with_crash_signal(policy.proof),
             budgets: RouteBudgets::new(&route, &division),
             pin: Pin::default(),
             placement: Placement::new(&route),
-            runs: BTreeMap::new(),
+            searches: BTreeMap::new(),
             executions: BTreeMap::new(),
             flights: flight::Table::default(),
             waiting: BTreeMap::new(),
-            held: BTreeMap::new(),
-            touched: BTreeSet::new(),
-            changed: BTreeSet::new(),
-            freed: BTreeSet::new(),
-            callable: BTreeMap::new(),
+            quarantined: BTreeMap::new(),
+            groups_with_room: BTreeSet::new(),
+            changed_groups: BTreeSet::new(),
+            freed_fingerprints: BTreeSet::new(),
+            pending_acquires: BTreeMap::new(),
             back_offs: BTreeMap::new(),
             outages: BTreeMap::new(),
             timers: timer::Queue::default(),
-            fleet_at: None,
-            fleet_changed: true,
+            fleet_wake_at: None,
+            fleet_wake_stale: true,
             next_attempt: 1,
             stopping: false,
             counts: Counts::default(),
@@ -138,24 +138,25 @@
         };
         home.fleet.set_policy(policy);
         home.pool.set_identity(seed);
-        home.set_far(far);
-        let actions = home.conclude(now);
+        home.set_remote(far);
+        let actions = home.finish_event(now);
         (home, actions)
     }
 
-    /// Takes in what happened at `now` and returns what is to be done, in this order.
+    /// Handles an event at `now` and returns the resulting actions, in the order in which to carry
+    /// them out.
     ///
-    /// What came due before is handled first: a process that was paused finds that a deadline has
-    /// passed before it finds the reply that waited.
+    /// Due timers run first: after a pause of the process, a passed deadline is handled before a
+    /// reply that arrived in the meantime.
     pub fn handle(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
-        self.fire(now);
+        self.run_timers(now);
         self.apply(event, now);
-        self.conclude(now)
+        self.finish_event(now)
     }
 
     /// Returns the number of requests in progress.
     pub fn in_progress(&self) -> usize {
-        self.runs.len() + self.executions.len()
+        self.searches.len() + self.executions.len()
     }
 
     /// Returns the number of backend servers that get no new work because they are leaving.
@@ -164,12 +165,12 @@
         servers.filter(|id| self.fleet.is_leaving(**id)).count()
     }
 
-    /// Returns what was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns the version that new queries pin, if one is known.
+    /// Returns the version that new searches pin; `None` while no version is known.
     pub fn index_version(&self) -> Option<IndexVersion> {
         self.pin.version()
     }
@@ -179,12 +180,12 @@
         &self.fleet
     }
 
-    /// Returns the retries that could be made now at the group that has fewest left.
+    /// Returns the number of retries that the group with the smallest budget may send now.
     pub fn retries_left(&mut self, now: Time) -> f64 {
         self.budgets.available(now)
     }
 
-    /// Returns the room that the route's backend servers have for this home.
+    /// Returns the load of the busiest group of backend servers.
     pub fn busiest_group(&self, now: Time) -> GroupLoad {
         self.fleet.busiest_group(now)
     }
@@ -193,19 +194,21 @@
         match event {
             Event::Request(request) => self.arrived(request, now),
             Event::Abandoned(id) => self.abandoned(id, now),
-            Event::DelegatedReply(id, reply) => self.gathered(id, reply, now),
-            Event::DelegationFailed(id, begun) => self.not_gathered(id, begun, now),
+            Event::DelegatedReply(id, reply) => self.delegated_reply(id, reply, now),
+            Event::DelegationFailed(id, progress) => self.delegation_failed(id, progress, now),
             Event::Opened(connection) => self.opened(connection, now),
             Event::Closed(connection) => self.closed(connection, now),
-            Event::ConnectFailed(connection, why) => self.unopened(connection, why, now),
+            Event::ConnectFailed(connection, failure) => {
+                self.connect_failed(connection, failure, now)
+            }
             Event::Reply(attempt, reply) => self.replied(attempt, reply, now),
             Event::Executed(attempt, value, report) => {
                 self.executed(attempt, value, &report, now);
             }
             Event::Failed(attempt, failure) => self.failed(attempt, &failure, now),
-            Event::Route(route) => self.reroute(route, now),
+            Event::Route(route) => self.apply_route(route, now),
             Event::Replaced(servers) => self.replaced(&servers, now),
-            Event::RemoteServers(far) => self.set_far(far),
+            Event::RemoteServers(servers) => self.set_remote(servers),
             Event::Cold(cold) => self.set_cold(&cold, now),
             Event::Homes(homes) => {
                 self.fleet.set_homes(homes, now);
@@ -215,10 +218,10 @@
             Event::Leaving {
                 backend_server,
                 start,
-            } => self.told_leaving(backend_server, start, now),
+            } => self.leaving_announced(backend_server, start, now),
             Event::Suspect { fingerprint, until } => {
                 self.suspects.apply_refusal(fingerprint, until, now);
-                self.condemn(fingerprint, now);
+                self.end_suspects(fingerprint, now);
             }
             Event::Polled(server, report) => self.polled(server, report.as_ref(), now),
             Event::Tick => {}
@@ -226,33 +229,33 @@
         }
     }
 
-    fn set_far(&mut self, far: BTreeSet<BackendServerId>) {
-        self.fleet.set_far(&far);
-        self.pool.set_far(far);
+    fn set_remote(&mut self, servers: BTreeSet<BackendServerId>) {
+        self.fleet.set_far(&servers);
+        self.pool.set_far(servers);
     }
 
     fn arrived(&mut self, request: Request<C>, now: Time) {
-        let known = self.runs.contains_key(&request.id);
-        if known || self.executions.contains_key(&request.id) {
+        let is_known = self.searches.contains_key(&request.id);
+        if is_known || self.executions.contains_key(&request.id) {
             return;
         }
         if let Some((reason, retry_after)) = self.refusal(&request, now) {
             let outcome = NotRunProof::on_arrival().into_outcome(reason, retry_after);
             let is_overload = reason == Reason::Overload;
             let why = match is_overload {
-                true => format!("{reason} {}", self.refused_by(&request, now)),
+                true => format!("{reason} {}", self.overload_details(&request, now)),
                 false => format!("{reason} class={:?}", request.class),
             };
             self.log(Some(request.id), "refuse", None, why);
             if is_overload {
-                let change = self.shortage.refused(now);
-                self.log_shortage(change);
+                let change = self.overload.refused(now);
+                self.log_overload(change);
             }
             self.actions.push(Action::Finish(request.id, outcome));
             return;
         }
-        let change = self.shortage.admitted(now);
-        self.log_shortage(change);
+        let change = self.overload.admitted(now);
+        self.log_overload(change);
         self.timers
             .set(request.deadline, Timer::Deadline(request.id));
         match self.params(&request).kind {
@@ -261,32 +264,32 @@
         }
     }
 
-    /// Returns what holds for a request.
+    /// Returns the parameters of a request, by default those of the route.
     pub(super) fn params(&self, request: &Request<C>) -> Params {
         request.params.unwrap_or_else(|| Params::from(&*self.route))
     }
 
-    /// Returns how many groups an answer to a request can do without, as they weigh alike.
+    /// Returns how many groups the answer to a request may lack, assuming groups of equal weight.
     pub(super) fn dispensable(&self, request: &Request<C>) -> usize {
-        let least = self.params(request).min_coverage;
+        let min_coverage = self.params(request).min_coverage;
         let groups = match &request.scope.only {
             Some(only) => only.weight(&self.route.groups),
             None => self.route.groups.len() as f64,
         };
-        match least > 0.0 {
-            true => coverage::dispensable(least, groups),
+        match min_coverage > 0.0 {
+            true => coverage::dispensable(min_coverage, groups),
             false => 0,
         }
     }
 
-    /// Returns the budgets of the first group that a server is in, if it is still in one.
+    /// Returns the budgets of the first group of a server; `None` if no group contains it.
     pub(super) fn budgets_of(&mut self, server: BackendServerId) -> Option<&mut Budgets> {
         let group = self.placement.groups(server).first()?;
         Some(self.budgets.for_group(*group))
     }
 
-    /// Returns why a new request is not taken on. Admission comes last, as it counts those that it
-    /// admits.
+    /// Returns why a new request is refused, and when to retry. Admission is checked last, because
+    /// it counts the requests that it admits.
     fn refusal(&mut self, request: &Request<C>, now: Time) -> Option<(Reason, Option<Duration>)> {
         if self.stopping {
             return Some((Reason::Stopping, Some(Duration::ZERO)));
@@ -298,12 +301,12 @@
             return None;
         }
         let dispensable = self.dispensable(request);
-        let room = self.fleet.busiest_group_without(dispensable, now);
-        let ranked = self.ranked(request, now);
+        let load = self.fleet.busiest_group_without(dispensable, now);
+        let ranked = self.ranked_request(request, now);
         let (class, deadline) = (request.class, request.deadline);
         match self
             .gate
-            .admit_ranked(class, ranked.as_ref(), deadline, &room, now)
+            .admit_ranked(class, ranked.as_ref(), deadline, &load, now)
         {
             Admission::Admit => None,
             Admission::Refuse {
@@ -313,38 +316,39 @@
         }
     }
 
-    fn log_shortage(&mut self, change: Option<overload::Change>) {
+    fn log_overload(&mut self, change: Option<overload::Change>) {
         if let Some(change) = change {
             self.log(None, "overload", None, change.to_string());
         }
     }
 
-    /// Returns the longest time that a new attempt waits at the servers of a group, by their reports.
+    /// Returns the longest time that a new attempt waits at the servers of a group, by their load
+    /// reports.
     pub fn longest_wait(&self, now: Time) -> Duration {
         let waits = self.fleet.reported_waits(now).into_iter();
         waits.map(|wait| wait.time).max().unwrap_or_default()
     }
 
-    /// Returns how many parts of searches wait here for room at a server.
+    /// Returns how many parts of searches wait here for a free slot at a server.
     pub fn parts_waiting(&self) -> usize {
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
-    /// Returns what a refusal was decided by, for the log.
-    fn refused_by(&self, request: &Request<C>, now: Time) -> String {
+    /// Returns the figures behind a refusal for overload, for the log.
+    fn overload_details(&self, request: &Request<C>, now: Time) -> String {
         let in_flight = format!(
             "in_flight={}/{:.0}",
             self.gate.in_flight(),
             self.gate.limit()
         );
-        match self.ranked(request, now) {
+        match self.ranked_request(request, now) {
             Some(ranked) => format!("{} {in_flight}", self.gate.describe(&ranked, now)),
             None => format!("class={:?} {in_flight}", request.class),
         }
     }
 
-    /// Returns what admission has to know of a request whose rank is known.
-    fn ranked(&self, request: &Request<C>, now: Time) -> Option<RankedRequest> {
+    /// Returns what admission needs to know of a request that has a rank.
+    fn ranked_request(&self, request: &Request<C>, now: Time) -> Option<RankedRequest> {
         let params = self.params(request);
         Some(RankedRequest {
             work: params.work,
@@ -356,7 +360,7 @@
 
     fn waits(&self, now: Time) -> Waits {
         let at_servers = self.fleet.reported_waits(now);
-        let here = |group| {
+        let wait_here = |group| {
             let waiting = self.waiting.get(&group).map_or(0, BTreeSet::len);
             self.fleet.time_to_send(group, waiting)
         };
@@ -364,7 +368,7 @@
             total: at_servers
                 .iter()
                 .map(|wait| Wait {
-                    time: wait.time + here(wait.group),
+                    time: wait.time + wait_here(wait.group),
                     ..*wait
                 })
                 .collect(),
@@ -373,8 +377,8 @@
         }
     }
 
-    /// Tells whether a request keeps out of the servers' queues. Parts that were sent can't be overtaken any more, so that its parts are
-    /// held here until a slot is free.
+    /// Tells whether a request yields to more urgent ones. Sent attempts can't be overtaken, so the
+    /// parts of a yielding request wait here until a slot is free.
     pub(super) fn yields(&self, request: &Request<C>, now: Time) -> bool {
         let params = self.params(request);
         let yields = |urgency| self.gate.yields(params.work, urgency, now);
@@ -382,51 +386,51 @@
     }
 
     fn abandoned(&mut self, id: RequestId, now: Time) {
-        if let Some(run) = self.runs.remove(&id) {
-            self.finish_search(run, Reason::Abandoned, now);
+        if let Some(search) = self.searches.remove(&id) {
+            self.finish_search(search, Reason::Abandoned, now);
         } else {
             self.abandon_execution(id, now);
         }
     }
 
-    /// Ends every request of a fingerprint that was found to crash backend servers.
-    pub(super) fn condemn(&mut self, fingerprint: Fingerprint, now: Time) {
-        let runs = self.runs.values();
-        let like = runs.filter(|run| run.request.fingerprint == fingerprint);
-        let ids: Vec<RequestId> = like.map(|run| run.request.id).collect();
+    /// Ends all requests of a fingerprint that crashes backend servers.
+    pub(super) fn end_suspects(&mut self, fingerprint: Fingerprint, now: Time) {
+        let searches = self.searches.values();
+        let matching = searches.filter(|search| search.request.fingerprint == fingerprint);
+        let ids: Vec<RequestId> = matching.map(|search| search.request.id).collect();
         for id in ids {
-            if let Some(run) = self.runs.remove(&id) {
-                self.finish_search(run, Reason::Suspect, now);
+            if let Some(search) = self.searches.remove(&id) {
+                self.finish_search(search, Reason::Suspect, now);
             }
         }
-        self.condemn_executions(fingerprint, now);
+        self.end_suspect_executions(fingerprint, now);
     }
 
-    /// Records the one final result of a request.
+    /// Records the final result of a request.
     pub(super) fn finish(
         &mut self,
         request: &Request<C>,
-        began: Time,
+        started: Time,
         outcome: Outcome<C::Value>,
         now: Time,
     ) {
         self.timers
             .clear(request.deadline, Timer::Deadline(request.id));
-        let took = now.saturating_sub(began);
-        self.gate.finished(request.class, took, now);
+        let elapsed = now.saturating_sub(started);
+        self.gate.finished(request.class, elapsed, now);
         if matches!(outcome, Outcome::Answered(_)) {
             self.gate.answered(self.params(request).work, now);
         }
         self.actions.push(Action::Finish(request.id, outcome));
     }
 
-    fn fire(&mut self, now: Time) {
+    fn run_timers(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
                 Timer::Deadline(id) => self.expire(id, now),
-                Timer::Soft(id) => self.with_run(id, now, |_, _| {}),
-                Timer::Rescue(id) => self.rescue_due(id, now),
-                Timer::Attempt(id) => self.overdue(id, now),
+                Timer::SoftDeadline(id) => self.with_search(id, now, |_, _| {}),
+                Timer::Deferral(id) => self.deferral_expired(id, now),
+                Timer::Attempt(id) => self.attempt_due(id, now),
                 Timer::Fleet => self.tick_fleet(now),
             }
         }
@@ -434,52 +438,52 @@
 
     fn tick_fleet(&mut self, now: Time) {
         for server in self.fleet.tick(now) {
-            self.changed(server);
+            self.mark_changed(server);
         }
         self.suspects.tick(now);
-        self.fleet_changed = true;
+        self.fleet_wake_stale = true;
     }
 
-    /// Sets the timer of the fleet. To find its next wake-up all servers and attempts are looked
-    /// at, so it is asked only after what may have brought it forward.
-    fn time_fleet(&mut self) {
-        if !std::mem::take(&mut self.fleet_changed) {
+    /// Schedules the fleet's timer. Computing its next wake-up visits all servers and attempts, so
+    /// this is done only after changes that may require an earlier one.
+    fn schedule_fleet_wake(&mut self) {
+        if !std::mem::take(&mut self.fleet_wake_stale) {
             return;
         }
-        if let Some(at) = self.fleet_at.take() {
+        if let Some(at) = self.fleet_wake_at.take() {
             self.timers.clear(at, Timer::Fleet);
         }
-        self.fleet_at = self.fleet.next_wake();
-        if let Some(at) = self.fleet_at {
+        self.fleet_wake_at = self.fleet.next_wake();
+        if let Some(at) = self.fleet_wake_at {
             self.timers.set(at, Timer::Fleet);
         }
     }
 
     fn expire(&mut self, id: RequestId, now: Time) {
-        if let Some(run) = self.runs.remove(&id) {
-            self.finish_search(run, Reason::Deadline, now);
+        if let Some(search) = self.searches.remove(&id) {
+            self.finish_search(search, Reason::Deadline, now);
         } else if let Some(execution) = self.executions.remove(&id) {
             self.finish_execution(execution, Reason::Deadline, now);
         }
     }
 
-    /// Serves those who wait, brings attempts onto connections, and returns what is to be done.
-    fn conclude(&mut self, now: Time) -> Vec<Action<C>> {
+    /// Resumes waiters, sends attempts, and returns the actions to carry out.
+    fn finish_event(&mut self, now: Time) -> Vec<Action<C>> {
         while self.has_work() {
-            self.serve(now);
-            self.transmit(now);
+            self.resume_waiters(now);
+            self.send_queued(now);
         }
-        self.command(now);
-        self.time_fleet();
-        if let Some(at) = self.timers.wake(self.pool.next_wake(), now) {
+        self.apply_pool_commands(now);
+        self.schedule_fleet_wake();
+        if let Some(at) = self.timers.next_wake(self.pool.next_wake(), now) {
             self.actions.push(Action::Wake(at));
         }
         std::mem::take(&mut self.actions)
     }
 
     fn has_work(&self) -> bool {
-        let waits = self.touched.is_empty() && self.changed.is_empty();
-        !(waits && self.freed.is_empty() && self.callable.is_empty())
+        let is_idle = self.groups_with_room.is_empty() && self.changed_groups.is_empty();
+        !(is_idle && self.freed_fingerprints.is_empty() && self.pending_acquires.is_empty())
     }
 
     pub(super) fn log(
--- a/crates/decision/src/home/timer.rs
+++ b/crates/decision/src/home/timer.rs
@@ -1,29 +1,29 @@
-//! What is due, and when.
+//! Timers of a home, ordered by due time.
 
 use crate::attempt::AttemptId;
 use crate::{RequestId, Time};
 use std::collections::BTreeSet;
 
-/// Something that comes due.
+/// What to do when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A request has to end.
+    /// End a request.
     Deadline(RequestId),
-    /// A partial answer to a search has become better than a later one.
-    Soft(RequestId),
-    /// Failed parts of a search have waited long enough for the others.
-    Rescue(RequestId),
-    /// An attempt is slow, or its connection is to be looked at, or is given up.
+    /// Return a partial answer to a search if its coverage suffices.
+    SoftDeadline(RequestId),
+    /// Decide on the deferred parts of a search.
+    Deferral(RequestId),
+    /// Hedge an attempt, or check or give up its connection.
     Attempt(AttemptId),
-    /// A back-off ends, or a cancellation was never confirmed.
+    /// End a back-off, or check for unconfirmed cancellations.
     Fleet,
 }
 
-/// Timers in the order in which they come due.
+/// Timers in the order in which they are due.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     due: BTreeSet<(Time, Timer)>,
-    /// The earliest wake-up that the driver was asked for and that has not come.
+    /// The earliest outstanding wake-up that the driver was asked for.
     promised: Option<Time>,
 }
 
@@ -36,7 +36,7 @@
         self.due.remove(&(at, timer));
     }
 
-    /// Takes the earliest timer that is due.
+    /// Removes and returns the earliest due timer.
     pub(super) fn pop(&mut self, now: Time) -> Option<Timer> {
         let (at, _) = self.due.first()?;
         if *at > now {
@@ -45,12 +45,12 @@
         self.due.pop_first().map(|(_, timer)| timer)
     }
 
-    /// Returns the wake-up to ask the driver for, if it is earlier than what was asked for before.
-    /// `other` is what else is due outside this queue.
-    pub(super) fn wake(&mut self, other: Option<Time>, now: Time) -> Option<Time> {
+    /// Returns the wake-up to request from the driver; `None` if an earlier one is outstanding.
+    /// `external` is due outside this queue.
+    pub(super) fn next_wake(&mut self, external: Option<Time>, now: Time) -> Option<Time> {
         self.promised = self.promised.filter(|at| *at > now);
-        let own = self.due.first().map(|(at, _)| *at);
-        let next = [own, other].into_iter().flatten().min()?;
+        let queued = self.due.first().map(|(at, _)| *at);
+        let next = [queued, external].into_iter().flatten().min()?;
         if self.promised.is_some_and(|at| at <= next) {
             return None;
         }
--- a/crates/decision/src/home/wakeup.rs
+++ b/crates/decision/src/home/wakeup.rs
@@ -1,29 +1,28 @@
-//! When the driver of a home feeds it the time.
+//! When the driver of a home sends it the next [`Event::Tick`](super::Event::Tick).
 //!
-//! A home asks for a wake-up only when it needs an earlier one than it was promised, and takes a
-//! promise as kept by whatever event comes at that time or later. The driver has to see it in the
-//! same way. If it kept the old time beside the new one, and then woke up for the old one, it would
-//! drop the new one too: seen as hedges and retries that are sent hundreds of milliseconds late,
-//! though only on a busy process, where events overtake ticks.
+//! A home requests a wake-up only if it is earlier than the outstanding one, and treats any event
+//! at or after that time as the wake-up. The driver has to follow the same rule. If it kept a
+//! superseded wake-up as well, it would drop the new one when the old one comes due, and hedges and
+//! retries would be sent late on a busy process, where events overtake ticks.
 
 use crate::Time;
 
-/// The earliest wake-up that a home was promised.
+/// The earliest outstanding wake-up that a home requested.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Wakeup(Option<Time>);
 
 impl Wakeup {
-    /// Takes in that the home wants to be woken, by [`Action::Wake`](super::Action::Wake).
+    /// Records the time of an [`Action::Wake`](super::Action::Wake).
     pub fn schedule(&mut self, at: Time) {
         self.0 = Some(self.0.map_or(at, |promised| promised.min(at)));
     }
 
-    /// Takes in that an event, of whatever kind, is about to be fed at `now`.
+    /// Records that an event of any kind is about to be sent to the home at `now`.
     pub fn on_event(&mut self, now: Time) {
         self.0 = self.0.filter(|promised| *promised > now);
     }
 
-    /// Returns when to feed a tick, if nothing else is fed before.
+    /// Returns when to send a tick if no other event comes first.
     pub fn next(&self) -> Option<Time> {
         self.0
     }
