--- a/crates/decision/src/idempotency/decision.rs
+++ b/crates/decision/src/idempotency/decision.rs
@@ -1,4 +1,4 @@
-//! What arrives at a ledger and what it decides.
+//! The request that a ledger receives and the decision that it returns.
 
 use super::key::Fence;
 use super::permit::{Permit, Unsent};
@@ -9,79 +9,79 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Result of asking for a key.
+/// Result of issuing a key.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// One send of a non-idempotent request.
+/// One send of a non-idempotent request; a retry by the caller is another send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
-    /// Id of this send.
+    /// Id of this send, unique over all daemons.
     pub id: RequestId,
-    /// Who sent it.
+    /// The caller; a key is valid for one caller only.
     pub caller: CallerId,
-    /// The route that it is for.
+    /// The route; a fenced key is valid for one route only.
     pub route: RouteId,
     /// Hash of route and body.
     pub fingerprint: Fingerprint,
-    /// Time by which it must have left, on this process's clock.
+    /// Deadline for sending the request to a backend server, on this process's clock.
     pub deadline: Time,
-    /// Number in the header `monsoonring-send`, 1 for a first send; only own keys need it.
+    /// Value of the header `monsoonring-send`, 1 for the first send; required for own keys only.
     pub send: Option<u32>,
-    /// Whether another daemon passed it on; it takes one hop only.
+    /// Whether another daemon forwarded it; a request is forwarded once.
     pub passed_on: bool,
 }
 
-/// What is to be done with a send.
+/// What the daemon does with a send.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Run it; it is recorded.
+    /// Run it; the ledger has recorded the key.
     Run(Permit<Unsent>),
-    /// It is running; the send is among those named when it ends.
+    /// The key is running: wait for [`super::ledger::Completion`], which lists this send.
     Join,
-    /// It has ended before; tell the recorded outcome, marked as such.
+    /// The key has ended: return the recorded outcome, marked as a replay.
     Replay(Outcome),
-    /// Don't run it, and tell why.
+    /// Don't run it.
     Refuse(Refusal),
-    /// Pass it to this incarnation, where it is a member, else to whoever says that it holds the
-    /// fence ([`super::Lookup::Fence`]); if there is none, tell "unknown".
+    /// Forward it to this incarnation if it is a member, else to the member that holds the fence
+    /// ([`super::Lookup::Fence`]); without either, answer "unknown".
     PassTo(Fence),
-    /// A later send of an own key that isn't recorded here: ask the other members
+    /// A retry under an own key that has no record here: look the key up at the other members
     /// ([`super::Lookup::Own`]).
     LookUp,
 }
 
-/// Why a send, or the issue of a key, is refused.
+/// Why the ledger refuses a send or doesn't issue a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// There is no room for another record.
+    /// The ledger is full.
     Full {
-        /// Time after which there may be room.
+        /// Time until the next reservation expires.
         retry_after: Duration,
     },
     /// The daemon is stopping.
     Stopping,
-    /// An own key came without its number of the send.
+    /// An own key came without the header `monsoonring-send`.
     Unmarked,
-    /// The key was used for another request before.
+    /// The key was used before for a request with another fingerprint.
     Mismatch,
-    /// The key wasn't issued for this caller and route by the incarnation that it names.
+    /// The MAC is invalid: the key was not issued by this fence for this caller and route.
     Forged,
-    /// The key is past its expiry and nothing is known of it.
+    /// The key has expired and has no record.
     Expired,
-    /// Too many sends of this key wait already.
+    /// [`super::ledger::MAX_JOINED`] sends wait for this key already.
     Crowded,
-    /// The key's holder isn't here.
+    /// This incarnation does not hold the key's fence.
     Gone,
-    /// The key's holder is this incarnation now.
+    /// The fence was handed over to the given incarnation.
     Moved(Fence),
 }
 
 impl Refusal {
-    /// Returns what the caller is to be told.
+    /// Returns the outcome for the caller.
     ///
-    /// "Not run" speaks of this send. It is said only where the key has no earlier run
-    /// (`Full`, `Stopping`), where this very request never ran under the key (`Mismatch`), and on
-    /// an unmarked own key, whose caller says by the missing mark that it never sent it otherwise.
+    /// "Not run" applies to this send. It is returned only if the key has not run before (`Full`,
+    /// `Stopping`), if this request never ran under the key (`Mismatch`), and for an own key
+    /// without a send number: a caller that omits the number has never sent the key with one.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::Full { retry_after } => Outcome::NotRun {
@@ -102,7 +102,7 @@
     }
 }
 
-/// "Not run" of a daemon that is stopping.
+/// Returns "not run" for a daemon that is stopping; the caller can retry immediately.
 pub(super) fn stopping() -> Outcome {
     Outcome::NotRun {
         reason: Reason::Stopping,
--- a/crates/decision/src/idempotency/fence.rs
+++ b/crates/decision/src/idempotency/fence.rs
@@ -1,30 +1,30 @@
-//! What a ledger holds of one fence, and the form in which that goes to a successor.
+//! The state that a ledger holds for one fence, and its snapshot for a handover.
 
 use super::decision::{Decision, Refusal, Request, stopping};
 use super::key::{Fence, Serial};
 use super::permit::{Permit, Slot};
 use super::record::{Outcome, Record};
-use super::seal::Secret;
+use super::secret::Secret;
 use crate::{Fingerprint, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All that a holder needs for the keys of one fence.
+/// State of one fence as it is handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct FenceSnapshot {
     pub(super) fence: Fence,
     pub(super) secret: Secret,
-    /// Time on the fence's clock when the handover was made.
+    /// Time on the fence's clock when the snapshot was taken.
     pub(super) clock: Time,
-    /// Keys that may still arrive.
+    /// Number of issued keys that have not expired.
     pub(super) keys: usize,
-    /// Time for which they may.
+    /// Time until the last of them expires.
     pub(super) left: Duration,
     pub(super) records: Vec<(Serial, Entry)>,
 }
 
-/// A record without its holder's clock.
+/// A [`Record`] in a snapshot, with times relative to the snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Entry {
     pub(super) fingerprint: Fingerprint,
@@ -32,6 +32,7 @@
     pub(super) outcome: Outcome,
 }
 
+/// Phase of a ledger's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     Open,
@@ -40,11 +41,11 @@
 }
 
 impl Phase {
-    /// Makes the record of a key that has none, and the decision that goes with it.
+    /// Returns the record and the decision for a key that has no record.
     ///
-    /// A draining ledger records its refusal too: the successor would otherwise run a delayed
-    /// copy of a send whose caller was told "not run".
-    pub(super) fn take(self, slot: Slot, request: &Request, until: Time) -> (Record, Decision) {
+    /// A draining ledger also records its refusals. Otherwise the successor would run a delayed
+    /// copy of a send for which the caller received "not run".
+    pub(super) fn decide(self, slot: Slot, request: &Request, until: Time) -> (Record, Decision) {
         let fingerprint = request.fingerprint;
         if self == Self::Open {
             let permit = Permit::new(slot, request.deadline);
@@ -55,30 +56,31 @@
     }
 }
 
-/// What a holder keeps for one fence.
+/// Secret and records of one fence at its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct FenceState {
     pub(super) secret: Secret,
     pub(super) records: BTreeMap<Serial, Record>,
-    /// Keys that may still arrive, for an inherited fence.
+    /// Number of issued keys that have not expired; 0 for the ledger's own fence.
     pub(super) keys: usize,
-    /// Time on the holder's clock from which on none does, for an inherited fence.
+    /// Time on the holder's clock at which the last of them expires; `Time::MAX` for the ledger's
+    /// own fence.
     pub(super) until: Time,
-    /// One moment on the fence's clock and on the holder's. A handover that took long makes keys
-    /// live longer, and their records with them.
-    theirs: Time,
-    ours: Time,
+    /// The same instant on the fence's clock and on the holder's clock (`local_base`). The time
+    /// that a handover is in transit does not count: keys and their records then live longer.
+    fence_base: Time,
+    local_base: Time,
 }
 
 impl FenceState {
-    pub(super) fn started(secret: Secret) -> Self {
+    pub(super) fn new(secret: Secret) -> Self {
         Self {
             secret,
             records: BTreeMap::new(),
             keys: 0,
             until: Time::MAX,
-            theirs: Time::ZERO,
-            ours: Time::ZERO,
+            fence_base: Time::ZERO,
+            local_base: Time::ZERO,
         }
     }
 
@@ -86,37 +88,39 @@
         self.until > now || self.records.values().any(Record::is_running)
     }
 
-    /// Time that a key with this expiry has left, `None` if it has expired.
-    pub(super) fn left(&self, expiry: Time, now: Time) -> Option<Duration> {
-        let left = expiry.saturating_sub(self.clock(now));
+    /// Returns the time until a key with this expiry expires, `None` if it has expired.
+    pub(super) fn time_left(&self, expiry: Time, now: Time) -> Option<Duration> {
+        let left = expiry.saturating_sub(self.fence_time(now));
         (!left.is_zero()).then_some(left)
     }
 
-    pub(super) fn clock(&self, now: Time) -> Time {
-        self.theirs.saturating_add(now.saturating_sub(self.ours))
+    /// Returns the current time on the fence's clock.
+    pub(super) fn fence_time(&self, now: Time) -> Time {
+        self.fence_base
+            .saturating_add(now.saturating_sub(self.local_base))
     }
 
-    pub(super) fn inherited(bequest: FenceSnapshot, now: Time) -> Self {
-        let entries = bequest.records.into_iter();
+    pub(super) fn from_snapshot(snapshot: FenceSnapshot, now: Time) -> Self {
+        let entries = snapshot.records.into_iter();
         Self {
-            secret: bequest.secret,
+            secret: snapshot.secret,
             records: entries
                 .map(|(serial, e)| (serial, e.into_record(now)))
                 .collect(),
-            keys: bequest.keys,
-            until: now.saturating_add(bequest.left),
-            theirs: bequest.clock,
-            ours: now,
+            keys: snapshot.keys,
+            until: now.saturating_add(snapshot.left),
+            fence_base: snapshot.clock,
+            local_base: now,
         }
     }
 }
 
 impl Entry {
-    pub(super) fn of(record: &Record, now: Time) -> Self {
+    pub(super) fn from_record(record: &Record, now: Time) -> Self {
         Self {
             fingerprint: record.fingerprint,
             left: record.until.saturating_sub(now),
-            outcome: record.settled(),
+            outcome: record.final_outcome(),
         }
     }
 
--- a/crates/decision/src/idempotency/handover.rs
+++ b/crates/decision/src/idempotency/handover.rs
@@ -1,18 +1,18 @@
-//! How an incarnation that stops leaves its ledger to one successor.
+//! Handover of a ledger from a stopping incarnation to its successor.
 //!
-//! Why the successor may run keys that the ledger holds no record of:
+//! The successor may run a key that has no record in the handover, because:
 //!
-//! - The old incarnation closes its ledger before the handover is made, and a closed ledger gives
-//!   out no permit. Pausing it in between changes nothing: it wakes up closed. What still runs
-//!   is handed over as "unknown" for good.
-//! - The handover names the successor's incarnation. The old one never names a second, also when
-//!   the acknowledgement is lost, and a restarted successor has another start number.
-//! - The successor remembers for good whose handover it took, so that a copy that arrives late
-//!   can't bring back a state in which keys that it has run since are without a record.
-//! - A closed ledger takes no handover, so nothing is added to an estate that went on.
+//! - The old incarnation closes its ledger before it takes the snapshot, and a closed ledger issues
+//!   no permit. A process that is paused in between is still closed when it resumes. Keys that are
+//!   running are handed over as "unknown".
+//! - The handover names the successor's incarnation. The old incarnation never names a second one,
+//!   even if the acknowledgement is lost, and a restarted successor has another start number.
+//! - The successor remembers forever which handovers it has applied. A late copy can't remove the
+//!   records of keys that it has run since.
+//! - A closed ledger accepts no handover, so a snapshot never misses a fence.
 //!
-//! By induction over the chain of successors, a fence has one holder at any time. A handover that
-//! is lost, refused or late costs no more than some "unknown".
+//! By induction over the chain of successors, a fence has one holder at any time. If a handover is
+//! lost, refused or late, some callers get "unknown".
 
 use super::fence::{Entry, FenceSnapshot, FenceState, Phase};
 use super::key::Fence;
@@ -22,95 +22,95 @@
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
-/// Result of making or taking a handover.
+/// Result of creating or applying a handover.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a handover was not made or not taken.
+/// Why a handover could not be created or applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The ledger was left to another successor before.
-    #[snafu(display("hand over to {to}: already left to {earlier}"))]
-    Left {
-        /// The successor that was named now.
+    /// The ledger was handed over to another successor before.
+    #[snafu(display("hand over to {to}: already handed over to {earlier}"))]
+    HandedOver {
+        /// The requested successor.
         to: Fence,
-        /// The one that it was left to.
+        /// The successor that has the ledger.
         earlier: Fence,
     },
     /// The handover is for another incarnation.
-    #[snafu(display("take over from {from}: left to {to}"))]
+    #[snafu(display("take over from {from}: the successor is {to}"))]
     Misdirected {
         /// The incarnation that stopped.
         from: Fence,
-        /// The successor that it named.
+        /// The successor named in the handover.
         to: Fence,
     },
     /// This incarnation has handed over its own ledger.
-    #[snafu(display("take over from {from}: stopping"))]
+    #[snafu(display("take over from {from}: the own ledger is closed"))]
     Closed {
         /// The incarnation that stopped.
         from: Fence,
     },
-    /// There is no room for that many keys.
-    #[snafu(display("take over from {from}: no room for {keys} keys"))]
-    Room {
+    /// The limit of inherited keys would be exceeded.
+    #[snafu(display("take over from {from}: {keys} keys exceed the limit"))]
+    Capacity {
         /// The incarnation that stopped.
         from: Fence,
-        /// Number of keys that it handed over.
+        /// Number of keys in the handover.
         keys: usize,
     },
 }
 
-/// A ledger on its way to the successor.
+/// The content of a ledger, addressed to one successor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Handover {
     /// The incarnation that stops.
     pub from: Fence,
-    /// The one incarnation that may take it.
+    /// The only incarnation that may apply it.
     pub to: Fence,
     estates: Vec<FenceSnapshot>,
     own: Vec<(CallerId, Box<str>, Entry)>,
 }
 
-/// Acknowledgement that a handover was taken, then or before.
+/// Acknowledgement that a handover has been applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Receipt {
-    /// The incarnation whose ledger was taken.
+    /// The incarnation that stopped.
     pub from: Fence,
-    /// The incarnation that took it.
+    /// The incarnation that applied the handover.
     pub to: Fence,
 }
 
 impl Ledger {
-    /// Stops giving out permits and keys; what arrives new is recorded as not run.
+    /// Stops issuing permits and keys; new sends are recorded as not run.
     pub fn drain(&mut self) {
         if self.phase == Phase::Open {
             self.phase = Phase::Draining;
         }
     }
 
-    /// Tells whether a handover of that many keys would be taken now.
+    /// Returns whether a handover of `keys` keys fits within the limit of inherited keys.
     pub fn has_room_for(&self, keys: usize) -> bool {
-        let held: usize = self.estates.values().map(|estate| estate.keys).sum();
+        let held: usize = self.fences.values().map(|state| state.keys).sum();
         held + keys <= self.limits.inherited
     }
 
-    /// Number of keys that a handover would hold.
+    /// Returns the number of keys that a handover would contain.
     pub fn keys(&self) -> usize {
-        let held: usize = self.estates.values().map(|estate| estate.keys).sum();
-        held + self.places.len() + self.own.len()
+        let held: usize = self.fences.values().map(|state| state.keys).sum();
+        held + self.reservations.len() + self.own.len()
     }
 
-    /// Closes the ledger for good and returns what the successor needs. Asked again for the same
-    /// successor, it returns the same records.
+    /// Closes the ledger permanently and returns the handover for the successor. A repeated call
+    /// for the same successor returns the same records.
     ///
     /// # Errors
     ///
-    /// Fails where the ledger was left to another successor before.
+    /// Fails if the ledger was handed over to another successor before.
     pub fn hand_over(&mut self, to: Fence, now: Time) -> Result<Handover> {
         let now = self.advance(now);
         match self.phase {
             Phase::Closed { to: earlier, .. } => {
-                ensure!(earlier == to, LeftSnafu { to, earlier });
+                ensure!(earlier == to, HandedOverSnafu { to, earlier });
             }
             Phase::Open | Phase::Draining => {
                 let acknowledged = false;
@@ -122,17 +122,19 @@
             from: self.fence,
             to,
             estates: self
-                .estates
+                .fences
                 .iter()
-                .map(|(of, estate)| self.bequest(*of, estate, now))
+                .map(|(of, state)| self.snapshot(*of, state, now))
                 .collect(),
             own: own
-                .map(|((caller, text), r)| (caller.clone(), text.clone(), Entry::of(r, now)))
+                .map(|((caller, text), r)| {
+                    (caller.clone(), text.clone(), Entry::from_record(r, now))
+                })
                 .collect(),
         })
     }
 
-    /// Notes that the successor took the handover; from now on senders are told who it is.
+    /// Records that the successor applied the handover; later sends get [`super::Refusal::Moved`].
     pub fn acknowledge(&mut self, receipt: Receipt) {
         let fence = self.fence;
         if let Phase::Closed { to, acknowledged } = &mut self.phase {
@@ -140,79 +142,79 @@
         }
     }
 
-    /// Takes over the ledger of an incarnation that stopped; a copy of a handover that was taken
-    /// before changes nothing.
+    /// Takes over the ledger of an incarnation that stopped. Applying a handover twice has no
+    /// effect.
     ///
     /// # Errors
     ///
-    /// Fails where the handover is for another incarnation, this one has closed its own ledger,
-    /// or there is no room.
+    /// Fails if the handover is for another incarnation, if this ledger is closed, or if the limit
+    /// of inherited keys would be exceeded.
     pub fn inherit(&mut self, handover: Handover, now: Time) -> Result<Receipt> {
         let now = self.advance(now);
         let (from, to) = (handover.from, handover.to);
         ensure!(to == self.fence, MisdirectedSnafu { from, to });
-        if self.taken.contains(&from) {
+        if self.inherited_from.contains(&from) {
             return Ok(Receipt { from, to });
         }
         let closed = matches!(self.phase, Phase::Closed { .. });
         ensure!(!closed, ClosedSnafu { from });
         let keys = handover.keys();
-        ensure!(self.has_room_for(keys), RoomSnafu { from, keys });
-        self.taken.insert(from);
-        for bequest in handover.estates {
-            self.settle_in(bequest, now);
+        ensure!(self.has_room_for(keys), CapacitySnafu { from, keys });
+        self.inherited_from.insert(from);
+        for snapshot in handover.estates {
+            self.inherit_fence(snapshot, now);
         }
         for (caller, text, entry) in handover.own {
-            self.settle_own((caller, text), entry, now);
+            self.inherit_own_key((caller, text), entry, now);
         }
         Ok(Receipt { from, to })
     }
 
-    fn settle_in(&mut self, mut bequest: FenceSnapshot, now: Time) {
-        for (_, entry) in &mut bequest.records {
-            entry.outcome = self.afford(&entry.outcome);
+    fn inherit_fence(&mut self, mut snapshot: FenceSnapshot, now: Time) {
+        for (_, entry) in &mut snapshot.records {
+            entry.outcome = self.charge(&entry.outcome);
         }
-        // A fence that is held already has records that are newer than any handover.
-        let fence = bequest.fence;
-        let estate = FenceState::inherited(bequest, now);
-        self.estates.entry(fence).or_insert(estate);
+        // If the fence is held already, its records are newer than those of the handover.
+        let fence = snapshot.fence;
+        let state = FenceState::from_snapshot(snapshot, now);
+        self.fences.entry(fence).or_insert(state);
     }
 
-    // Two daemons have the same own key only where its first send was repeated. The record that
-    // isn't "not run" is the one to keep.
-    fn settle_own(&mut self, name: (CallerId, Box<str>), mut entry: Entry, now: Time) {
+    // Two daemons have a record of the same own key only if the caller sent it twice as a first
+    // send. A record other than "not run" wins.
+    fn inherit_own_key(&mut self, name: (CallerId, Box<str>), mut entry: Entry, now: Time) {
         let known = self.own.get(&name);
-        if known.is_some_and(|record| !record.settled().is_not_run()) {
+        if known.is_some_and(|record| !record.final_outcome().is_not_run()) {
             return;
         }
-        entry.outcome = self.afford(&entry.outcome);
+        entry.outcome = self.charge(&entry.outcome);
         self.own.insert(name, entry.into_record(now));
     }
 
-    fn bequest(&self, fence: Fence, estate: &FenceState, now: Time) -> FenceSnapshot {
-        let last = self.places.back().copied().unwrap_or(now);
+    fn snapshot(&self, fence: Fence, state: &FenceState, now: Time) -> FenceSnapshot {
+        let last = self.reservations.back().copied().unwrap_or(now);
         let (keys, until) = match fence == self.fence {
-            true => (self.places.len(), last),
-            false => (estate.keys, estate.until),
+            true => (self.reservations.len(), last),
+            false => (state.keys, state.until),
         };
-        let records = estate.records.iter();
+        let records = state.records.iter();
         FenceSnapshot {
             fence,
-            secret: estate.secret.clone(),
-            clock: estate.clock(now),
+            secret: state.secret.clone(),
+            clock: state.fence_time(now),
             keys,
             left: until.saturating_sub(now),
             records: records
-                .map(|(serial, r)| (*serial, Entry::of(r, now)))
+                .map(|(serial, r)| (*serial, Entry::from_record(r, now)))
                 .collect(),
         }
     }
 }
 
 impl Handover {
-    /// Number of keys that it holds a place or a record for.
+    /// Returns the number of keys that it has a reservation or a record for.
     pub fn keys(&self) -> usize {
-        let held: usize = self.estates.iter().map(|estate| estate.keys).sum();
+        let held: usize = self.estates.iter().map(|state| state.keys).sum();
         held + self.own.len()
     }
 }
--- a/crates/decision/src/idempotency/key.rs
+++ b/crates/decision/src/idempotency/key.rs
@@ -1,9 +1,9 @@
-//! Keys of non-idempotent requests, as callers send them.
+//! Idempotency keys of non-idempotent requests.
 //!
 //! A fenced key is text such as `m1.10.0.0.1~7000.81.5.600000.<MAC>`: the member's address, its
 //! start number, a serial number, the expiry in milliseconds on that incarnation's clock, and a
-//! MAC by which the incarnation recognises the keys that it made. Every character may stand in a
-//! URL and in a header, therefore `~` and not `:` before the port (IPv6 would need brackets).
+//! MAC that authenticates the key. All characters are valid in URLs and headers; the port follows
+//! `~` because `:` would require brackets around IPv6 addresses.
 
 use crate::Time;
 use derive_more::Display;
@@ -15,44 +15,44 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Number of a key among those of its fence.
+/// Serial number of a key, unique within its fence.
 pub type Serial = u64;
 
-/// Bytes of a MAC in a key.
+/// Length of the MAC in a key, in bytes.
 pub const MAC_BYTES: usize = 16;
 
-/// Longest key taken, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// How every issued key starts.
+/// Prefix of every key issued by a daemon.
 pub const PREFIX: &str = "m1.";
 const SEPARATOR: char = '.';
 const PORT_SEPARATOR: char = '~';
 
-/// Result of reading a key.
+/// Result of parsing a key.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a text is no key.
+/// Why a text is not a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// It is empty, too long or holds something other than visible ASCII.
+    /// It is empty, too long or contains characters other than visible ASCII.
     #[snafu(display("a key is 1 to {MAX_KEY_BYTES} visible ASCII characters"))]
     Text,
-    /// It starts like a fenced key and is none: truncated or altered on its way. It is not taken
-    /// as a caller's own key, as it may be the remains of one that ran.
+    /// It has the prefix of a fenced key but is malformed. It is not treated as a caller's own key:
+    /// it may be a truncated copy of a key that ran.
     #[snafu(display("a key starting with {PREFIX} must be one that a daemon issued"))]
     Fenced,
 }
 
-/// One incarnation of a daemon, as the only one that may run the keys that name it.
+/// One incarnation of a daemon; only the holder of the fence may run the keys that name it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{member}/{start}")]
 pub struct Fence {
-    /// Address at which the other daemons reach it.
+    /// Address for connections from other daemons.
     pub member: SocketAddr,
-    /// Start number of its process.
+    /// Start number of the process.
     pub start: Incarnation,
 }
 
@@ -61,9 +61,9 @@
 pub struct Fenced {
     /// The incarnation that issued it.
     pub fence: Fence,
-    /// Its number among the keys of the fence.
+    /// Serial number within the fence.
     pub serial: Serial,
-    /// Time on the fence's clock, in whole milliseconds, from which on it is not run.
+    /// Expiry on the fence's clock, in whole milliseconds; the key is not run at or after it.
     pub expiry: Time,
     pub(crate) mac: [u8; MAC_BYTES],
 }
@@ -73,7 +73,7 @@
 pub enum Key {
     /// Issued by a daemon.
     Fenced(Fenced),
-    /// Made by the caller; unique for that caller only.
+    /// Chosen by the caller; unique per caller.
     Own(Box<str>),
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-// The address holds separators itself, so the fields are taken from the end.
+// An IPv4 address contains separators too, so the fields are split from the end.
 fn parse_fenced(text: &str) -> Option<Fenced> {
     let mut fields = text.rsplitn(5, SEPARATOR);
     let mac = parse_mac(fields.next()?)?;
--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -1,42 +1,45 @@
-//! What one incarnation ran, and what it makes of a key that arrives.
+//! The record of the keys that one incarnation ran, and the decision on each send.
 //!
-//! Invariants, each kept where a record is made or dropped:
+//! Invariants:
 //!
 //! - A key gets at most one [`Permit`], and its record exists before the permit does.
-//! - A record is dropped only after its key's expiry; a key past its expiry gets no permit.
-//!   Hence a key in time without a record has never had a permit from this holder.
-//! - Every issued key has a place kept for its record, so that a send is never turned away
-//!   without a trace. Such a refusal would be forgotten, and a delayed copy of an earlier send
-//!   could run after its caller was told "not run".
-//! - Once closed for a handover, a ledger gives out no permit.
+//! - A record is dropped only after its key has expired, and an expired key gets no permit. A valid
+//!   key without a record has therefore never had a permit from this holder.
+//! - Each issued key reserves space for its record, so that every send of it can be recorded.
+//!   Without a record of the refusal, a delayed copy of an earlier send could run after the caller
+//!   received "not run".
+//! - A ledger that is closed for a handover issues no permit.
 
 use super::decision::{Decision, Refusal, Request, Result};
 use super::fence::{FenceState, Phase};
 use super::key::{Fence, Fenced, Key, Serial};
 use super::permit::{AnyPermit, Permit, Sent, SentOutcome, Slot, Unsent};
 use super::record::{Outcome, Record, State};
-use super::seal::{Scope, Secret};
+use super::secret::{Scope, Secret};
 use crate::outcome::{self, Reason};
 use crate::{RequestId, Time};
 use monsoonring_configuration::id::{CallerId, RouteId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Sends of one key that wait for its outcome at most; more are told "unknown".
+/// Maximum number of sends that wait for the outcome of one key; further ones get "unknown".
 pub const MAX_JOINED: usize = 64;
 
 /// Bounds of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Time from the issue of a key to its expiry, and for which an own key is remembered.
+    /// Time from the issue of a key to its expiry; own keys are kept for as long after their first
+    /// send.
     pub lifetime: Duration,
-    /// Time for which a record outlives its key's expiry or its run; longer than any deadline.
+    /// Time for which a record is kept after its key's expiry or the end of its run; longer than
+    /// any deadline.
     pub slack: Duration,
-    /// Keys issued and own keys recorded at any time.
+    /// Maximum number of issued keys and recorded own keys.
     pub keys: usize,
-    /// Keys taken over from stopped incarnations at any time.
+    /// Maximum number of keys taken over from stopped incarnations.
     pub inherited: usize,
-    /// Bytes of outcomes kept. An outcome without room is told once and replayed as "unknown".
+    /// Maximum total size of the stored outcomes, in bytes. An outcome that exceeds it is returned
+    /// once and replayed as "unknown".
     pub bytes: usize,
 }
 
@@ -52,89 +55,90 @@
     }
 }
 
-/// How a key ended, and who waits for it.
+/// Outcome of a key and the sends to notify.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "the joined sends wait for the outcome"]
 pub struct Completion {
-    /// The outcome, for the send that ran it and for those that joined.
+    /// The outcome, for the send that ran the key and for the joined sends.
     pub outcome: Outcome,
-    /// The sends that joined.
+    /// The sends that got [`Decision::Join`].
     pub joined: Vec<RequestId>,
 }
 
-/// The records of one incarnation, and of those that handed theirs over to it.
+/// The records of one incarnation and of those that handed theirs over to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     pub(super) fence: Fence,
     pub(super) limits: Limits,
     pub(super) phase: Phase,
-    pub(super) estates: BTreeMap<Fence, FenceState>,
+    pub(super) fences: BTreeMap<Fence, FenceState>,
     pub(super) own: BTreeMap<(CallerId, Box<str>), Record>,
-    /// Fences taken over at any time, never forgotten.
-    pub(super) taken: BTreeSet<Fence>,
-    /// Times until which the issued keys have a place, in order.
-    pub(super) places: VecDeque<Time>,
+    /// Incarnations whose handover was applied; never removed.
+    pub(super) inherited_from: BTreeSet<Fence>,
+    /// Times until which issued keys reserve space for a record, in order.
+    pub(super) reservations: VecDeque<Time>,
     pub(super) bytes: usize,
-    next: Serial,
+    next_serial: Serial,
     latest: Time,
 }
 
 impl Ledger {
-    /// Returns the empty ledger of an incarnation that has just started. The secret must be
-    /// random, and new for each start.
+    /// Returns an empty ledger. The secret must be random, and new for each incarnation.
     pub fn new(fence: Fence, secret: Secret, limits: Limits) -> Self {
         Self {
             fence,
             limits,
             phase: Phase::Open,
-            estates: BTreeMap::from([(fence, FenceState::started(secret))]),
+            fences: BTreeMap::from([(fence, FenceState::new(secret))]),
             own: BTreeMap::new(),
-            taken: BTreeSet::new(),
-            places: VecDeque::new(),
+            inherited_from: BTreeSet::new(),
+            reservations: VecDeque::new(),
             bytes: 0,
-            next: 0,
+            next_serial: 0,
             latest: Time::ZERO,
         }
     }
 
-    /// Returns the incarnation that the ledger belongs to.
+    /// Returns the fence of the ledger's own incarnation.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// Number of keys that are running.
+    /// Returns the number of keys that are running.
     pub fn running(&self) -> usize {
-        let fenced = self.estates.values().flat_map(|e| e.records.values());
+        let fenced = self.fences.values().flat_map(|e| e.records.values());
         let all = fenced.chain(self.own.values());
         all.filter(|record| record.is_running()).count()
     }
 
-    /// Number of keys of which something is recorded.
+    /// Returns the number of keys that have a record.
     pub fn recorded(&self) -> usize {
-        let fenced = self.estates.values().map(|e| e.records.len());
+        let fenced = self.fences.values().map(|e| e.records.len());
         fenced.sum::<usize>() + self.own.len()
     }
 
-    /// Issues a key for one request of a caller.
+    /// Issues a key for one request of the caller on the route.
     ///
     /// # Errors
     ///
-    /// Refuses with [`Refusal::Full`] or [`Refusal::Stopping`].
+    /// Returns [`Refusal::Full`] or [`Refusal::Stopping`].
     pub fn mint(&mut self, caller: &CallerId, route: &RouteId, now: Time) -> Result<Key> {
         let now = self.advance(now);
-        self.admit(now)?;
+        self.check_issue(now)?;
         let expiry = Duration::from_millis(whole_millis(now + self.limits.lifetime));
-        let Some(estate) = self.estates.get(&self.fence) else {
+        let Some(state) = self.fences.get(&self.fence) else {
             return Err(Refusal::Stopping);
         };
         let scope = Scope { caller, route };
-        let key = estate.secret.issue(self.fence, self.next, expiry, scope);
-        self.next += 1;
-        self.places.push_back(expiry + self.limits.slack);
+        let key = state
+            .secret
+            .issue(self.fence, self.next_serial, expiry, scope);
+        self.next_serial += 1;
+        self.reservations.push_back(expiry + self.limits.slack);
         Ok(Key::Fenced(key))
     }
 
-    /// Decides on one send, and records it where it is to be run.
+    /// Decides on one send, and records the key if it is to be run.
     pub fn begin(&mut self, key: &Key, request: &Request, now: Time) -> Decision {
         let now = self.advance(now);
         match key {
@@ -143,12 +147,12 @@
         }
     }
 
-    /// Records how a request that left ended.
-    pub fn finish(&mut self, permit: Permit<Sent>, ran: SentOutcome, now: Time) -> Completion {
-        self.settle(permit.slot, ran.into(), now)
+    /// Records the outcome of a request that was sent.
+    pub fn finish(&mut self, permit: Permit<Sent>, outcome: SentOutcome, now: Time) -> Completion {
+        self.settle(permit.slot, outcome.into(), now)
     }
 
-    /// Records that a request was not run. The key stays without use.
+    /// Records that a request did not run. The key can't be used again.
     pub fn release(
         &mut self,
         permit: Permit<Unsent>,
@@ -163,10 +167,15 @@
         self.settle(permit.slot, outcome, now)
     }
 
-    /// Records the outcome that a home found. "Not run" for a request that left without a proof
-    /// of refusal becomes "unknown".
-    pub fn conclude(&mut self, run: AnyPermit, outcome: outcome::Outcome, now: Time) -> Completion {
-        let (slot, sent) = run.into_parts();
+    /// Records the outcome reported by the home. "Not run" becomes "unknown" if the permit is still
+    /// marked as sent.
+    pub fn conclude(
+        &mut self,
+        permit: AnyPermit,
+        outcome: outcome::Outcome,
+        now: Time,
+    ) -> Completion {
+        let (slot, sent) = permit.into_parts();
         let mut outcome = Outcome::from(outcome);
         if sent && outcome.is_not_run() {
             let reason = Reason::Lost;
@@ -175,53 +184,53 @@
         self.settle(slot, outcome, now)
     }
 
-    /// Drops what has expired; called about once a second. What is running stays, however long a
-    /// pause was: the sends that joined would otherwise never be told an outcome.
+    /// Drops expired records; call about once a second. Running keys are kept, even after a long
+    /// pause of the process, because joined sends wait for their outcome.
     pub fn tick(&mut self, now: Time) {
         let now = self.advance(now);
-        self.vacate(now);
+        self.expire_reservations(now);
         let fence = self.fence;
-        self.estates
-            .retain(|of, estate| *of == fence || estate.is_needed(now));
-        for estate in self.estates.values_mut() {
-            estate.records.retain(|_, record| record.is_needed(now));
+        self.fences
+            .retain(|of, state| *of == fence || state.is_needed(now));
+        for state in self.fences.values_mut() {
+            state.records.retain(|_, record| record.is_needed(now));
         }
         self.own.retain(|_, record| record.is_needed(now));
-        let fenced = self.estates.values().flat_map(|e| e.records.values());
+        let fenced = self.fences.values().flat_map(|e| e.records.values());
         self.bytes = fenced.chain(self.own.values()).map(Record::bytes).sum();
     }
 
     fn begin_fenced(&mut self, key: &Fenced, request: &Request, now: Time) -> Decision {
         let slack = self.limits.slack;
-        let Some(estate) = self.estates.get_mut(&key.fence) else {
-            return elsewhere(key.fence, request);
+        let Some(state) = self.fences.get_mut(&key.fence) else {
+            return not_held(key.fence, request);
         };
         let (caller, route) = (&request.caller, &request.route);
-        if !estate.secret.issued(key, Scope { caller, route }) {
+        if !state.secret.issued(key, Scope { caller, route }) {
             return Decision::Refuse(Refusal::Forged);
         }
-        if let Some(record) = estate.records.get_mut(&key.serial) {
-            return repeat(record, request);
+        if let Some(record) = state.records.get_mut(&key.serial) {
+            return decide_repeat(record, request);
         }
-        let Some(left) = estate.left(key.expiry, now) else {
+        let Some(left) = state.time_left(key.expiry, now) else {
             return Decision::Refuse(Refusal::Expired);
         };
         if let Phase::Closed { to, acknowledged } = self.phase {
             return Decision::Refuse(moved(to, acknowledged));
         }
-        let (record, decision) = self.phase.take(
+        let (record, decision) = self.phase.decide(
             Slot::fenced(key),
             request,
             now.saturating_add(left.saturating_add(slack)),
         );
-        estate.records.insert(key.serial, record);
+        state.records.insert(key.serial, record);
         decision
     }
 
     fn begin_own(&mut self, text: &str, request: &Request, now: Time) -> Decision {
         let name = (request.caller.clone(), Box::from(text));
         if let Some(record) = self.own.get_mut(&name) {
-            return repeat(record, request);
+            return decide_repeat(record, request);
         }
         match request.send {
             None | Some(0) => Decision::Refuse(Refusal::Unmarked),
@@ -240,24 +249,24 @@
         if let Phase::Closed { .. } = self.phase {
             return Decision::Refuse(Refusal::Stopping);
         }
-        if let Err(full) = self.room(now) {
+        if let Err(full) = self.check_capacity(now) {
             return Decision::Refuse(full);
         }
         let until = now + self.limits.lifetime + self.limits.slack;
         let slot = Slot::Own(name.0.clone(), name.1.clone());
-        let (record, decision) = self.phase.take(slot, request, until);
+        let (record, decision) = self.phase.decide(slot, request, until);
         self.own.insert(name, record);
         decision
     }
 
     fn settle(&mut self, slot: Slot, outcome: Outcome, now: Time) -> Completion {
         let now = self.advance(now);
-        let kept = State::Done(self.afford(&outcome));
+        let stored = State::Done(self.charge(&outcome));
         let until = now + self.limits.slack;
         let mut joined = Vec::new();
         if let Some(record) = self.record_mut(slot) {
             record.until = record.until.max(until);
-            let before = std::mem::replace(&mut record.state, kept);
+            let before = std::mem::replace(&mut record.state, stored);
             if let State::Running { joined: waiting } = before {
                 joined = waiting;
             }
@@ -265,8 +274,8 @@
         Completion { outcome, joined }
     }
 
-    /// Returns the outcome as it can be kept, and counts its bytes.
-    pub(super) fn afford(&mut self, outcome: &Outcome) -> Outcome {
+    /// Returns the outcome to store and counts its bytes; "unknown" if it exceeds the limit.
+    pub(super) fn charge(&mut self, outcome: &Outcome) -> Outcome {
         let bytes = self.bytes + outcome.bytes();
         if bytes <= self.limits.bytes {
             self.bytes = bytes;
@@ -279,44 +288,44 @@
 
     fn record_mut(&mut self, slot: Slot) -> Option<&mut Record> {
         match slot {
-            Slot::Fenced(fence, serial) => self.estates.get_mut(&fence)?.records.get_mut(&serial),
+            Slot::Fenced(fence, serial) => self.fences.get_mut(&fence)?.records.get_mut(&serial),
             Slot::Own(caller, text) => self.own.get_mut(&(caller, text)),
         }
     }
 
-    fn admit(&mut self, now: Time) -> Result<()> {
+    fn check_issue(&mut self, now: Time) -> Result<()> {
         if self.phase != Phase::Open {
             return Err(Refusal::Stopping);
         }
-        self.room(now)
+        self.check_capacity(now)
     }
 
-    fn room(&mut self, now: Time) -> Result<()> {
-        self.vacate(now);
-        let used = self.places.len() + self.own.len();
+    fn check_capacity(&mut self, now: Time) -> Result<()> {
+        self.expire_reservations(now);
+        let used = self.reservations.len() + self.own.len();
         if used < self.limits.keys && self.bytes < self.limits.bytes {
             return Ok(());
         }
-        let first = self.places.front().copied();
+        let first = self.reservations.front().copied();
         let retry_after = first.map_or(self.limits.lifetime, |until| until.saturating_sub(now));
         Err(Refusal::Full { retry_after })
     }
 
-    fn vacate(&mut self, now: Time) {
-        while self.places.front().is_some_and(|until| *until <= now) {
-            self.places.pop_front();
+    fn expire_reservations(&mut self, now: Time) {
+        while self.reservations.front().is_some_and(|until| *until <= now) {
+            self.reservations.pop_front();
         }
     }
 
-    // Times can arrive out of order from several tasks of a driver. A key found expired, whose
-    // record is then dropped, must not be found in time again by a later call with an older time.
+    // Tasks of the driver can pass times out of order. A key that was found expired, and whose record
+    // was dropped, must not become valid again in a later call with an earlier time.
     pub(super) fn advance(&mut self, now: Time) -> Time {
         self.latest = self.latest.max(now);
         self.latest
     }
 }
 
-fn elsewhere(fence: Fence, request: &Request) -> Decision {
+fn not_held(fence: Fence, request: &Request) -> Decision {
     if request.passed_on {
         return Decision::Refuse(Refusal::Gone);
     }
@@ -330,7 +339,7 @@
     Refusal::Gone
 }
 
-fn repeat(record: &mut Record, request: &Request) -> Decision {
+fn decide_repeat(record: &mut Record, request: &Request) -> Decision {
     if record.fingerprint != request.fingerprint {
         return Decision::Refuse(Refusal::Mismatch);
     }
--- a/crates/decision/src/idempotency/lookup.rs
+++ b/crates/decision/src/idempotency/lookup.rs
@@ -1,8 +1,8 @@
-//! Finding who knows of a key, by asking the other members.
+//! Lookup of a key or a fence at the other members.
 //!
-//! Members answer from their own ledgers; nobody is told what he doesn't ask. Only a positive
-//! answer counts: that nobody knows of a key proves nothing, as the one who knew may be gone. So
-//! it is safe to ask fewer members, such as the homes of the route, and costs only "unknown".
+//! Each member answers from its own ledger. Only a positive finding counts: if no member knows a
+//! key, the member that ran it may have failed. It is therefore safe to poll fewer members, such as
+//! the homes of the route; the caller may then get "unknown".
 
 use super::fence::Phase;
 use super::key::Fence;
@@ -14,54 +14,54 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What is asked of each member.
+/// A lookup sent to each polled member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Lookup {
-    /// What is known of a caller's own key?
+    /// Finds the record of a caller's own key.
     Own {
-        /// The caller.
+        /// The caller that chose the key.
         caller: CallerId,
         /// Text of the key.
         key: Box<str>,
-        /// Hash of route and body that it came with.
+        /// Hash of the route and body of the request.
         fingerprint: Fingerprint,
     },
-    /// Who holds a fence whose incarnation can't be reached?
+    /// Finds the holder of a fence whose incarnation can't be reached.
     Fence(Fence),
 }
 
-/// What a member knows.
+/// Reply of one member to a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Finding {
-    /// Nothing.
+    /// The member has no record of the key, or doesn't hold the fence.
     Nothing,
-    /// It holds the fence: the request can be passed to it.
+    /// The member holds the fence: forward the request to it.
     Holds,
-    /// The own key is running there: a send passed to it joins.
+    /// The own key is running there: a forwarded send joins it.
     Running,
-    /// The own key was used there for another request.
+    /// The own key was used there for a request with another fingerprint.
     Mismatch,
-    /// The own key ended like this.
+    /// The own key ended with this outcome.
     Done(Outcome),
 }
 
-/// What follows from the answers.
+/// Result of a poll.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Resolution {
-    /// Pass the request to this member.
+    /// Forward the request to this member.
     PassTo(SocketAddr),
-    /// Tell the recorded outcome.
+    /// Return the recorded outcome.
     Replay(Outcome),
-    /// Refuse: the key was used for another request.
+    /// Refuse the request: the key was used for another one.
     Mismatch,
-    /// Tell "unknown"; nothing is run.
+    /// Answer "unknown" without running the request.
     Unknown,
 }
 
 impl Ledger {
-    /// Answers another member's question.
-    pub fn answer(&self, question: &Lookup) -> Finding {
-        match question {
+    /// Answers the lookup of another member.
+    pub fn answer(&self, lookup: &Lookup) -> Finding {
+        match lookup {
             Lookup::Fence(fence) => self.answer_fence(*fence),
             Lookup::Own {
                 caller,
@@ -76,7 +76,7 @@
 
     fn answer_fence(&self, fence: Fence) -> Finding {
         let closed = matches!(self.phase, Phase::Closed { .. });
-        if closed || !self.estates.contains_key(&fence) {
+        if closed || !self.fences.contains_key(&fence) {
             return Finding::Nothing;
         }
         Finding::Holds
@@ -93,7 +93,7 @@
     }
 }
 
-/// One question on its way through the members.
+/// Progress of one lookup over several members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Poll {
     waiting: BTreeSet<SocketAddr>,
@@ -102,7 +102,7 @@
 }
 
 impl Poll {
-    /// Returns a poll of these members, this daemon not included.
+    /// Returns a poll of these members, which exclude this daemon.
     pub fn new(members: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
             waiting: members.into_iter().collect(),
@@ -111,25 +111,23 @@
         }
     }
 
-    /// Members that haven't answered yet.
+    /// Returns the members that haven't replied yet.
     pub fn waiting(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.waiting.iter().copied()
     }
 
-    /// Takes a member's answer, `None` where it could not be asked or didn't answer in time.
-    /// Returns what follows, once that is certain.
+    /// Records a member's reply, `None` if it was unreachable or timed out. Returns the resolution
+    /// as soon as it is certain.
     pub fn record_reply(
         &mut self,
         member: SocketAddr,
-        answer: Option<Finding>,
+        finding: Option<Finding>,
     ) -> Option<Resolution> {
         self.waiting.remove(&member);
-        match answer {
+        match finding {
             None => self.unreachable = true,
             Some(Finding::Nothing) => {}
-            Some(Finding::Holds | Finding::Running) => {
-                return Some(Resolution::PassTo(member));
-            }
+            Some(Finding::Holds | Finding::Running) => return Some(Resolution::PassTo(member)),
             Some(Finding::Mismatch) => return Some(Resolution::Mismatch),
             Some(Finding::Done(outcome)) if outcome.is_not_run() => self.not_run = Some(outcome),
             Some(Finding::Done(outcome)) => return Some(Resolution::Replay(outcome)),
@@ -137,8 +135,8 @@
         self.resolve()
     }
 
-    /// Returns what follows if nobody is left to ask. "Not run" is said only if everyone
-    /// answered: where a first send was repeated against the rule, another member may have run it.
+    /// Returns the resolution if all members have replied or failed. "Not run" requires a reply from
+    /// every member: if a caller marks a retry as a first send, another member may have run it.
     pub fn resolve(&self) -> Option<Resolution> {
         if !self.waiting.is_empty() {
             return None;
--- a/crates/decision/src/idempotency/mod.rs
+++ b/crates/decision/src/idempotency/mod.rs
@@ -1,19 +1,19 @@
-//! At most once for non-idempotent requests, without a store and without consensus.
+//! At-most-once execution of non-idempotent requests, without shared storage or consensus.
 //!
-//! Hosts vanish with all that they know, and a balancer lands a caller's second send anywhere. So
-//! a key is *fenced*: it names the one incarnation of a daemon that alone may run it, and that
-//! incarnation keeps a [`Ledger`] of what it ran. Two facts carry the promise:
+//! A host can fail and lose its state, and a load balancer may route a retry to any daemon.
+//! Idempotency keys are therefore *fenced*: a key names the only incarnation of a daemon that may
+//! run it, and that incarnation keeps a [`Ledger`] of the keys that it ran. Two invariants hold:
 //!
-//! - Only the holder of a fence runs its keys, and a fence has one holder at any time: the
-//!   incarnation itself or, after a graceful stop, the one successor that it named.
-//! - The holder records a key before it runs it, and keeps the record for as long as the key can
-//!   still be run. A key past its expiry is never run.
+//! - Only the holder of a fence runs its keys. A fence has one holder at any time: the incarnation
+//!   itself or, after a graceful stop, the one successor that it named.
+//! - The holder records a key before it runs it, and keeps the record until the key has expired. An
+//!   expired key is never run.
 //!
-//! Everyone else passes the request to the holder or answers "unknown". The outcome of a key is
-//! final, "not run" included: a delayed copy of an earlier send may arrive after the caller was
-//! told "not run" and has begun anew under another key, and must not run then.
+//! Every other daemon forwards the request to the holder or answers "unknown". The outcome of a key
+//! is final, "not run" included: a delayed copy of an earlier send must not run after the caller
+//! received "not run" and retried under another key.
 //!
-//! `docs/design/at-most-once.md` weighs the ways that were not taken.
+//! `docs/design/at-most-once.md` compares the alternatives.
 
 pub mod decision;
 mod fence;
@@ -23,7 +23,7 @@
 pub mod lookup;
 pub mod permit;
 pub mod record;
-mod seal;
+mod secret;
 
 pub use decision::{Decision, Refusal, Request};
 pub use handover::{Handover, Receipt};
@@ -32,4 +32,4 @@
 pub use lookup::{Finding, Lookup, Poll};
 pub use permit::{AnyPermit, Permit, Sent, Unsent};
 pub use record::Outcome;
-pub use seal::Secret;
+pub use secret::Secret;
--- a/crates/decision/src/idempotency/permit.rs
+++ b/crates/decision/src/idempotency/permit.rs
@@ -1,9 +1,8 @@
-//! The permission to run a key once, as a token that is used up.
+//! Permits: tokens that allow a key to run once.
 //!
-//! A ledger hands out one permit for a key. "Not run" can be recorded only through a permit on
-//! which no byte left, or whose server itself said that it refused: the other state has no method
-//! for it. A permit that is dropped leaves its key recorded as running for good: it never runs again,
-//! and keeps its place in the ledger.
+//! A ledger issues one permit per key. "Not run" can be recorded only with a permit in the state
+//! [`Unsent`]: no byte of the request was sent, or the server itself refused it. If a permit is
+//! dropped, its key stays recorded as running: it never runs again and its record is kept.
 
 use super::key::{Fenced, Serial};
 use super::{Fence, record};
@@ -12,7 +11,7 @@
 use crate::outcome::Reason;
 use monsoonring_configuration::id::CallerId;
 
-/// State of a permit of which no byte has left.
+/// State of a permit whose request has not been sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Unsent(());
 
@@ -20,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Sent(());
 
-/// Where the record of a key lies.
+/// Position of a key's record in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Slot {
     Fenced(Fence, Serial),
@@ -52,13 +51,12 @@
         }
     }
 
-    /// Notes that the request is about to leave; called last thing before the first byte.
+    /// Marks the request as sent; call immediately before writing the first byte.
     ///
     /// # Errors
     ///
-    /// Gives the permit back where the deadline has passed. A process that was paused between
-    /// taking the request and sending it would otherwise run what its caller has given up; it
-    /// shows as work at a backend server with no request in progress anywhere.
+    /// Returns the permit if the deadline has passed. Otherwise a process that is paused before
+    /// sending would run a request that its caller has given up.
     pub fn mark_sent(self, now: Time) -> Result<Permit<Sent>, Self> {
         if now >= self.deadline {
             return Err(self);
@@ -72,11 +70,11 @@
 }
 
 impl Permit<Sent> {
-    /// Goes back to the state before sending, where the failure proves that nothing ran.
+    /// Returns the permit to the unsent state if the failure proves that the request did not run.
     ///
     /// # Errors
     ///
-    /// Gives the permit back where the failure proves nothing.
+    /// Returns the permit unchanged if the request may have run.
     pub fn retract(self, failure: &Failure) -> Result<Permit<Unsent>, Self> {
         match failure {
             Failure::Refused { .. } | Failure::NotSent => Ok(Permit::new(self.slot, self.deadline)),
@@ -85,7 +83,7 @@
     }
 }
 
-/// How a request that left ended; it cannot be "not run".
+/// Outcome of a request that was sent; it can't be "not run".
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SentOutcome {
     /// It ran; the value is JSON text.
@@ -97,8 +95,8 @@
 }
 
 impl From<SentOutcome> for record::Outcome {
-    fn from(ran: SentOutcome) -> Self {
-        match ran {
+    fn from(outcome: SentOutcome) -> Self {
+        match outcome {
             SentOutcome::Executed(value) => Self::Executed(value),
             SentOutcome::Failed(reason) => Self::Failed { reason },
             SentOutcome::Unknown(reason) => Self::Unknown { reason },
@@ -106,31 +104,30 @@
     }
 }
 
-/// A permit in whichever state it is, for a driver that keeps it between events.
+/// A permit in either state, for a driver that stores it between events.
 #[derive(Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "exploration", derive(Clone))]
 pub enum AnyPermit {
-    /// No byte has left.
+    /// No byte of the request was sent.
     Unsent(Permit<Unsent>),
     /// The request may be running.
     Sent(Permit<Sent>),
 }
 
 impl AnyPermit {
-    /// Notes that the request is about to leave, and tells whether it may.
+    /// Marks the request as sent, and returns whether it may be sent.
     pub fn mark_sent(self, now: Time) -> (Self, bool) {
         match self {
             Self::Unsent(permit) => match permit.mark_sent(now) {
                 Ok(permit) => (Self::Sent(permit), true),
                 Err(permit) => (Self::Unsent(permit), false),
             },
-            // A second attempt while the first may be running is what a permit is there to
-            // prevent; a driver that asks for it gets "no".
+            // The first attempt may be running: a second one is never permitted.
             Self::Sent(permit) => (Self::Sent(permit), false),
         }
     }
 
-    /// Notes that an attempt failed.
+    /// Returns to the unsent state if the failure proves that the request did not run.
     #[must_use]
     pub fn on_failure(self, failure: &Failure) -> Self {
         match self {
--- a/crates/decision/src/idempotency/record.rs
+++ b/crates/decision/src/idempotency/record.rs
@@ -1,11 +1,11 @@
-//! What a ledger holds of one key.
+//! The record of one key in a ledger.
 
 use crate::outcome::{self, Reason};
 use crate::{Fingerprint, RequestId, Time};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The one final result of a non-idempotent request.
+/// Final outcome of a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// It ran; the value is JSON text.
@@ -14,7 +14,7 @@
     NotRun {
         /// Why it did not run.
         reason: Reason,
-        /// When it is worth coming back, with another key.
+        /// Delay after which the caller should retry under another key.
         retry_after: Option<Duration>,
     },
     /// It ran and failed.
@@ -24,7 +24,7 @@
     },
     /// It may have run; it will not be run again.
     Unknown {
-        /// Why it isn't known.
+        /// Why its result is unknown.
         reason: Reason,
     },
 }
@@ -75,8 +75,7 @@
             },
             outcome::Outcome::Failed { reason, .. } => Self::Failed { reason },
             outcome::Outcome::Unknown { reason } => Self::Unknown { reason },
-            // The answer to a search: this was no non-idempotent request, so what became of it
-            // cannot be said.
+            // Only searches are answered; a non-idempotent request never gets this outcome.
             outcome::Outcome::Answered(_) => Self::Unknown {
                 reason: Reason::Fence,
             },
@@ -86,7 +85,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum State {
-    /// Taken; `joined` are the later sends that wait for the same outcome.
+    /// The permit is issued; `joined` are later sends that wait for the outcome.
     Running {
         joined: Vec<RequestId>,
     },
@@ -133,9 +132,9 @@
         }
     }
 
-    /// The outcome that may be told to others for good: a run that is still going on counts as
-    /// one whose outcome will never be known.
-    pub(crate) fn settled(&self) -> Outcome {
+    /// Returns the outcome for a handover: a running key counts as "unknown", because the successor
+    /// never learns its result.
+    pub(crate) fn final_outcome(&self) -> Outcome {
         match &self.state {
             State::Running { .. } => Outcome::Unknown {
                 reason: Reason::Stopping,
--- a/crates/decision/src/idempotency/seal.rs
+++ b/crates/decision/src/idempotency/secret.rs
@@ -1,8 +1,8 @@
-//! The secret of an incarnation, and the MAC that it puts into the keys it issues.
+//! Authentication of issued keys with an HMAC under the secret of an incarnation.
 //!
-//! A key without a record is run, so a made-up key must be told from one that was issued. The
-//! MAC also covers caller and route: a key is of no use to another caller, who could otherwise
-//! read the outcome, and cannot be carried to another route.
+//! A key without a record is run, so forged keys must be rejected. The MAC also covers caller and
+//! route: another caller can't use the key to read the outcome, and the key is invalid on other
+//! routes.
 
 use super::key::{Fence, Fenced, MAC_BYTES, Serial};
 use crate::Time;
@@ -13,7 +13,7 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// Random bytes that only the holders of a fence know.
+/// Random bytes known only to the holder of a fence.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Secret([u8; 32]);
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Whom and what a key was issued for.
+/// The caller and the route for which a key is issued.
 #[derive(Clone, Copy)]
 pub(crate) struct Scope<'a> {
     pub(crate) caller: &'a CallerId,
@@ -51,7 +51,7 @@
         key
     }
 
-    /// Tells, in constant time, whether the key was issued with this secret and for this scope.
+    /// Returns whether the key was issued with this secret for this scope, in constant time.
     pub(crate) fn issued(&self, key: &Fenced, to: Scope) -> bool {
         self.mac(key, to)
             .is_some_and(|mac| mac.verify_truncated_left(&key.mac).is_ok())
--- a/crates/decision/tests/idempotency.rs
+++ b/crates/decision/tests/idempotency.rs
@@ -261,7 +261,7 @@
 fn inherit_for_another_incarnation_is_refused() {
     let handover = ledger(1).hand_over(fence(2), at(0)).expect("the first");
     let refused = ledger(3).inherit(handover, at(0)).expect_err("not for it");
-    insta::assert_snapshot!(refused, @"take over from 127.0.0.1:7000/1: left to 127.0.0.1:7000/2");
+    insta::assert_snapshot!(refused, @"take over from 127.0.0.1:7000/1: the successor is 127.0.0.1:7000/2");
 }
 
 #[test]
