--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -206,7 +206,7 @@
             return not_held(key.fence, request);
         };
         let (caller, route) = (&request.caller, &request.route);
-        if !state.secret.issued(key, Scope { caller, route }) {
+        if !state.secret.has_issued(key, Scope { caller, route }) {
             return Decision::Refuse(Refusal::Forged);
         }
         if let Some(record) = state.records.get_mut(&key.serial) {
--- a/crates/decision/src/idempotency/secret.rs
+++ b/crates/decision/src/idempotency/secret.rs
@@ -37,14 +37,14 @@
 }
 
 impl Secret {
-    pub(crate) fn issue(&self, fence: Fence, serial: Serial, expiry: Time, to: Scope) -> Fenced {
+    pub(crate) fn issue(&self, fence: Fence, serial: Serial, expiry: Time, scope: Scope) -> Fenced {
         let mut key = Fenced {
             fence,
             serial,
             expiry,
             mac: [0; MAC_BYTES],
         };
-        if let Some(mac) = self.mac(&key, to) {
+        if let Some(mac) = self.mac(&key, scope) {
             let bytes = mac.finalize().into_bytes();
             key.mac.copy_from_slice(&bytes[..MAC_BYTES]);
         }
@@ -52,17 +52,17 @@
     }
 
     /// Returns whether the key was issued with this secret for this scope, in constant time.
-    pub(crate) fn issued(&self, key: &Fenced, to: Scope) -> bool {
-        self.mac(key, to)
+    pub(crate) fn has_issued(&self, key: &Fenced, scope: Scope) -> bool {
+        self.mac(key, scope)
             .is_some_and(|mac| mac.verify_truncated_left(&key.mac).is_ok())
     }
 
-    fn mac(&self, key: &Fenced, to: Scope) -> Option<Hmac<Sha256>> {
+    fn mac(&self, key: &Fenced, scope: Scope) -> Option<Hmac<Sha256>> {
         let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(&self.0).ok()?;
         mac.update(&key.serial.to_be_bytes());
         mac.update(&key.expiry.as_millis().to_be_bytes());
         mac.update(&key.fence.start.to_be_bytes());
-        for text in [&*key.fence.member.to_string(), to.caller, to.route] {
+        for text in [&*key.fence.member.to_string(), scope.caller, scope.route] {
             mac.update(&text.len().to_be_bytes());
             mac.update(text.as_bytes());
         }
--- a/crates/decision/src/query/attempt.rs
+++ b/crates/decision/src/query/attempt.rs
@@ -1,26 +1,25 @@
-//! The life of an attempt, as types.
+//! Typestates of an attempt, which prevent a wrong "not run".
 //!
-//! Symptom guarded against: a caller is told "not run", sends a repair ticket again, and two teams
-//! go to the same valve. It would come about when some path of failures ends in
-//! `Outcome::NotRun` although bytes had left. Here that outcome is built from an [`NotRunProof`] alone.
-//! There is one of them per request, it can't be copied, it goes into the attempt when the attempt
-//! is sent, and it comes back only with a failure that proves that nothing ran.
+//! If a request that may have run ended as `Outcome::NotRun`, the caller would retry it and it could
+//! run twice. That outcome can only be built from a [`NotRunProof`]. A request has one, which can't
+//! be copied; sending the attempt consumes it, and only a failure that proves that nothing ran
+//! returns it.
 
 use crate::attempt::{AttemptId, Failure};
 use crate::outcome::{Outcome, Reason};
 use std::time::Duration;
 
-/// Proof that nothing of a request has run.
+/// Proof that no part of a request has run.
 #[derive(Debug, PartialEq, Eq)]
 pub struct NotRunProof(());
 
 impl NotRunProof {
-    /// Makes the proof for a request that has just arrived. Called once per request.
+    /// Returns the proof for a request that has just arrived; call once per request.
     pub(crate) fn on_arrival() -> Self {
         Self(())
     }
 
-    /// Ends the request as not run.
+    /// Returns [`Outcome::NotRun`], with a default retry delay for transient reasons.
     pub fn into_outcome<V>(self, reason: Reason, retry_after: Option<Duration>) -> Outcome<V> {
         Outcome::NotRun {
             reason,
@@ -29,35 +28,38 @@
     }
 }
 
-/// Time after which to come back where no server named one.
+/// Retry delay if no server returned one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Returns when it is worth coming back: what a server named, or a second where the reason is one
-/// that passes. Callers that are told nothing come back at once, all together.
-pub(crate) fn retry_after_or_default(reason: Reason, named: Option<Duration>) -> Option<Duration> {
-    let passes = matches!(
+/// Returns the server's retry delay, or [`DEFAULT_RETRY_AFTER`] if the reason is transient. Without
+/// a delay, callers would retry immediately and simultaneously.
+pub(crate) fn retry_after_or_default(
+    reason: Reason,
+    retry_after: Option<Duration>,
+) -> Option<Duration> {
+    let is_transient = matches!(
         reason,
         Reason::Overload | Reason::Unavailable | Reason::Lost
     );
-    named.or(passes.then_some(DEFAULT_RETRY_AFTER))
+    retry_after.or(is_transient.then_some(DEFAULT_RETRY_AFTER))
 }
 
-/// An attempt of a non-idempotent request in the state `S`.
+/// An attempt of a non-idempotent request, in state `S`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Attempt<S> {
     id: AttemptId,
     state: S,
 }
 
-/// State of an attempt that waits for a connection; no byte has left.
+/// State of an attempt that waits for a connection; no byte has been sent.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Queued(NotRunProof);
 
-/// State of an attempt that was handed over for sending; it may be running.
+/// State of an attempt that has been handed to the driver; it may be running.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Sent(());
 
-/// How a sent attempt ended without a result.
+/// What is known about a sent attempt that failed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Disposition {
     /// It provably did not run.
@@ -69,25 +71,25 @@
 }
 
 impl<S> Attempt<S> {
-    /// Returns the attempt's id.
+    /// Returns the id, unique within the incarnation of a daemon.
     pub fn id(&self) -> AttemptId {
         self.id
     }
 }
 
 impl Attempt<Queued> {
-    /// Makes an attempt that waits for a connection.
-    pub fn new(id: AttemptId, unrun: NotRunProof) -> Self {
-        let state = Queued(unrun);
+    /// Returns an attempt that waits for a connection.
+    pub fn new(id: AttemptId, proof: NotRunProof) -> Self {
+        let state = Queued(proof);
         Self { id, state }
     }
 
-    /// Takes the attempt back.
+    /// Cancels the attempt and returns the proof.
     pub fn withdraw(self) -> NotRunProof {
         self.state.0
     }
 
-    /// Hands the attempt over for sending; the proof is gone from here on.
+    /// Marks the attempt as sent, which consumes the proof.
     pub fn send(self) -> Attempt<Sent> {
         Attempt {
             id: self.id,
@@ -97,8 +99,8 @@
 }
 
 impl Attempt<Sent> {
-    /// Ends the attempt. Only a refusal by the server itself, or the driver's word that no byte
-    /// left, gives the proof back.
+    /// Ends the attempt. The proof is returned only if the server itself refused the request, or if
+    /// the driver reports that no byte was sent.
     pub fn fail(self, failure: &Failure) -> Disposition {
         match failure {
             Failure::Refused { .. } | Failure::NotSent => Disposition::NotRun(NotRunProof(())),
@@ -109,34 +111,34 @@
         }
     }
 
-    /// Gives the attempt up while it may be running.
+    /// Gives up the attempt, which may be running.
     pub fn into_unknown<V>(self, reason: Reason) -> Outcome<V> {
         Outcome::Unknown { reason }
     }
 }
 
-/// The attempts of one search, which goes to many servers at once.
+/// Counts the attempts of one search, which fans out to many servers.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Fanout {
     sent: u32,
-    unrun: u32,
+    not_run: u32,
 }
 
 impl Fanout {
-    /// Counts an attempt handed over for sending.
+    /// Counts an attempt that is sent.
     pub fn send(&mut self) {
         self.sent += 1;
     }
 
-    /// Counts the end of an attempt; called once per attempt.
+    /// Counts a failed attempt; call once per attempt.
     pub fn fail(&mut self, failure: &Failure) {
         if failure.is_not_run() {
-            self.unrun += 1;
+            self.not_run += 1;
         }
     }
 
-    /// Returns the proof if each attempt sent has provably not run.
-    pub fn unrun(&self) -> Option<NotRunProof> {
-        (self.sent == self.unrun).then_some(NotRunProof(()))
+    /// Returns the proof if none of the sent attempts ran.
+    pub fn not_run_proof(&self) -> Option<NotRunProof> {
+        (self.sent == self.not_run).then_some(NotRunProof(()))
     }
 }
--- a/crates/decision/src/query/coverage.rs
+++ b/crates/decision/src/query/coverage.rs
@@ -1,8 +1,7 @@
-//! Coverage as a set of keys, weighed as published.
+//! Coverage of an answer, as a set of keys weighted by the published weights of the groups.
 //!
-//! Counting replies or groups would be wrong as soon as a shard is split, merged or moved while a
-//! query runs: a half answer would count as a whole one, or one key twice. A set of disjoint ranges
-//! can't: a key is in it or not.
+//! Counting replies or groups fails if a shard is split, merged or moved during a query: a partial
+//! reply would count as complete, or a key twice. A set of disjoint ranges holds each key once.
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::{Group, Route};
@@ -11,18 +10,18 @@
 
 /// A set of keys, as ranges.
 ///
-/// Invariant, kept by [`KeySet::add`] alone: the ranges are not empty, in order, and neither overlap
+/// Invariant, maintained by [`KeySet::add`]: the ranges are sorted, not empty, and neither overlap
 /// nor touch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeySet {
     ranges: Ranges,
 }
 
-/// Nearly all sets are one range: the keys of a group, or all up to those that are missing.
+/// Inline capacity of one range: most sets hold the keys of one group or a complete answer.
 type Ranges = SmallVec<[Range; 1]>;
 
 impl KeySet {
-    /// Returns the ranges, disjoint and in order.
+    /// Returns the ranges, sorted and disjoint.
     pub fn ranges(&self) -> &[Range] {
         &self.ranges
     }
@@ -32,34 +31,38 @@
         self.ranges.iter().map(Range::len).sum()
     }
 
-    /// Tells whether no key is in the set.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// Tells whether `key` is in the set.
+    /// Returns whether the set contains `key`.
     pub fn contains(&self, key: Key) -> bool {
         let after = self.ranges.partition_point(|range| range.start <= key);
         after > 0 && self.ranges[after - 1].contains(key)
     }
 
-    /// Adds the keys of a range.
+    /// Adds a range, merging it with the ranges that it overlaps or touches.
     pub fn add(&mut self, range: Range) {
         if range.is_empty() {
             return;
         }
-        let first = self.ranges.partition_point(|old| old.end < range.start);
-        let after = self.ranges.partition_point(|old| old.start <= range.end);
-        let mut whole = range;
-        for old in &self.ranges[first..after] {
-            whole.start = whole.start.min(old.start);
-            whole.end = whole.end.max(old.end);
+        let first = self
+            .ranges
+            .partition_point(|existing| existing.end < range.start);
+        let after = self
+            .ranges
+            .partition_point(|existing| existing.start <= range.end);
+        let mut merged = range;
+        for existing in &self.ranges[first..after] {
+            merged.start = merged.start.min(existing.start);
+            merged.end = merged.end.max(existing.end);
         }
         self.ranges.drain(first..after);
-        self.ranges.insert(first, whole);
+        self.ranges.insert(first, merged);
     }
 
-    /// Adds the keys of another set.
+    /// Adds all keys of `other`.
     pub fn union_with(&mut self, other: &Self) {
         for range in &other.ranges {
             self.add(*range);
@@ -82,20 +85,22 @@
         Self { ranges: common }
     }
 
-    /// Returns the keys of this set that are not in the other.
+    /// Returns the keys of this set that are not in `other`.
     pub fn difference(&self, other: &Self) -> Self {
         let mut rest = Ranges::new();
         for range in &self.ranges {
             let mut start = range.start;
-            let first = other.ranges.partition_point(|gone| gone.end <= range.start);
-            for gone in other.ranges[first..].iter() {
-                if gone.start >= range.end {
+            let first = other
+                .ranges
+                .partition_point(|removed| removed.end <= range.start);
+            for removed in other.ranges[first..].iter() {
+                if removed.start >= range.end {
                     break;
                 }
-                if gone.start > start {
-                    rest.push(Range::new(start, gone.start));
+                if removed.start > start {
+                    rest.push(Range::new(start, removed.start));
                 }
-                start = gone.end;
+                start = removed.end;
             }
             if start < range.end {
                 rest.push(Range::new(start, range.end));
@@ -104,8 +109,7 @@
         Self { ranges: rest }
     }
 
-    /// Returns the weight of the set among the groups: each group's weight, spread uniformly over
-    /// its range.
+    /// Returns the weight of the set. Each group's weight is spread uniformly over its range.
     pub fn weight(&self, groups: &[Group]) -> f64 {
         groups.iter().map(|group| self.weight_in(group)).sum()
     }
@@ -144,10 +148,10 @@
     }
 }
 
-/// Returns the share of the route's data that lies in `set`, from 0 to 1.
+/// Returns the share of the route's data that `set` covers, from 0 to 1.
 ///
-/// A set with all keys gives exactly 1, and one that lacks a key never does, whatever the rounding:
-/// a caller must be able to tell "complete" from "nearly".
+/// The share is exactly 1 if and only if no key is missing, regardless of rounding: callers compare
+/// it with 1 to detect complete answers.
 pub fn share(set: &KeySet, route: &Route) -> f64 {
     if is_complete(set, route) {
         return 1.0;
@@ -159,15 +163,15 @@
     (set.weight(&route.groups) / total).clamp(0.0, 1.0 - f64::EPSILON)
 }
 
-/// Returns how many of so many groups, which weigh alike, an answer with at least this coverage can do without.
+/// Returns how many of `groups` groups of equal weight can be missing at a coverage of at least `least`.
 pub fn dispensable(least: f64, groups: f64) -> usize {
-    /// What rounding may take from a whole number: a tenth of ten groups is one.
+    /// Tolerance for rounding errors, so that a tenth of ten groups is one group.
     const ROUNDING: f64 = 1e-9;
     ((1.0 - least) * groups + ROUNDING) as usize
 }
 
-/// Returns the share of what lies in `wanted` that lies in `set` too, from 0 to 1; exactly 1 only where no key is
-/// missing, as [`share`] does for all keys of the route.
+/// Returns the share of the data in `wanted` that `set` covers, from 0 to 1; exactly 1 if and only
+/// if no key is missing.
 pub fn share_of(set: &KeySet, wanted: &KeySet, route: &Route) -> f64 {
     if wanted.difference(set).is_empty() {
         return 1.0;
@@ -180,8 +184,10 @@
     (common / total).clamp(0.0, 1.0 - f64::EPSILON)
 }
 
-/// Tells whether no key of the route is missing in `set`. Asked after each reply, it makes no list:
-/// as the ranges of a set neither overlap nor touch, one of them has to hold all keys.
+/// Returns whether `set` contains all keys of the route.
+///
+/// Called after each reply, so it doesn't allocate: a single range of the set must hold all keys,
+/// because the ranges neither overlap nor touch.
 pub fn is_complete(set: &KeySet, route: &Route) -> bool {
     let keys = route.keys;
     let after = set
--- a/crates/decision/src/query/execution.rs
+++ b/crates/decision/src/query/execution.rs
@@ -1,8 +1,8 @@
-//! A non-idempotent request in progress: one server, once.
+//! A non-idempotent request in progress, which runs at most once.
 //!
-//! It holds exactly one of: the proof that nothing has run, an attempt that waits for a connection
-//! (with the proof inside), or an attempt that was handed over for sending (without it). There is
-//! no way from the last state to another server but through a failure that gives the proof back.
+//! It holds the proof that nothing has run, a queued attempt that contains the proof, or a sent
+//! attempt without it. After an attempt was sent, another server can be chosen only if a failure
+//! returned the proof.
 
 use super::attempt::{Attempt, NotRunProof, Queued, Sent};
 use super::search::{self, Cause, Waiter};
@@ -14,10 +14,10 @@
 use monsoonring_configuration::id::BackendServerId;
 use std::time::Duration;
 
-/// Where the one attempt stands.
+/// State of the only attempt.
 #[derive(Debug)]
 pub(crate) enum State {
-    /// No attempt is being made: a server is to be chosen, or expected to come back.
+    /// No attempt: waits for a usable server.
     Waiting(NotRunProof),
     /// The attempt waits for a connection.
     Queued(Attempt<Queued>),
@@ -25,21 +25,21 @@
     Sent(Attempt<Sent>),
 }
 
-/// A non-idempotent request in progress.
+/// A non-idempotent request, its state and its history.
 #[derive(Debug)]
 pub(crate) struct Execution<C: Content> {
     pub(crate) request: Request<C>,
     pub(crate) started: Time,
     pub(crate) state: State,
-    /// Servers that provably did not run it.
+    /// Servers at which an attempt failed without running.
     pub(crate) tried: Vec<BackendServerId>,
-    /// Attempts made.
+    /// Number of attempts.
     pub(crate) attempts: u32,
-    /// The latest time that a server named for coming back.
+    /// Longest retry delay returned by a server.
     pub(crate) retry_after: Option<Duration>,
-    /// Why the last attempt did not run.
+    /// Reason of the last failure.
     pub(crate) reason: Reason,
-    /// Why the next attempt is made.
+    /// Cause of the next attempt.
     pub(crate) cause: Cause,
 }
 
@@ -57,47 +57,47 @@
         }
     }
 
-    /// Puts the request into the queue of a server.
+    /// Adds an attempt, which waits in the queue of a server.
     pub(crate) fn queue(mut self, id: AttemptId) -> Self {
         self.state = match self.state {
-            State::Waiting(unrun) => State::Queued(Attempt::new(id, unrun)),
-            other => other,
+            State::Waiting(proof) => State::Queued(Attempt::new(id, proof)),
+            state => state,
         };
         self.attempts += 1;
         self
     }
 
-    /// Takes the request out of the queue.
+    /// Cancels the queued attempt.
     pub(crate) fn withdraw(mut self) -> Self {
         self.state = match self.state {
             State::Queued(attempt) => State::Waiting(attempt.withdraw()),
-            other => other,
+            state => state,
         };
         self.attempts = self.attempts.saturating_sub(1);
         self
     }
 
-    /// Marks the request as possibly running from now on.
+    /// Marks the queued attempt as sent.
     pub(crate) fn send(mut self) -> Self {
         self.state = match self.state {
             State::Queued(attempt) => State::Sent(attempt.send()),
-            other => other,
+            state => state,
         };
         self
     }
 
-    /// Tells whether a server is to be found.
+    /// Returns whether the request waits for a server.
     pub(crate) fn is_waiting(&self) -> bool {
         matches!(self.state, State::Waiting(_))
     }
 
-    /// Returns the request's place among those who wait.
+    /// Returns the request's position in the queue.
     pub(crate) fn waiter(&self) -> Waiter {
         let request = &self.request;
         (request.class, self.started, request.id, None)
     }
 
-    /// Returns the attempt that is queued or sent.
+    /// Returns the queued or sent attempt.
     pub(crate) fn attempt(&self) -> Option<AttemptId> {
         match &self.state {
             State::Waiting(_) => None,
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Tells whether the request may be running.
+    /// Returns whether the request may be running.
     pub(crate) fn is_sent(&self) -> bool {
         matches!(self.state, State::Sent(_))
     }
 
-    /// Notes how the attempt at a server failed.
+    /// Records a failed attempt at `server`.
     pub(crate) fn record_failure(&mut self, failure: &Failure, server: BackendServerId) {
         self.tried.push(server);
         self.reason = search::reason(failure);
@@ -120,10 +120,10 @@
         }
     }
 
-    /// Ends the request without a result: not run where that is proved, unknown otherwise.
+    /// Ends the request without a result: "not run" with a proof, "unknown" otherwise.
     pub(crate) fn give_up(self, reason: Reason) -> Outcome<C::Value> {
         match self.state {
-            State::Waiting(unrun) => unrun.into_outcome(reason, self.retry_after),
+            State::Waiting(proof) => proof.into_outcome(reason, self.retry_after),
             State::Queued(attempt) => attempt.withdraw().into_outcome(reason, self.retry_after),
             State::Sent(attempt) => attempt.into_unknown(reason),
         }
--- a/crates/decision/src/query/greatest.rs
+++ b/crates/decision/src/query/greatest.rs
@@ -1,18 +1,17 @@
-//! The greatest records of several parts.
+//! Selection of the greatest fixed-size records of several replies.
 //!
-//! A part is a text of records of one size in no order. Records are compared byte by byte, equal
-//! ones all count, and a remainder shorter than a record is none. With a bound on what is wanted,
-//! sorting all of it would be most of the work of a merge: a heap holds the best so far and most
-//! records are dropped after one comparison with its least.
+//! A part is an unsorted sequence of records of one size. Records are compared bytewise, duplicates
+//! are kept, and a trailing incomplete record is ignored. A bounded heap holds the greatest records
+//! so far, so most records cost one comparison with its minimum instead of a full sort.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Returns the `count` greatest records of `size` bytes in the parts, greatest first, as one text.
+/// Returns the `count` greatest records of `size` bytes, greatest first and concatenated.
 ///
 /// # Panics
 ///
-/// Where `size` is 0.
+/// Panics if `size` is 0.
 pub fn greatest<'a>(
     parts: impl IntoIterator<Item = &'a [u8]>,
     size: usize,
--- a/crates/decision/src/query/merge.rs
+++ b/crates/decision/src/query/merge.rs
@@ -1,19 +1,17 @@
-//! Putting replies together so that no key is taken twice.
+//! Merging of replies without duplicates.
 //!
-//! Symptom guarded against: a grower's delivery or a hydrant twice in one answer, or a hole that
-//! counts as covered. It would come about when replicas overlap after a split, when a hedge and
-//! its straggler both answer, or when a server sends items from keys that it did not look through.
-//! Items are taken only where the reply claims the key, the attempt asked for it, and nothing
-//! merged before covers it.
+//! Replies can overlap after a split, or if both a hedge and the first attempt complete, and a
+//! server can return items outside the ranges that it searched. An item is merged only if the reply
+//! claims its key, the attempt requested it, and no earlier reply covers it.
 
 use super::coverage::KeySet;
 use crate::reply::{Item, Reply};
 use snafu::Snafu;
 
-/// A reply that contradicts itself and can't be trusted.
+/// Why a reply is inconsistent.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum Error {
-    /// An item lies outside the ranges that the server says it looked through.
+    /// An item lies outside the ranges that the server claims to have searched.
     #[snafu(display("merge: an item with key {key} lies outside the claimed ranges"))]
     Outside {
         /// The item's key.
@@ -21,10 +19,10 @@
     },
 }
 
-/// Result of a merge.
+/// Result of checking a reply.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What has been merged so far, all of it from one index version.
+/// The merged replies, all of the same index version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Merge<V = Box<str>> {
     covered: KeySet,
@@ -41,25 +39,25 @@
 }
 
 impl<V> Merge<V> {
-    /// Returns the keys that have been looked through.
+    /// Returns the keys that the merged replies cover.
     pub fn covered(&self) -> &KeySet {
         &self.covered
     }
 
-    /// Takes what is new of a reply that passed [`check`], and returns the keys that it added.
+    /// Merges the new keys of a reply that passed [`check`], and returns them.
     pub fn accept(&mut self, asked: &KeySet, reply: Reply<V>) -> KeySet {
         let claimed: KeySet = reply.ranges.into_iter().collect();
         let new = claimed.intersection(asked).difference(&self.covered);
-        let fresh = reply
+        let new_items = reply
             .items
             .into_iter()
             .filter(|item| new.contains(item.key));
-        self.items.extend(fresh);
+        self.items.extend(new_items);
         self.covered.union_with(&new);
         new
     }
 
-    /// Returns the items in key order; items of one key stay in the server's order.
+    /// Returns the items in key order; items with the same key keep the server's order.
     pub fn into_items(self) -> Vec<Item<V>> {
         let mut items = self.items;
         items.sort_by_key(|item| item.key);
@@ -67,11 +65,11 @@
     }
 }
 
-/// Checks a reply against itself.
+/// Checks that all items of a reply lie within its claimed ranges.
 ///
 /// # Errors
 ///
-/// [`Error::Outside`] where an item lies outside the claimed ranges.
+/// Returns [`Error::Outside`] if an item lies outside the claimed ranges.
 pub fn check<V>(reply: &Reply<V>) -> Result<()> {
     let claimed: KeySet = reply.ranges.iter().copied().collect();
     for item in &reply.items {
--- a/crates/decision/src/query/mod.rs
+++ b/crates/decision/src/query/mod.rs
@@ -1,9 +1,9 @@
-//! One request at its home: what it has, what it lacks, and how it may end.
+//! State of a single request at its home.
 //!
-//! The parts are kept apart so that each of the promises of an answer has one place: [`coverage`]
-//! counts data and not answers, [`merge`] lets nothing in twice, [`pin`] holds the snapshot,
-//! [`attempt`] makes "not run" provable, [`search`] and [`execution`] are the two kinds of request in
-//! progress. Nothing here knows connections or chooses backend servers; `home` does.
+//! Each module enforces one property of an outcome: [`coverage`] measures the data searched,
+//! [`merge`] prevents duplicates, [`pin`] selects the index version, and [`attempt`] proves "not
+//! run". [`search`] and [`execution`] hold the two kinds of request in progress. Connections and the
+//! choice of backend servers belong to [`crate::home`].
 
 pub mod attempt;
 pub mod coverage;
--- a/crates/decision/src/query/search.rs
+++ b/crates/decision/src/query/search.rs
@@ -1,9 +1,9 @@
 //! A search in progress.
 //!
-//! A run is a set of parts, each a set of keys of one group that somebody has to look through. The
-//! parts' keys are disjoint and disjoint from what is merged; what is neither merged nor in a part
-//! does not exist, so a hole can't be hidden. A reply takes keys out of parts, wherever they stand
-//! after a repartitioning; a new route deals the missing keys out again.
+//! A search consists of parts, each a set of keys of one group that a server has yet to search. The
+//! keys of the parts are disjoint from each other and from the merged keys, and coverage counts
+//! merged keys only, so an answer can't hide a gap. A reply removes its keys from all parts that
+//! hold them; after a route change the remaining keys are split into parts again.
 
 use super::attempt::{self, Fanout};
 use super::coverage::{self, KeySet};
@@ -20,45 +20,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Id of a part, unique within its run.
+/// Id of a part, unique within its search.
 pub(crate) type PartId = u32;
 
-/// A request, or a part of one, that waits: the most urgent class goes first, then the oldest.
+/// Queue position of a waiting request or part: the most urgent class first, then the oldest.
 pub(crate) type Waiter = (Class, Time, RequestId, Option<PartId>);
 
-/// Why an attempt is made; it decides what the attempt costs.
+/// Why an attempt is made, which determines the budget that it is charged to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// Nobody has been asked for these keys.
+    /// The first attempt for these keys.
     #[default]
     First,
-    /// An attempt failed after it had left: one more out of the retry budget.
+    /// An attempt failed after it was sent; charged to the retry budget.
     Retry,
-    /// An attempt did not leave, or its reply covered a part: what remains costs no budget. It
-    /// can't go on for long, as each such server is not asked again for these keys.
+    /// An attempt was not sent, or its reply covered only some of the keys; not charged. The number
+    /// of such attempts is bounded, because each server is excluded for the remaining keys.
     Remainder,
-    /// An attempt is slower than is usual: a second one out of what the hedge budget has to spare.
+    /// An attempt is slower than usual: a second one, charged to the spare hedge budget.
     Hedge,
-    /// An attempt is among the slowest of its group, and was not hedged: a second one out of the
+    /// An attempt is among the slowest of its group and was not hedged: a second one, charged to the
     /// whole hedge budget.
     LateHedge,
-    /// An attempt is far slower than its server ever is, and was not hedged: a second one out of the
-    /// retry budget. Silence meets many attempts at once, and hedges are meant for a few.
+    /// An attempt is far slower than its server ever is and was not hedged: a second one, charged to
+    /// the retry budget. A silent server delays many attempts, more than the hedge budget covers.
     Overdue,
 }
 
 impl Cause {
-    /// Tells whether the attempt is one beside another that is slow.
+    /// Returns whether the attempt is charged to the hedge budget.
     pub(crate) fn is_hedge(self) -> bool {
         matches!(self, Self::Hedge | Self::LateHedge)
     }
 
-    /// Tells whether the attempt is made beside another one for the same keys.
+    /// Returns whether the attempt runs concurrently with another one for the same keys.
     pub(crate) fn is_second(self) -> bool {
         matches!(self, Self::Hedge | Self::LateHedge | Self::Overdue)
     }
 
-    /// Returns the word for the log.
+    /// Returns the label for the log.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::First => "send",
@@ -76,69 +76,69 @@
 pub(crate) struct Part {
     /// Index of the group in the route in force.
     pub(crate) group: usize,
-    /// The keys.
+    /// The keys to search.
     pub(crate) wanted: KeySet,
-    /// Attempts queued or sent for these keys.
+    /// Queued and sent attempts for these keys.
     pub(crate) live: SmallVec<[AttemptId; 2]>,
-    /// Servers that had an attempt; another one is preferred.
+    /// Servers that had an attempt; other servers are preferred.
     pub(crate) tried: SmallVec<[BackendServerId; 1]>,
     /// Servers that can't serve these keys at the pinned version.
     pub(crate) unable: SmallVec<[BackendServerId; 1]>,
-    /// Attempts made, hedges included.
+    /// Number of attempts, hedges included.
     pub(crate) attempts: u32,
-    /// Those of them that provably did not run.
+    /// Number of attempts that provably did not run.
     pub(crate) not_run: u32,
-    /// Why the next attempt is made.
+    /// Cause of the next attempt.
     pub(crate) cause: Cause,
-    /// How the last attempt ended.
+    /// Reason of the last failure.
     pub(crate) last_failure: Option<Reason>,
-    /// Why nobody will be asked any more.
+    /// Reason for giving up the part; `None` while it is pursued.
     pub(crate) given_up: Option<Reason>,
-    /// Whether every server in question has turned out not to serve the pinned version.
+    /// Whether no server of the group serves the pinned version any more.
     pub(crate) vanished: bool,
 }
 
 impl Part {
-    /// Returns how many attempts may have run, or may still do.
+    /// Returns the number of attempts that may have run or may be running.
     pub(crate) fn may_have_run(&self) -> u32 {
         self.attempts.saturating_sub(self.not_run)
     }
 
-    /// Stops asking for these keys.
+    /// Stops making attempts for these keys.
     pub(crate) fn give_up(&mut self) {
         self.given_up = Some(self.last_failure.unwrap_or(Reason::Unavailable));
     }
 }
 
-/// What an accepted reply changed.
+/// Effect of a merged reply.
 #[derive(Debug, Default)]
 pub(crate) struct Change {
-    /// Attempts that nobody needs any more.
+    /// Attempts that became redundant.
     pub(crate) losers: Vec<AttemptId>,
-    /// Whether the reply added any key.
+    /// Whether the reply covered any new key.
     pub(crate) progress: bool,
 }
 
-/// A search in progress.
+/// State of one search.
 #[derive(Debug)]
 pub(crate) struct Search<C: Content> {
     pub(crate) request: Request<C>,
     pub(crate) started: Time,
-    /// The one version that is merged; `None` until the first reply of an unpinned run.
+    /// The only version that is merged; `None` until the first reply of an unpinned search.
     pub(crate) pin: Option<IndexVersion>,
     pub(crate) parts: BTreeMap<PartId, Part>,
     pub(crate) fanout: Fanout,
-    /// Retries made, over all parts.
+    /// Number of retries, over all parts.
     pub(crate) retries: u32,
-    /// Failed parts that wait for what becomes of the others.
+    /// Failed parts whose retry is deferred until the attempts in progress have ended.
     pub(crate) deferred: BTreeSet<PartId>,
-    /// Whether its parts are held back until a server has a slot free, when last decided.
+    /// Whether parts wait until a server has a free slot, as of the last decision.
     pub(crate) yields: bool,
-    /// Whether the run has begun again at a newer version.
+    /// Whether the search was restarted at a newer version.
     pub(crate) restarted: bool,
-    /// Attempts whose part was dealt out again; their replies are still welcome.
+    /// Attempts whose part was split again; their replies are still merged.
     pub(crate) detached: Vec<AttemptId>,
-    /// Keys that another home looks through and has not told of yet.
+    /// Keys that another home searches and has not replied to yet.
     delegated: KeySet,
     merge: Merge<C::Value>,
     previous: Option<(IndexVersion, Merge<C::Value>)>,
@@ -176,33 +176,33 @@
         run
     }
 
-    /// Returns the keys that the request asks for.
+    /// Returns the requested keys.
     fn wanted(&self, route: &Route) -> KeySet {
         let only = self.request.scope.only.clone();
         only.unwrap_or_else(|| KeySet::from(route.keys))
     }
 
-    /// Returns the keys that another home looks through, which is not waited for any more.
+    /// Returns the delegated keys and stops waiting for the other home.
     pub(crate) fn take_delegated(&mut self) -> KeySet {
         std::mem::take(&mut self.delegated)
     }
 
-    /// Tells whether another home is still waited for.
+    /// Returns whether another home has yet to reply.
     pub(crate) fn has_delegated(&self) -> bool {
         !self.delegated.is_empty()
     }
 
-    /// Takes what another home has covered.
+    /// Merges the reply of another home.
     pub(crate) fn accept_delegated(&mut self, covered: &KeySet, reply: Reply<C::Value>) {
         self.merge.accept(covered, reply);
     }
 
-    /// Makes parts of keys that nobody has asked for.
+    /// Adds parts without history for the keys, and returns their ids.
     pub(crate) fn add_new_parts(&mut self, keys: &KeySet, route: &Route) -> Vec<PartId> {
         self.add_parts(keys, route, &Part::default())
     }
 
-    /// Gives up keys that nobody here has asked for.
+    /// Adds parts for the keys and gives them up.
     pub(crate) fn give_up_keys(&mut self, keys: &KeySet, route: &Route, reason: Reason) {
         let origin = Part {
             last_failure: Some(reason),
@@ -213,12 +213,12 @@
         }
     }
 
-    /// Makes parts of the keys by the groups that hold them now, and returns their ids. Their
-    /// history is that of `origin`.
+    /// Splits the keys into parts by the groups of the current route, and returns the ids of the
+    /// parts. They inherit the history of `origin`.
     pub(crate) fn add_parts(&mut self, keys: &KeySet, route: &Route, origin: &Part) -> Vec<PartId> {
-        let mut made = Vec::new();
-        for (group, placed) in route.groups.iter().enumerate() {
-            let wanted = keys.intersection(&KeySet::from(placed.keys));
+        let mut ids = Vec::new();
+        for (group, entry) in route.groups.iter().enumerate() {
+            let wanted = keys.intersection(&KeySet::from(entry.keys));
             if wanted.is_empty() {
                 continue;
             }
@@ -233,19 +233,19 @@
                 ..Part::default()
             };
             self.parts.insert(self.next_part, part);
-            made.push(self.next_part);
+            ids.push(self.next_part);
             self.next_part += 1;
         }
-        made
+        ids
     }
 
-    /// Returns the place of a part among those who wait.
+    /// Returns the part's position in the queue.
     pub(crate) fn waiter(&self, part: PartId) -> Waiter {
         let request = &self.request;
         (request.class, self.started, request.id, Some(part))
     }
 
-    /// Takes a reply of the pinned version, and says who is not needed any more.
+    /// Merges a reply of the pinned version, and removes its keys from all parts.
     pub(crate) fn accept(
         &mut self,
         part: PartId,
@@ -257,22 +257,22 @@
             progress: !new.is_empty(),
             ..Change::default()
         };
-        let whole = match self.parts.get(&part) {
+        let is_own = match self.parts.get(&part) {
             Some(own) => new.difference(&own.wanted).is_empty(),
             None => false,
         };
-        if whole {
-            self.take(part, &new, &mut change);
+        if is_own {
+            self.remove_merged(part, &new, &mut change);
             return change;
         }
         for id in self.parts.keys().copied().collect::<Vec<_>>() {
-            self.take(id, &new, &mut change);
+            self.remove_merged(id, &new, &mut change);
         }
         change
     }
 
-    /// Tells whether a reply is from the pinned version. The first reply of an unpinned run pins
-    /// it.
+    /// Returns whether a reply is of the pinned version. The first reply of an unpinned search pins
+    /// its version.
     pub(crate) fn accepts_version(
         &mut self,
         version: Option<IndexVersion>,
@@ -284,7 +284,7 @@
         *self.pin.get_or_insert(version) == version
     }
 
-    /// Notes that an attempt has ended.
+    /// Removes an attempt that has ended.
     pub(crate) fn remove_attempt(&mut self, part: PartId, attempt: AttemptId) {
         match self.parts.get_mut(&part) {
             Some(part) => part.live.retain(|live| *live != attempt),
@@ -292,21 +292,21 @@
         }
     }
 
-    /// Notes that a server can't serve what a part still lacks.
+    /// Excludes a server that can't serve the remaining keys of a part.
     pub(crate) fn exclude(&mut self, part: PartId, server: BackendServerId) {
         if let Some(part) = self.parts.get_mut(&part) {
             part.unable.push(server);
         }
     }
 
-    /// Stops asking for the keys of a part.
+    /// Stops making attempts for a part.
     pub(crate) fn give_up(&mut self, part: PartId) {
         if let Some(part) = self.parts.get_mut(&part) {
             part.give_up();
         }
     }
 
-    fn take(&mut self, id: PartId, new: &KeySet, change: &mut Change) {
+    fn remove_merged(&mut self, id: PartId, new: &KeySet, change: &mut Change) {
         let Some(part) = self.parts.get_mut(&id) else {
             return;
         };
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Begins again at a newer version; returns the attempts that are of no more use.
+    /// Restarts at a newer version, and returns the attempts to cancel.
     pub(crate) fn restart(&mut self, version: IndexVersion, route: &Route) -> Vec<AttemptId> {
         let merge = std::mem::take(&mut self.merge);
         if let Some(old) = self.pin.replace(version) {
@@ -340,7 +340,7 @@
         live.chain(&self.detached).copied().collect()
     }
 
-    /// Notes how an attempt failed.
+    /// Records a failed attempt.
     pub(crate) fn record_failure(&mut self, part: PartId, failure: &Failure) {
         self.fanout.fail(failure);
         if let Some(part) = self.parts.get_mut(&part) {
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Share of the data that the answer would cover now.
+    /// Returns the share of the data that is merged.
     pub(crate) fn coverage(&self, route: &Route) -> f64 {
         self.share(self.merge.covered(), route)
     }
@@ -364,10 +364,10 @@
         }
     }
 
-    /// Share of the data that the answer can still cover: without the parts that were given up, and
-    /// without `other` if one is named.
-    pub(crate) fn reachable(&self, route: &Route, other: Option<PartId>) -> f64 {
-        let lost = |id: &PartId, part: &Part| part.given_up.is_some() || Some(*id) == other;
+    /// Returns the share of the data that the answer can still reach, without the parts that were
+    /// given up and without `excluding`.
+    pub(crate) fn reachable(&self, route: &Route, excluding: Option<PartId>) -> f64 {
+        let lost = |id: &PartId, part: &Part| part.given_up.is_some() || Some(*id) == excluding;
         let mut reachable = self.merge.covered().clone();
         reachable.union_with(&self.delegated);
         for (_, part) in self.parts.iter().filter(|(id, part)| !lost(id, part)) {
@@ -376,7 +376,7 @@
         self.share(&reachable, route)
     }
 
-    /// Tells whether every key asked for has been merged.
+    /// Returns whether all requested keys are merged.
     pub(crate) fn is_complete(&self, route: &Route) -> bool {
         match &self.request.scope.only {
             Some(only) => only.difference(self.merge.covered()).is_empty(),
@@ -384,7 +384,7 @@
         }
     }
 
-    /// Returns the keys that are neither merged nor in a part.
+    /// Returns the requested keys that are neither merged, delegated nor in a part.
     pub(crate) fn unplanned(&self, route: &Route) -> KeySet {
         let mut planned = self.merge.covered().clone();
         planned.union_with(&self.delegated);
@@ -394,51 +394,55 @@
         self.wanted(route).difference(&planned)
     }
 
-    /// Tells whether somebody still works on the run, or is expected to.
+    /// Returns whether any part is pursued or another home has yet to reply.
     pub(crate) fn is_open(&self) -> bool {
         self.has_delegated() || self.parts.values().any(|part| part.given_up.is_none())
     }
 
-    /// Returns why parts were given up: the first of them speaks for all.
+    /// Returns the reason of the first part that was given up.
     pub(crate) fn reason(&self) -> Reason {
         let mut reasons = self.parts.values().filter_map(|part| part.given_up);
         reasons.next().unwrap_or(Reason::Unavailable)
     }
 
-    /// Ends the run with what it has. After a restart the better covered of the two versions is
-    /// given, the newer one if they are equal. An answer that covers less than `least` is none.
+    /// Ends the search with the merged items. After a restart the version with the higher coverage
+    /// is returned, the newer one if both are equal. Coverage below `least` is a failure.
     pub(crate) fn finish(mut self, route: &Route, least: f64, reason: Reason) -> Outcome<C::Value> {
-        // Another home may have begun what it has not told of.
+        // The other home may have sent attempts, so "not run" is not proven.
         if self.has_delegated() {
             self.fanout.send();
         }
         let wanted = self.wanted(route);
         let share = |merge: &Merge<C::Value>| coverage::share_of(merge.covered(), &wanted, route);
-        let here = share(&self.merge);
-        let before = self
+        let current = share(&self.merge);
+        let older = self
             .previous
             .filter(|(version, _)| *version >= route.minimum_index_version)
-            .filter(|(_, merge)| share(merge) > here);
-        let merged = before.or(self.pin.map(|version| (version, self.merge)));
+            .filter(|(_, merge)| share(merge) > current);
+        let merged = older.or(self.pin.map(|version| (version, self.merge)));
         let minimum = route.minimum_index_version;
-        let may = |found: &(IndexVersion, Merge<C::Value>)| {
+        let is_usable = |found: &(IndexVersion, Merge<C::Value>)| {
             found.0 >= minimum && !found.1.covered().is_empty() && share(&found.1) >= least
         };
-        match merged.filter(may) {
+        match merged.filter(is_usable) {
             Some((version, merge)) => Outcome::Answered(Answer {
                 index_version: version,
                 coverage: share(&merge),
                 missing: wanted.difference(merge.covered()).ranges().to_vec(),
                 items: merge.into_items(),
             }),
-            None => refusal(&self.fanout, reason, self.retry_after),
+            None => outcome_without_answer(&self.fanout, reason, self.retry_after),
         }
     }
 }
 
-fn refusal<V>(fanout: &Fanout, reason: Reason, retry_after: Option<Duration>) -> Outcome<V> {
-    match fanout.unrun() {
-        Some(unrun) => unrun.into_outcome(reason, retry_after),
+fn outcome_without_answer<V>(
+    fanout: &Fanout,
+    reason: Reason,
+    retry_after: Option<Duration>,
+) -> Outcome<V> {
+    match fanout.not_run_proof() {
+        Some(proof) => proof.into_outcome(reason, retry_after),
         None => Outcome::Failed {
             reason,
             retry_after: attempt::retry_after_or_default(reason, retry_after),
@@ -446,10 +450,10 @@
     }
 }
 
-/// Returns the reason that a failure gives for giving up.
+/// Returns the outcome reason that corresponds to a failure.
 pub(crate) fn reason(failure: &Failure) -> Reason {
     match failure {
-        Failure::Refused { refusal, .. } => refused(refusal),
+        Failure::Refused { refusal, .. } => refusal_reason(refusal),
         Failure::NotSent => Reason::Unavailable,
         Failure::ServerError { .. } => Reason::BackendServer,
         Failure::Lost | Failure::Dropped | Failure::Mismatched | Failure::Cancelled { .. } => {
@@ -458,7 +462,7 @@
     }
 }
 
-fn refused(refusal: &Refusal) -> Reason {
+fn refusal_reason(refusal: &Refusal) -> Reason {
     match refusal {
         Refusal::Shedding | Refusal::Connections => Reason::Overload,
         Refusal::Draining | Refusal::Starting | Refusal::IndexVersion { .. } => Reason::Unavailable,
@@ -467,7 +471,7 @@
     }
 }
 
-/// Tells whether another server would answer the same.
+/// Returns whether every other server would fail the request in the same way.
 pub(crate) fn is_final(failure: &Failure) -> bool {
     let malformed = Refusal::Malformed;
     matches!(failure, Failure::Refused { refusal, .. } if *refusal == malformed)
