--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -398,7 +398,7 @@
             },
             // Every host has a small part of a server's requests.
             policy: Policy {
-                proof: CrashSignal::ConnectFailed,
+                crash_signal: CrashSignal::ConnectFailed,
                 ..Policy::default()
             },
             seed: settings.seed,
--- a/crates/decision/src/attempt.rs
+++ b/crates/decision/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of (a part of) a request to one backend server.
+//! An attempt: one send of a request, or of a part of one, to one backend server.
 
 use crate::reply::Report;
 use derive_more::Display;
@@ -14,52 +14,52 @@
 /// How an attempt ended without a usable reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The server itself said that the request did not run.
+    /// The server reported that it did not run the request.
     Refused {
         /// Why it refused.
         refusal: Refusal,
-        /// When to come back, where the server said so.
+        /// Retry delay, if the server returned one.
         retry_after: Option<Duration>,
-        /// What the server said of itself.
+        /// State that the server reported.
         report: Report,
     },
-    /// No byte of the request left: the connection was found closed or could not be used.
+    /// No byte of the request was sent: the connection was closed or unusable.
     NotSent,
     /// The server ran the request and reported an error.
     ServerError {
-        /// What the server said of itself.
+        /// State that the server reported.
         report: Report,
     },
-    /// The connection ended after the request had left and before the whole reply arrived.
+    /// The connection was lost after the request was sent and before the reply was complete.
     Lost,
-    /// The attempt was cancelled by closing its connection.
+    /// The daemon cancelled the attempt by closing its connection.
     Dropped,
-    /// The reply was truncated, undecodable or belongs to another attempt.
+    /// The reply was truncated, malformed or for another attempt.
     Mismatched,
-    /// The server gave up in the middle: the attempt was cancelled, or its deadline passed there.
+    /// The server stopped while running the request: it was cancelled or its deadline passed.
     Cancelled {
-        /// What the server said of itself.
+        /// State that the server reported.
         report: Report,
     },
 }
 
 impl Failure {
-    /// Tells whether the failure proves that the attempt did not run.
+    /// Returns whether the failure proves that the attempt did not run.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::NotSent)
     }
 }
 
-/// Why a connection could not be made.
+/// Why a connection attempt failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Nobody listens at the address.
+    /// The address does not accept connections.
     #[display("refused")]
     Refused,
-    /// The server took it and ended it at once, as one that has too many does.
+    /// The server accepted the connection and closed it, as it does at its connection limit.
     #[display("closed during connect")]
     Closed,
-    /// Nothing came back in time.
+    /// The connection was not established within the timeout.
     #[display("timed out")]
     TimedOut,
 }
@@ -67,21 +67,21 @@
 /// Why a backend server refused to run a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has more work than it wants.
+    /// It sheds load.
     Shedding,
-    /// It is leaving.
+    /// It is draining before it stops.
     Draining,
-    /// It has not finished starting.
+    /// It is still starting.
     Starting,
-    /// The deadline had passed, or would have, before the work began.
+    /// The deadline had passed, or would have passed before the request ran.
     Deadline,
-    /// It does not hold the pinned index version.
+    /// It does not serve the pinned index version.
     IndexVersion {
-        /// The versions that it does hold.
+        /// The versions that it serves.
         served: Vec<IndexVersion>,
     },
-    /// Its connection limit is reached.
+    /// It has reached its connection limit.
     Connections,
-    /// It could not make sense of the request.
+    /// It could not parse the request.
     Malformed,
 }
--- a/crates/decision/src/content.rs
+++ b/crates/decision/src/content.rs
@@ -1,22 +1,21 @@
-//! What requests ask and what replies hold.
+//! Content types of requests and replies, opaque to this crate.
 //!
-//! No decision here looks into either: the core counts, places, repeats and merges by keys and
-//! attempts. The product's own interface carries JSON text; an interface that forwards requests as
-//! they are brings types of its own. A type parameter was chosen over one type for all, so that
-//! neither interface has to encode what the other one needs.
+//! Decisions depend on keys and attempts only. The native interface carries JSON text; an interface
+//! that forwards requests unchanged defines its own types, so that neither has to encode the content
+//! of the other.
 
 use std::fmt::Debug;
 use std::sync::Arc;
 
-/// The types that one interface of the daemon puts through the core.
+/// The content types of one interface of the daemon.
 pub trait Content: Clone + Debug + PartialEq + Send + Sync + 'static {
-    /// What a request asks; it is copied to each attempt.
+    /// Content of a request; cloned for each attempt.
     type Query: Clone + Debug + PartialEq + Send + Sync;
-    /// What one reply, or one item of a reply, holds.
+    /// Content of a reply or of an item of a reply.
     type Value: Clone + Debug + PartialEq + Send + Sync;
 }
 
-/// JSON text in both directions: the product's own interface.
+/// JSON text in both directions: the native interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Json;
 
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -112,7 +112,7 @@
             pool: Pool::new(&route, division, FIRST_CONNECTION, now),
             gate: Gate::new(&route),
             shortage: Overload::default(),
-            suspects: Detector::with_crash_signal(policy.proof),
+            suspects: Detector::with_crash_signal(policy.crash_signal),
             budgets: RouteBudgets::new(&route, &division),
             pin: Pin::default(),
             placement: Placement::new(&route),
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,9 +1,9 @@
-//! Every decision of the query tier, without input or output.
+//! The decisions of the query tier, as state machines without I/O.
 //!
-//! Each module is a state machine: typed events and the time go in, typed actions come out. No
-//! module holds a clock, a socket, a task or a lock, and randomness is passed in as a seeded
-//! generator. The daemon is a driver around this crate; golden sessions, property tests and a bench
-//! drive exactly the code that runs in production.
+//! Each module takes typed events with the current time and returns typed actions. No module has a
+//! clock, a socket, a task or a lock, and random number generators are passed in with a seed. The
+//! daemon drives these state machines in production; golden sessions, property tests and benchmarks
+//! drive the same code.
 
 pub mod admission;
 pub mod attempt;
@@ -24,14 +24,14 @@
 pub mod rationale;
 pub mod reply;
 
-/// Monotonic time since the start of the process that decides.
+/// Monotonic time since the start of the process.
 pub type Time = std::time::Duration;
 
-/// Id of a caller's request, unique over all daemons.
+/// Id of a caller's request, unique across all daemons.
 pub type RequestId = u128;
 
-/// Hash of what a request asks, the same whoever sends it and however often.
+/// Hash of a request's content, equal for all sends of the same request by any caller.
 pub type Fingerprint = u64;
 
-/// Kind of work: requests with the same number ask about as much of a backend server.
+/// Kind of work: requests of the same kind cost a backend server about the same.
 pub type WorkKind = u64;
--- a/crates/decision/src/outcome.rs
+++ b/crates/decision/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended. Every request has exactly one outcome.
+//! Outcome of a request. Each request has exactly one.
 
 use crate::reply::Item;
 use derive_more::Display;
@@ -7,30 +7,30 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The one final result of a request.
+/// Final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome<V = Box<str>> {
-    /// A search was answered, completely or in part.
+    /// A search returned an answer, complete or partial.
     Answered(Answer<V>),
     /// A non-idempotent request ran; the value is its result.
     Executed(V),
-    /// Nothing of the request ran anywhere.
+    /// No part of the request ran.
     NotRun {
         /// Why it did not run.
         reason: Reason,
-        /// When it is worth coming back.
+        /// Delay after which the caller should retry.
         retry_after: Option<Duration>,
     },
-    /// The request ran and failed, or was given up on; running it again does no harm.
+    /// The request ran and failed, or was given up; it is safe to retry.
     Failed {
         /// Why it failed.
         reason: Reason,
-        /// When it is worth coming back.
+        /// Delay after which the caller should retry.
         retry_after: Option<Duration>,
     },
-    /// The non-idempotent request may have run; it will not be run again under this key.
+    /// The non-idempotent request may have run; it will not run again under this key.
     Unknown {
-        /// Why it isn't known.
+        /// Why its result is unknown.
         reason: Reason,
     },
 }
@@ -38,35 +38,35 @@
 /// Answer to a search.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer<V = Box<str>> {
-    /// The one version that every item was taken from.
+    /// The index version of all items.
     pub index_version: IndexVersion,
-    /// Share of the data that was looked through, by published weight, from 0 to 1.
+    /// Share of the data that was searched, by published weight, from 0 to 1.
     pub coverage: f64,
-    /// The keys that were not looked through, disjoint and in order.
+    /// The keys that were not searched, as sorted and disjoint ranges.
     pub missing: Vec<Range>,
     /// The items, in key order.
     pub items: Vec<Item<V>>,
 }
 
-/// Why a request was refused, failed or is in doubt.
+/// Why a request was refused, failed or has an unknown outcome.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reason {
     /// The deadline had passed.
     #[display("deadline")]
     Deadline,
-    /// There was no room for a request of this class in time.
+    /// The tier is overloaded for requests of this class.
     #[display("overload")]
     Overload,
-    /// No backend server that could serve the request was reachable.
+    /// No reachable backend server could serve the request.
     #[display("unavailable")]
     Unavailable,
-    /// Requests like this one crash backend servers.
+    /// Requests with this fingerprint crash backend servers.
     #[display("suspect")]
     Suspect,
     /// The daemon is stopping.
     #[display("stopping")]
     Stopping,
-    /// The caller went away.
+    /// The caller disconnected.
     #[display("abandoned")]
     Abandoned,
     /// A backend server reported an error.
@@ -75,7 +75,7 @@
     /// The connection was lost while the request may have been running.
     #[display("lost")]
     Lost,
-    /// The key's incarnation is gone, unreachable or has forgotten it.
+    /// The idempotency key is invalid or expired, or the holder of its fence can't be reached.
     #[display("fence")]
     Fence,
 }
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,24 +1,23 @@
-//! What of the decisions differs: by what an interface can know, and by something simpler that
-//! replaces a decision, to measure what it is worth.
+//! Settings that replace decisions of a home by simpler ones, for experiments.
 //!
-//! A claim such as "the choice between replicas keeps the tail short" means little without the run
-//! that chooses at random. The simple ways live here and not beside a measurement, so that both run
-//! through the same daemon. In production nothing is replaced.
+//! An experiment compares a decision with its simple alternative in the same daemon, for example the
+//! choice between replicas with a random one. In production only [`Policy::crash_signal`] differs between
+//! interfaces.
 
 use crate::backend::suspect::CrashSignal;
 use std::time::Duration;
 
-/// The decisions of a home that differ.
+/// The alternatives of a home's decisions; the default is the production behaviour.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
-    /// Chooses among the replicas that are open at random.
+    /// Chooses a random replica among the usable ones.
     pub random_replica: bool,
-    /// Ignores what servers report of their load.
+    /// Ignores the load that servers report.
     pub ignore_load: bool,
-    /// Hedges after this time in place of a learned one.
+    /// Fixed hedge delay in place of the learned one.
     pub hedge_after: Option<Duration>,
-    /// Admits every request that has time left.
+    /// Admits every request whose deadline has not passed.
     pub admit_all: bool,
     /// What proves that a request crashed a backend server.
-    pub proof: CrashSignal,
+    pub crash_signal: CrashSignal,
 }
--- a/crates/decision/src/rationale.rs
+++ b/crates/decision/src/rationale.rs
@@ -1,31 +1,31 @@
-//! Why something was decided.
+//! Explanations of decisions, for logs and operators.
 //!
-//! Each attempt has a reason, and hardly any of them is ever read. So the numbers are kept, and text
-//! is made of them where a line is written or somebody asks.
+//! Every attempt has an explanation but few are read, so only the numbers are stored. The text is
+//! formatted when a log line is written or an operator requests it.
 
 use derive_more::{Display, From};
 
-/// Why something was decided, in a few words with the numbers that decided.
+/// Explanation of a decision, with the numbers that it is based on.
 #[derive(Clone, Debug, PartialEq, Display, From)]
 pub enum Rationale {
-    /// A server had the least expected load.
+    /// The server with the least expected load was chosen.
     LeastLoaded(LeastLoaded),
-    /// Words without numbers.
+    /// A fixed text.
     Static(&'static str),
-    /// Words written out at once; for what is decided rarely.
+    /// A preformatted text, for infrequent decisions.
     Text(String),
 }
 
-/// The least expected load among servers.
+/// Expected load of the chosen server, the least among the candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Display)]
 #[display("score {score:.2} of {open} open; own {own}, others {others:+.2}")]
 pub struct LeastLoaded {
-    /// The load, in attempts.
+    /// Expected load, in attempts.
     pub score: f64,
-    /// Servers that could have been chosen.
+    /// Number of candidate servers.
     pub open: usize,
-    /// Own attempts at the server.
+    /// Attempts of this home at the server.
     pub own: usize,
-    /// Load that others are believed to have there beyond the usual.
+    /// Estimated load of other homes at the server, relative to the usual one, in attempts.
     pub others: f64,
 }
--- a/crates/decision/src/reply.rs
+++ b/crates/decision/src/reply.rs
@@ -1,51 +1,51 @@
-//! What a backend server says, after the daemon has decoded it.
+//! Decoded replies and reports of backend servers.
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::{Incarnation, IndexVersion, Key};
 use serde::{Deserialize, Serialize};
 
-/// One search result. Nobody here looks into the value; by default it is JSON text.
+/// One search result. The value is opaque to this crate; by default it is JSON text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item<V = Box<str>> {
-    /// Position in the route's key space.
+    /// Key in the route's key space.
     pub key: Key,
-    /// The result.
+    /// Content of the result.
     pub value: V,
 }
 
 /// A reply with status 200 to one attempt of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<V = Box<str>> {
-    /// Version that the items were taken from; `None` where the server did not say.
+    /// Index version of the items; `None` if the server did not report one.
     pub index_version: Option<IndexVersion>,
-    /// The keys that the server says it looked through.
+    /// The keys that the server claims to have searched.
     pub ranges: Vec<Range>,
-    /// The items found.
+    /// The items that the server found.
     pub items: Vec<Item<V>>,
-    /// What the server says of itself.
+    /// State that the server reported.
     pub report: Report,
 }
 
-/// What a backend server says of itself, on a reply or on its load endpoint. It may lag or mislead.
+/// State reported by a backend server, in a reply or at its load endpoint. It may be stale or wrong.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Work at the server.
+    /// Load of the server; `None` if it did not report one.
     pub load: Option<Load>,
-    /// Index versions that it can serve; empty where it did not say.
+    /// Index versions that it serves; empty if it did not report any.
     pub index_versions: Vec<IndexVersion>,
-    /// Start number of its process.
+    /// Start number of the server's process, which changes with each restart.
     pub start: Option<Incarnation>,
-    /// Whether it says that it is leaving.
+    /// Whether it is draining before it stops.
     pub draining: bool,
 }
 
-/// Work at a backend server.
+/// Load of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests being worked on.
+    /// Number of requests that are running.
     pub busy: u32,
-    /// Requests that it works on at the same time at most.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that wait.
+    /// Number of requests that are queued.
     pub queued: u32,
 }
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -193,7 +193,7 @@
     /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
     pub(crate) fn divided(route: Route, division: Division) -> Self {
         let policy = Policy {
-            proof: CrashSignal::ConnectFailed,
+            crash_signal: CrashSignal::ConnectFailed,
             ..Policy::default()
         };
         let (home, actions) = Home::with_policy(Arc::new(route), division, 7, policy, Time::ZERO);
