--- a/crates/decision/src/backend/suspect.rs
+++ b/crates/decision/src/backend/suspect.rs
@@ -1,24 +1,22 @@
-//! Requests that crash the backend servers that run them.
+//! Detection of requests that crash the backend servers that run them.
 //!
-//! A server that dies under several requests was crashed by at most one of them. Its death is
-//! shared out over the fingerprints that were running on it, in proportion to the evidence that
-//! each has already: a request that was there before takes most of the blame, and a first death
-//! under many requests says little about any one. A request that was running alone takes it all.
+//! The death of a server is blamed on the fingerprints that were running there, in proportion to
+//! the evidence that each already has. A request that ran alone gets the full blame; a first death
+//! with many requests running says little about each of them.
 //!
-//! A fingerprint with evidence is quarantined: no hedge, no retry, one attempt at a time, so that
-//! it meets the next server alone or nearly so. Evidence of two deaths that adds up to more than
-//! one refuses it, be it of two servers or of one that was started again: a group may have only one. Deaths at the same moment, as of a rack, count once for requests that were
-//! not alone: the requests of that moment ran on all those servers, and none of them did it.
+//! A fingerprint with evidence is quarantined: no hedges or retries, and one attempt at a time, so
+//! that it runs alone on the next server if possible. It is refused when the evidence from two
+//! deaths adds up to more than one. Both may be deaths of the same server, since a group may have
+//! just one. Simultaneous deaths, such as a rack failure, count once unless the request ran alone.
 //!
-//! What counts as a death depends on what can be known. A home that has most of a server's requests
-//! takes a lost connection for one ([`CrashSignal::ConnectionLost`]). Where many homes share a server and nothing in
-//! its replies tells its processes apart, a connection may be lost for many reasons, and only a
-//! server that can't be connected to any more counts as dead ([`CrashSignal::ConnectFailed`]). Without that,
-//! a network that resets connections would get hundreds of harmless requests refused for a minute
-//! each.
+//! The evidence of a death depends on the deployment ([`CrashSignal`]). A home that sends most of a
+//! server's requests takes a lost connection as a death. If many homes share a server and its
+//! replies don't identify the process, connections may be lost for other reasons, and the death
+//! must be confirmed by a failed connect. Otherwise a network that resets connections would get
+//! harmless requests refused.
 //!
-//! A success of the fingerprint on a replica of the dead server clears it, and so does a sign of
-//! life of the process whose connection was lost.
+//! A success on a replica of the dead server clears the fingerprint, and so does a report from the
+//! process whose connection was lost.
 
 use crate::attempt::AttemptId;
 use crate::{Fingerprint, Time};
@@ -28,72 +26,73 @@
 use std::time::Duration;
 
 /// Evidence from which a fingerprint is refused, in deaths.
-const REFUSED_AT: f64 = 1.2;
+const MIN_REFUSAL_WEIGHT: f64 = 1.2;
 
-/// Distinct deaths that the evidence must come from.
-const DEATHS: usize = 2;
+/// Minimum number of deaths that contribute to the evidence.
+const MIN_DEATHS: usize = 2;
 
-/// Time for which a fingerprint is refused; it doubles with each further death, up to a bound.
-const REFUSED_FOR: Duration = Duration::from_secs(60);
-const REFUSED_AT_MOST: Duration = Duration::from_secs(600);
+/// Time for which a fingerprint is refused; it doubles with each further death up to the maximum.
+const REFUSAL_TIME: Duration = Duration::from_secs(60);
+const MAX_REFUSAL_TIME: Duration = Duration::from_secs(600);
 
 /// Time for which evidence counts.
-const RETENTION: Duration = Duration::from_secs(600);
+const EVIDENCE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Losses this close together are one moment: the connections of a server that died end one by one.
-const MOMENT: Duration = Duration::from_millis(500);
+/// Deaths within this time are simultaneous: connections of a dead server are lost one after
+/// another.
+const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(500);
 
-/// An attempt sent this long after a loss at its server met another process: all connections to the
-/// dead one had ended. It is short, as a server may be back within a moment and be crashed again.
-const SAME_DEATH: Duration = Duration::from_millis(100);
+/// Time after a loss from which attempts at the same server reach a new process: all connections to
+/// the dead one are closed by then. Kept short, since a server may restart and crash again quickly.
+const SAME_DEATH_WINDOW: Duration = Duration::from_millis(100);
 
-/// Evidence that a fingerprint without any is taken to have when a death is shared out.
-const UNSUSPECTED: f64 = 0.1;
+/// Evidence assumed for a fingerprint without any when blame is apportioned.
+const PRIOR_WEIGHT: f64 = 0.1;
 
-/// Time for which a lost connection waits for the crash_signal that its server died.
-const UNPROVED: Duration = Duration::from_secs(10);
+/// Time for which a lost connection waits for a confirmation of the server's death.
+const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(10);
 
-/// What proves that a server died.
+/// What counts as the death of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CrashSignal {
-    /// The loss of a connection under an attempt.
+    /// A connection lost during an attempt.
     #[default]
     ConnectionLost,
-    /// A connect that failed after such a loss.
+    /// A failed connect after such a loss.
     ConnectFailed,
 }
 
-/// What may be done with requests of a fingerprint.
+/// Whether requests with a fingerprint may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing speaks against it.
+    /// No evidence: requests may be sent.
     Clear,
-    /// It may have crashed a server: no hedge, no retry, one attempt at a time.
+    /// May have crashed a server: no hedges or retries, one attempt at a time.
     Quarantined,
-    /// It crashes servers: refused until the given time.
+    /// Crashes servers: refused until the given time.
     Refused(Time),
 }
 
-/// Evidence against fingerprints.
+/// Collects evidence against fingerprints.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     crash_signal: CrashSignal,
-    running: FxHashMap<AttemptId, Running>,
+    running: FxHashMap<AttemptId, RunningAttempt>,
     deaths: BTreeMap<BackendServerId, Death>,
     evidence: BTreeMap<Fingerprint, Vec<Evidence>>,
     refused: BTreeMap<Fingerprint, Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Running {
+struct RunningAttempt {
     fingerprint: Fingerprint,
     server: BackendServerId,
     sent: Time,
-    /// Whether it was sent in quarantine.
-    alone: bool,
+    /// Whether the attempt was sent in quarantine.
+    in_quarantine: bool,
 }
 
-/// The blame for the last death of a server, fixed when its first connection was lost.
+/// The latest death of a server. Blame is apportioned when the first connection is lost.
 #[derive(Clone, Debug)]
 struct Death {
     at: Time,
@@ -105,17 +104,17 @@
     server: BackendServerId,
     weight: f64,
     at: Time,
-    /// Whether the death is proved; it counts for nothing before.
-    proved: bool,
+    /// Whether the death is confirmed; unconfirmed evidence does not count.
+    confirmed: bool,
 }
 
 impl Detector {
-    /// Makes a table without evidence.
+    /// Creates a detector that takes lost connections for deaths.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes a table without evidence that takes `crash_signal` for a death.
+    /// Creates a detector that takes `crash_signal` for a death.
     pub fn with_crash_signal(crash_signal: CrashSignal) -> Self {
         Self {
             crash_signal,
@@ -123,8 +122,8 @@
         }
     }
 
-    /// Records that a server can't be connected to. Returns the fingerprints that are refused from
-    /// now on, and for how long.
+    /// Records that a server can't be connected to, which confirms its death. Returns the
+    /// fingerprints that are refused from now on, each with the duration.
     pub fn unreachable(
         &mut self,
         server: BackendServerId,
@@ -133,19 +132,25 @@
         if self.crash_signal == CrashSignal::ConnectionLost {
             return Vec::new();
         }
-        let mut proved = Vec::new();
-        for (fingerprint, all) in &mut self.evidence {
-            let lost = all.iter_mut().filter(|one| one.server == server);
-            for evidence in lost.filter(|one| !one.proved && now < one.at + UNPROVED) {
-                evidence.proved = true;
-                proved.push(*fingerprint);
+        let mut confirmed = Vec::new();
+        for (fingerprint, entries) in &mut self.evidence {
+            let lost = entries
+                .iter_mut()
+                .filter(|evidence| evidence.server == server);
+            for evidence in lost
+                .filter(|evidence| !evidence.confirmed && now < evidence.at + UNCONFIRMED_RETENTION)
+            {
+                evidence.confirmed = true;
+                confirmed.push(*fingerprint);
             }
         }
-        let refused = proved.into_iter();
-        refused.filter_map(|one| self.refuse(one, now)).collect()
+        let refused = confirmed.into_iter();
+        refused
+            .filter_map(|fingerprint| self.refuse_if_due(fingerprint, now))
+            .collect()
     }
 
-    /// Returns what may be done with requests of a fingerprint.
+    /// Returns whether requests with a fingerprint may be sent.
     pub fn status(&self, fingerprint: Fingerprint, now: Time) -> Status {
         let refused = self.refused.get(&fingerprint);
         if let Some(until) = refused.copied().filter(|until| now < *until) {
@@ -157,12 +162,12 @@
         }
     }
 
-    /// Tells whether another attempt of this fingerprint may be sent now: always when it is clear,
-    /// one at a time in quarantine, never when refused.
+    /// Returns whether another attempt may be sent now: always for a clear fingerprint, one at a
+    /// time in quarantine, never when refused.
     pub fn may_send(&self, fingerprint: Fingerprint, now: Time) -> bool {
         match self.status(fingerprint, now) {
             Status::Clear => true,
-            Status::Quarantined => !self.is_running(fingerprint),
+            Status::Quarantined => !self.has_quarantined_attempt(fingerprint),
             Status::Refused(_) => false,
         }
     }
@@ -175,97 +180,99 @@
         server: BackendServerId,
         now: Time,
     ) {
-        let running = Running {
+        let running = RunningAttempt {
             fingerprint,
             server,
             sent: now,
-            alone: self.status(fingerprint, now) != Status::Clear,
+            in_quarantine: self.status(fingerprint, now) != Status::Clear,
         };
         self.running.insert(attempt, running);
     }
 
-    /// Records that an attempt was answered, which clears the evidence of the servers in
-    /// `replicas`, those that hold the same part of the data.
+    /// Records that an attempt succeeded. This clears the evidence from its server and from the
+    /// other `replicas` of the shard.
     pub fn succeeded(&mut self, attempt: AttemptId, replicas: &[BackendServerId], _now: Time) {
         let Some(running) = self.running.remove(&attempt) else {
             return;
         };
-        self.withdraw(running.fingerprint, |evidence| {
+        self.remove_evidence(running.fingerprint, |evidence| {
             evidence.server == running.server || replicas.contains(&evidence.server)
         });
     }
 
-    /// Records that an attempt ended in a way that says nothing about crashes.
+    /// Records that an attempt ended without information about crashes.
     pub fn ended(&mut self, attempt: AttemptId, _now: Time) {
         self.running.remove(&attempt);
     }
 
-    /// Records that the connection of an attempt was lost while it may have been running. Returns
-    /// how long its fingerprint is refused from now on, if that is new: the other homes are to be
-    /// told.
+    /// Records that a connection was lost while an attempt may have been running. Returns the
+    /// fingerprint and the duration for which it is refused, if that is new; other homes must then
+    /// be notified.
     pub fn lost(&mut self, attempt: AttemptId, now: Time) -> Option<(Fingerprint, Duration)> {
-        let Running {
+        let RunningAttempt {
             fingerprint,
             server,
             sent,
             ..
         } = self.running.get(&attempt).copied()?;
-        let weight = self.blame(fingerprint, server, sent, now);
+        let weight = self.blame_for(fingerprint, server, sent, now);
         self.running.remove(&attempt);
-        let all = self.evidence.entry(fingerprint).or_default();
-        // A second attempt of the same request at the same server tells of the same death, unless it
-        // met another process.
-        let is_same = |one: &Evidence| one.server == server && sent < one.at + SAME_DEATH;
-        all.retain(|evidence| !is_same(evidence));
-        all.push(Evidence {
+        let entries = self.evidence.entry(fingerprint).or_default();
+        // Several attempts of one request at the same server are evidence of the same death, unless
+        // a later one reached a new process.
+        let is_same = |evidence: &Evidence| {
+            evidence.server == server && sent < evidence.at + SAME_DEATH_WINDOW
+        };
+        entries.retain(|evidence| !is_same(evidence));
+        entries.push(Evidence {
             server,
             weight,
             at: now,
-            proved: self.crash_signal == CrashSignal::ConnectionLost,
+            confirmed: self.crash_signal == CrashSignal::ConnectionLost,
         });
-        self.refuse(fingerprint, now)
+        self.refuse_if_due(fingerprint, now)
     }
 
-    /// Withdraws the evidence of a server whose process turned out to be alive.
+    /// Removes the evidence from a server whose process is still running.
     pub fn survived(&mut self, server: BackendServerId, _now: Time) {
         self.deaths.remove(&server);
         let fingerprints: Vec<Fingerprint> = self.evidence.keys().copied().collect();
         for fingerprint in fingerprints {
-            self.withdraw(fingerprint, |evidence| evidence.server == server);
+            self.remove_evidence(fingerprint, |evidence| evidence.server == server);
         }
     }
 
-    /// Takes over another home's finding.
+    /// Applies a refusal that another home has decided.
     pub fn apply_refusal(&mut self, fingerprint: Fingerprint, until: Time, now: Time) {
-        let until = until.min(now + REFUSED_AT_MOST);
+        let until = until.min(now + MAX_REFUSAL_TIME);
         let refused = self.refused.entry(fingerprint).or_insert(until);
         *refused = until.max(*refused);
     }
 
-    /// Drops what is out of date.
+    /// Drops expired refusals, deaths and evidence.
     pub fn tick(&mut self, now: Time) {
         self.refused.retain(|_, until| now < *until);
-        self.deaths.retain(|_, death| now < death.at + MOMENT);
-        self.evidence.retain(|_, all| {
-            all.retain(|evidence| match evidence.proved {
-                true => now < evidence.at + RETENTION,
-                false => now < evidence.at + UNPROVED,
+        self.deaths
+            .retain(|_, death| now < death.at + SIMULTANEOUS_WINDOW);
+        self.evidence.retain(|_, entries| {
+            entries.retain(|evidence| match evidence.confirmed {
+                true => now < evidence.at + EVIDENCE_RETENTION,
+                false => now < evidence.at + UNCONFIRMED_RETENTION,
             });
-            !all.is_empty()
+            !entries.is_empty()
         });
     }
 
-    /// Tells whether an attempt that was sent in quarantine is running. Those sent before don't
-    /// count: they are out already, and a search that lost one connection would otherwise wait for
-    /// its slowest group before it may ask another replica, seen as a tail with each server that
-    /// is replaced.
-    fn is_running(&self, fingerprint: Fingerprint) -> bool {
+    /// Returns whether an attempt sent in quarantine is running. Attempts sent earlier don't count:
+    /// otherwise a search that lost a connection would wait for its slowest group before it can
+    /// retry on another replica.
+    fn has_quarantined_attempt(&self, fingerprint: Fingerprint) -> bool {
         let mut running = self.running.values();
-        running.any(|running| running.alone && running.fingerprint == fingerprint)
+        running.any(|running| running.in_quarantine && running.fingerprint == fingerprint)
     }
 
-    /// Returns the share of a fingerprint in the death of a server.
-    fn blame(
+    /// Returns a fingerprint's part of the blame for the death of a server.
+    fn blame_for(
         &mut self,
         fingerprint: Fingerprint,
         server: BackendServerId,
@@ -273,83 +280,95 @@
         now: Time,
     ) -> f64 {
         let known = self.deaths.get(&server);
-        let is_over = |death: &Death| now >= death.at + MOMENT || sent >= death.at + SAME_DEATH;
+        let is_over = |death: &Death| {
+            now >= death.at + SIMULTANEOUS_WINDOW || sent >= death.at + SAME_DEATH_WINDOW
+        };
         if known.is_none_or(is_over) {
-            let death = self.share_out(server, now);
+            let death = self.apportion_blame(server, now);
             self.deaths.insert(server, death);
         }
         let death = self.deaths.get(&server);
-        // Without a share it was sent after the death: it came upon a dead server.
+        // No part: the attempt was sent after the death, to a dead server.
         death.map_or(0.0, |death| {
             death.blame.get(&fingerprint).copied().unwrap_or(0.0)
         })
     }
 
-    fn share_out(&self, server: BackendServerId, now: Time) -> Death {
-        let there = self.running.values();
-        let fingerprints: BTreeSet<Fingerprint> = there
+    fn apportion_blame(&self, server: BackendServerId, now: Time) -> Death {
+        let running = self.running.values();
+        let fingerprints: BTreeSet<Fingerprint> = running
             .filter(|running| running.server == server)
             .map(|running| running.fingerprint)
             .collect();
-        let prior = |fingerprint| UNSUSPECTED + self.weight(fingerprint, now);
-        let sum: f64 = fingerprints.iter().map(|one| prior(*one)).sum();
-        let blame = fingerprints.iter().map(|one| (*one, prior(*one) / sum));
+        let prior = |fingerprint| PRIOR_WEIGHT + self.weight(fingerprint, now);
+        let sum: f64 = fingerprints
+            .iter()
+            .map(|fingerprint| prior(*fingerprint))
+            .sum();
+        let blame = fingerprints
+            .iter()
+            .map(|fingerprint| (*fingerprint, prior(*fingerprint) / sum));
         Death {
             at: now,
             blame: blame.collect(),
         }
     }
 
-    /// Returns the evidence against a fingerprint, in deaths. Deaths of one moment count once,
-    /// unless nothing else was running.
+    /// Returns the evidence against a fingerprint, in deaths. Simultaneous deaths count once unless
+    /// the request ran alone.
     fn weight(&self, fingerprint: Fingerprint, now: Time) -> f64 {
-        let Some(all) = self.evidence.get(&fingerprint) else {
+        let Some(entries) = self.evidence.get(&fingerprint) else {
             return 0.0;
         };
         let mut sum = 0.0;
-        let mut moment: Option<(Time, f64)> = None;
-        let counts = |one: &&Evidence| one.proved && now < one.at + RETENTION;
-        for evidence in all.iter().filter(counts) {
-            // Who knows few of a server's requests can't know that one was alone there.
+        let mut window: Option<(Time, f64)> = None;
+        let counts =
+            |evidence: &&Evidence| evidence.confirmed && now < evidence.at + EVIDENCE_RETENTION;
+        for evidence in entries.iter().filter(counts) {
+            // A home that sends only a part of a server's requests can't tell that one ran alone.
             if evidence.weight >= 1.0 && self.crash_signal == CrashSignal::ConnectionLost {
                 sum += evidence.weight;
                 continue;
             }
-            match moment {
-                Some((start, most)) if evidence.at < start + MOMENT => {
-                    moment = Some((start, most.max(evidence.weight)));
+            match window {
+                Some((start, max)) if evidence.at < start + SIMULTANEOUS_WINDOW => {
+                    window = Some((start, max.max(evidence.weight)));
                 }
                 _ => {
-                    sum += moment.map_or(0.0, |(_, most)| most);
-                    moment = Some((evidence.at, evidence.weight));
+                    sum += window.map_or(0.0, |(_, max)| max);
+                    window = Some((evidence.at, evidence.weight));
                 }
             }
         }
-        sum + moment.map_or(0.0, |(_, most)| most)
+        sum + window.map_or(0.0, |(_, max)| max)
     }
 
-    fn refuse(&mut self, fingerprint: Fingerprint, now: Time) -> Option<(Fingerprint, Duration)> {
-        let all = self.evidence.get(&fingerprint)?;
-        let blames = |evidence: &&Evidence| evidence.proved && evidence.weight > 0.0;
-        let blamed = all.iter().filter(blames).count();
+    fn refuse_if_due(
+        &mut self,
+        fingerprint: Fingerprint,
+        now: Time,
+    ) -> Option<(Fingerprint, Duration)> {
+        let entries = self.evidence.get(&fingerprint)?;
+        let blames = |evidence: &&Evidence| evidence.confirmed && evidence.weight > 0.0;
+        let blamed = entries.iter().filter(blames).count();
         let refused = self.refused.get(&fingerprint);
         let is_new = refused.is_none_or(|until| *until <= now);
-        let enough = blamed >= DEATHS && self.weight(fingerprint, now) >= REFUSED_AT;
+        let enough = blamed >= MIN_DEATHS && self.weight(fingerprint, now) >= MIN_REFUSAL_WEIGHT;
         if !(is_new && enough) {
             return None;
         }
-        let doublings = u32::try_from(blamed - DEATHS).unwrap_or(u32::MAX);
-        let time = REFUSED_FOR
+        let doublings = u32::try_from(blamed - MIN_DEATHS).unwrap_or(u32::MAX);
+        let time = REFUSAL_TIME
             .saturating_mul(2_u32.saturating_pow(doublings))
-            .min(REFUSED_AT_MOST);
+            .min(MAX_REFUSAL_TIME);
         self.refused.insert(fingerprint, now + time);
         Some((fingerprint, time))
     }
 
-    fn withdraw(&mut self, fingerprint: Fingerprint, of: impl Fn(&Evidence) -> bool) {
-        if let Some(all) = self.evidence.get_mut(&fingerprint) {
-            all.retain(|evidence| !of(evidence));
-            if all.is_empty() {
+    fn remove_evidence(&mut self, fingerprint: Fingerprint, of: impl Fn(&Evidence) -> bool) {
+        if let Some(entries) = self.evidence.get_mut(&fingerprint) {
+            entries.retain(|evidence| !of(evidence));
+            if entries.is_empty() {
                 self.evidence.remove(&fingerprint);
             }
         }
