--- a/crates/daemon/src/node/decided.rs
+++ b/crates/daemon/src/node/decided.rs
@@ -10,7 +10,7 @@
         Decision::Join => ("join", None, "another send of the key runs".to_owned()),
         Decision::Replay(_) => ("replay", None, "the key has its outcome".to_owned()),
         Decision::Refuse(refusal) => ("refuse", None, format!("key: {refusal:?}")),
-        Decision::PassTo(fence) => {
+        Decision::ForwardTo(fence) => {
             let why = "the key names that incarnation".to_owned();
             ("pass on", Some(fence.member), why)
         }
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -176,12 +176,12 @@
             Decision::Refuse(refusal) => Sent::Refused(refusal),
             // A send that waited in the socket of a paused process may be far beyond its deadline, which
             // another daemon could not know. Its caller finds out by sending again.
-            Decision::PassTo(_) | Decision::LookUp if self.control.ready().is_err() => {
+            Decision::ForwardTo(_) | Decision::LookUp if self.control.ready().is_err() => {
                 Sent::Ended(Outcome::Unknown {
                     reason: Reason::Unavailable,
                 })
             }
-            Decision::PassTo(fence) => self.pass_to(fence, call, key, send).await,
+            Decision::ForwardTo(fence) => self.pass_to(fence, call, key, send).await,
             Decision::LookUp => {
                 let question = Lookup::Own {
                     caller: call.caller.clone(),
@@ -369,7 +369,7 @@
         }
         drop(asking);
         match conclusion {
-            Some(Resolution::PassTo(member)) => {
+            Some(Resolution::ForwardTo(member)) => {
                 let sent = self.send_to(member, &call, &key, send).await;
                 sent.unwrap_or(unknown())
             }
--- a/crates/decision/examples/replacement.rs
+++ b/crates/decision/examples/replacement.rs
@@ -197,7 +197,7 @@
             Decision::Join => {}
             Decision::Replay(outcome) => self.tell(number, &outcome),
             Decision::Refuse(refusal) => self.tell(number, &refusal.outcome()),
-            Decision::PassTo(to) => self.pass(place, to, request, number),
+            Decision::ForwardTo(to) => self.pass(place, to, request, number),
             Decision::LookUp => {
                 let question = Lookup::Own {
                     caller: "dispatch".into(),
@@ -228,7 +228,7 @@
             conclusion = conclusion.or(poll.record_reply(fence(place, 0).member, answer));
         }
         match conclusion {
-            Some(Resolution::PassTo(member)) => {
+            Some(Resolution::ForwardTo(member)) => {
                 self.serve(place(Fence { member, start: 0 }), request, number, true);
             }
             Some(Resolution::Replay(outcome)) => self.tell(number, &outcome),
--- a/crates/decision/src/home/delegation.rs
+++ b/crates/decision/src/home/delegation.rs
@@ -18,7 +18,7 @@
     /// Takes in what another home has looked through.
     pub(super) fn gathered(&mut self, id: RequestId, reply: Reply<C::Value>, now: Time) {
         self.with_run(id, now, |home, run| {
-            run.fanout.send();
+            run.fanout.record_send();
             let minimum = home.route.minimum_index_version;
             let covered: KeySet = reply.ranges.iter().copied().collect();
             let elsewhere = run.take_delegated();
@@ -51,7 +51,7 @@
                     }
                 }
                 Progress::MaybeStarted => {
-                    run.fanout.send();
+                    run.fanout.record_send();
                     home.lose_elsewhere(run, &elsewhere, "lost");
                 }
             }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -193,7 +193,7 @@
         match flight.owner {
             Owner::Part(request, _) => {
                 let run = self.runs.get_mut(&request)?;
-                run.fanout.send();
+                run.fanout.record_send();
                 Some(run.request.clone())
             }
             Owner::Execution(request) => self.depart_execution(request),
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -287,7 +287,8 @@
     fn candidates(&self, part: &Part) -> SmallVec<[BackendServerId; 4]> {
         let group = self.route.groups.get(part.group);
         let servers = group.into_iter().flat_map(|group| &group.backend_servers);
-        let able = servers.filter(|server| !part.unable.contains(server) && !self.is_old(**server));
+        let able =
+            servers.filter(|server| !part.excluded.contains(server) && !self.is_old(**server));
         able.copied().collect()
     }
 
--- a/crates/decision/src/idempotency/decision.rs
+++ b/crates/decision/src/idempotency/decision.rs
@@ -44,7 +44,7 @@
     Refuse(Refusal),
     /// Forward it to this incarnation if it is a member, else to the member that holds the fence
     /// ([`super::Lookup::Fence`]); without either, answer "unknown".
-    PassTo(Fence),
+    ForwardTo(Fence),
     /// A retry under an own key that has no record here: look the key up at the other members
     /// ([`super::Lookup::Own`]).
     LookUp,
--- a/crates/decision/src/idempotency/fence.rs
+++ b/crates/decision/src/idempotency/fence.rs
@@ -66,9 +66,10 @@
     /// Time on the holder's clock at which the last of them expires; `Time::MAX` for the ledger's
     /// own fence.
     pub(super) until: Time,
-    /// The same instant on the fence's clock and on the holder's clock (`local_base`). The time
-    /// that a handover is in transit does not count: keys and their records then live longer.
+    /// Time on the fence's clock at `local_base`. The transit time of a handover is not counted, so a
+    /// slow handover extends the life of keys and records.
     fence_base: Time,
+    /// Time on the holder's clock at which it took over the fence.
     local_base: Time,
 }
 
--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -33,7 +33,7 @@
     pub lifetime: Duration,
     /// Time for which a record is kept after its key's expiry or the end of its run; longer than
     /// any deadline.
-    pub slack: Duration,
+    pub retention: Duration,
     /// Maximum number of issued keys and recorded own keys.
     pub keys: usize,
     /// Maximum number of keys taken over from stopped incarnations.
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             lifetime: Duration::from_secs(300),
-            slack: Duration::from_secs(60),
+            retention: Duration::from_secs(60),
             keys: 50_000,
             inherited: 100_000,
             bytes: 32 * 1024 * 1024,
@@ -134,11 +134,11 @@
             .secret
             .issue(self.fence, self.next_serial, expiry, scope);
         self.next_serial += 1;
-        self.reservations.push_back(expiry + self.limits.slack);
+        self.reservations.push_back(expiry + self.limits.retention);
         Ok(Key::Fenced(key))
     }
 
-    /// Decides on one send, and records the key if it is to be run.
+    /// Decides on one send. A key that is to be run is recorded first.
     pub fn begin(&mut self, key: &Key, request: &Request, now: Time) -> Decision {
         let now = self.advance(now);
         match key {
@@ -201,7 +201,7 @@
     }
 
     fn begin_fenced(&mut self, key: &Fenced, request: &Request, now: Time) -> Decision {
-        let slack = self.limits.slack;
+        let retention = self.limits.retention;
         let Some(state) = self.fences.get_mut(&key.fence) else {
             return not_held(key.fence, request);
         };
@@ -221,7 +221,7 @@
         let (record, decision) = self.phase.decide(
             Slot::fenced(key),
             request,
-            now.saturating_add(left.saturating_add(slack)),
+            now.saturating_add(left.saturating_add(retention)),
         );
         state.records.insert(key.serial, record);
         decision
@@ -252,7 +252,7 @@
         if let Err(full) = self.check_capacity(now) {
             return Decision::Refuse(full);
         }
-        let until = now + self.limits.lifetime + self.limits.slack;
+        let until = now + self.limits.lifetime + self.limits.retention;
         let slot = Slot::Own(name.0.clone(), name.1.clone());
         let (record, decision) = self.phase.decide(slot, request, until);
         self.own.insert(name, record);
@@ -262,7 +262,7 @@
     fn settle(&mut self, slot: Slot, outcome: Outcome, now: Time) -> Completion {
         let now = self.advance(now);
         let stored = State::Done(self.charge(&outcome));
-        let until = now + self.limits.slack;
+        let until = now + self.limits.retention;
         let mut joined = Vec::new();
         if let Some(record) = self.record_mut(slot) {
             record.until = record.until.max(until);
@@ -329,7 +329,7 @@
     if request.passed_on {
         return Decision::Refuse(Refusal::Gone);
     }
-    Decision::PassTo(fence)
+    Decision::ForwardTo(fence)
 }
 
 fn moved(to: Fence, acknowledged: bool) -> Refusal {
--- a/crates/decision/src/idempotency/lookup.rs
+++ b/crates/decision/src/idempotency/lookup.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Resolution {
     /// Forward the request to this member.
-    PassTo(SocketAddr),
+    ForwardTo(SocketAddr),
     /// Return the recorded outcome.
     Replay(Outcome),
     /// Refuse the request: the key was used for another one.
@@ -127,7 +127,7 @@
         match finding {
             None => self.unreachable = true,
             Some(Finding::Nothing) => {}
-            Some(Finding::Holds | Finding::Running) => return Some(Resolution::PassTo(member)),
+            Some(Finding::Holds | Finding::Running) => return Some(Resolution::ForwardTo(member)),
             Some(Finding::Mismatch) => return Some(Resolution::Mismatch),
             Some(Finding::Done(outcome)) if outcome.is_not_run() => self.not_run = Some(outcome),
             Some(Finding::Done(outcome)) => return Some(Resolution::Replay(outcome)),
--- a/crates/decision/src/query/attempt.rs
+++ b/crates/decision/src/query/attempt.rs
@@ -126,12 +126,12 @@
 
 impl Fanout {
     /// Counts an attempt that is sent.
-    pub fn send(&mut self) {
+    pub fn record_send(&mut self) {
         self.sent += 1;
     }
 
     /// Counts a failed attempt; call once per attempt.
-    pub fn fail(&mut self, failure: &Failure) {
+    pub fn record_failure(&mut self, failure: &Failure) {
         if failure.is_not_run() {
             self.not_run += 1;
         }
--- a/crates/decision/src/query/search.rs
+++ b/crates/decision/src/query/search.rs
@@ -83,7 +83,7 @@
     /// Servers that had an attempt; other servers are preferred.
     pub(crate) tried: SmallVec<[BackendServerId; 1]>,
     /// Servers that can't serve these keys at the pinned version.
-    pub(crate) unable: SmallVec<[BackendServerId; 1]>,
+    pub(crate) excluded: SmallVec<[BackendServerId; 1]>,
     /// Number of attempts, hedges included.
     pub(crate) attempts: u32,
     /// Number of attempts that provably did not run.
@@ -153,7 +153,7 @@
         route: &Route,
         now: Time,
     ) -> Self {
-        let mut run = Self {
+        let mut search = Self {
             request,
             started: now,
             pin,
@@ -170,10 +170,10 @@
             next_part: 0,
             retry_after: None,
         };
-        run.delegated = run.request.scope.delegated.clone();
-        let here = run.wanted(route).difference(&run.delegated);
-        run.add_parts(&here, route, &Part::default());
-        run
+        search.delegated = search.request.scope.delegated.clone();
+        let local = search.wanted(route).difference(&search.delegated);
+        search.add_parts(&local, route, &Part::default());
+        search
     }
 
     /// Returns the requested keys.
@@ -226,7 +226,7 @@
                 group,
                 wanted,
                 tried: origin.tried.clone(),
-                unable: origin.unable.clone(),
+                excluded: origin.excluded.clone(),
                 attempts: origin.attempts,
                 not_run: origin.not_run,
                 last_failure: origin.last_failure,
@@ -295,7 +295,7 @@
     /// Excludes a server that can't serve the remaining keys of a part.
     pub(crate) fn exclude(&mut self, part: PartId, server: BackendServerId) {
         if let Some(part) = self.parts.get_mut(&part) {
-            part.unable.push(server);
+            part.excluded.push(server);
         }
     }
 
@@ -328,8 +328,8 @@
         self.parts.clear();
         self.deferred.clear();
         self.detached.clear();
-        let here = self.wanted(route).difference(&self.delegated);
-        self.add_parts(&here, route, &Part::default());
+        let local = self.wanted(route).difference(&self.delegated);
+        self.add_parts(&local, route, &Part::default());
         live
     }
 
@@ -342,7 +342,7 @@
 
     /// Records a failed attempt.
     pub(crate) fn record_failure(&mut self, part: PartId, failure: &Failure) {
-        self.fanout.fail(failure);
+        self.fanout.record_failure(failure);
         if let Some(part) = self.parts.get_mut(&part) {
             part.last_failure = Some(reason(failure));
             part.not_run += u32::from(failure.is_not_run());
@@ -410,7 +410,7 @@
     pub(crate) fn finish(mut self, route: &Route, least: f64, reason: Reason) -> Outcome<C::Value> {
         // The other home may have sent attempts, so "not run" is not proven.
         if self.has_delegated() {
-            self.fanout.send();
+            self.fanout.record_send();
         }
         let wanted = self.wanted(route);
         let share = |merge: &Merge<C::Value>| coverage::share_of(merge.covered(), &wanted, route);
--- a/crates/decision/tests/idempotency.rs
+++ b/crates/decision/tests/idempotency.rs
@@ -15,7 +15,7 @@
 
 const LIMITS: Limits = Limits {
     lifetime: Duration::from_secs(10),
-    slack: Duration::from_secs(5),
+    retention: Duration::from_secs(5),
     keys: 2,
     inherited: 3,
     bytes: 8,
@@ -254,7 +254,7 @@
     heir.tick(at(40));
     assert_eq!(heir.inherit(handover, at(40)), Ok(receipt));
     let decision = heir.begin(&key, &request(2), at(41));
-    assert_eq!(decision, Decision::PassTo(fence(1)));
+    assert_eq!(decision, Decision::ForwardTo(fence(1)));
 }
 
 #[test]
--- a/crates/decision/tests/model/daemon.rs
+++ b/crates/decision/tests/model/daemon.rs
@@ -83,7 +83,7 @@
                 }
                 world.tell(&refusal.outcome());
             }
-            Decision::PassTo(to) => self.pass(to, arrival, world),
+            Decision::ForwardTo(to) => self.pass(to, arrival, world),
             Decision::LookUp => self.ask(arrival, world),
         }
     }
@@ -136,7 +136,7 @@
 
     fn follow(&mut self, conclusion: Resolution, arrival: &Arrival, world: &mut World) {
         match conclusion {
-            Resolution::PassTo(member) => {
+            Resolution::ForwardTo(member) => {
                 self.pass_to(usize::from(member.port() - 7000), arrival, world);
             }
             Resolution::Replay(outcome) => world.tell(&outcome),
--- a/crates/decision/tests/model/mod.rs
+++ b/crates/decision/tests/model/mod.rs
@@ -136,7 +136,7 @@
 pub(crate) fn limits() -> Limits {
     Limits {
         lifetime: LIFETIME,
-        slack: SLACK,
+        retention: SLACK,
         ..Limits::default()
     }
 }
