--- a/crates/decision/src/rationale.rs
+++ b/crates/decision/src/rationale.rs
@@ -8,7 +8,7 @@
 /// Explanation of a decision, with the numbers that it is based on.
 #[derive(Clone, Debug, PartialEq, Display, From)]
 pub enum Rationale {
-    /// The server with the least expected load was chosen.
+    /// A server had the least expected load.
     LeastLoaded(LeastLoaded),
     /// A fixed text.
     Static(&'static str),
@@ -16,15 +16,15 @@
     Text(String),
 }
 
-/// Expected load of the chosen server, the least among the candidates.
+/// The least expected load among servers.
 #[derive(Clone, Copy, Debug, PartialEq, Display)]
 #[display("score {score:.2} of {open} open; own {own}, others {others:+.2}")]
 pub struct LeastLoaded {
-    /// Expected load, in attempts.
+    /// The load, in attempts.
     pub score: f64,
-    /// Number of candidate servers.
+    /// Servers that could have been chosen.
     pub open: usize,
-    /// Attempts of this home at the server.
+    /// Own attempts at the server.
     pub own: usize,
     /// Estimated load of other homes at the server, relative to the usual one, in attempts.
     pub others: f64,
