--- a/crates/decision/src/content.rs
+++ b/crates/decision/src/content.rs
@@ -1,8 +1,8 @@
 //! Content types of requests and replies, opaque to this crate.
 //!
 //! Decisions depend on keys and attempts only. The native interface carries JSON text; an interface
-//! that forwards requests unchanged defines its own types, so that neither has to encode the content
-//! of the other.
+//! that forwards requests unchanged defines its own types, so that neither has to encode the
+//! content of the other.
 
 use std::fmt::Debug;
 use std::sync::Arc;
--- a/crates/decision/src/idempotency/fence.rs
+++ b/crates/decision/src/idempotency/fence.rs
@@ -66,8 +66,8 @@
     /// Time on the holder's clock at which the last of them expires; `Time::MAX` for the ledger's
     /// own fence.
     pub(super) until: Time,
-    /// Time on the fence's clock at `local_base`. The transit time of a handover is not counted, so a
-    /// slow handover extends the life of keys and records.
+    /// Time on the fence's clock at `local_base`. The transit time of a handover is not counted, so
+    /// a slow handover extends the life of keys and records.
     fence_base: Time,
     /// Time on the holder's clock at which it took over the fence.
     local_base: Time,
--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -317,8 +317,8 @@
         }
     }
 
-    // Tasks of the driver can pass times out of order. A key that was found expired, and whose record
-    // was dropped, must not become valid again in a later call with an earlier time.
+    // Tasks of the driver can pass times out of order. A key that was found expired, and whose
+    // record was dropped, must not become valid again in a later call with an earlier time.
     pub(super) fn advance(&mut self, now: Time) -> Time {
         self.latest = self.latest.max(now);
         self.latest
--- a/crates/decision/src/idempotency/lookup.rs
+++ b/crates/decision/src/idempotency/lookup.rs
@@ -135,8 +135,9 @@
         self.resolve()
     }
 
-    /// Returns the resolution if all members have replied or failed. "Not run" requires a reply from
-    /// every member: if a caller marks a retry as a first send, another member may have run it.
+    /// Returns the resolution if all members have replied or failed. "Not run" requires a reply
+    /// from every member: if a caller marks a retry as a first send, another member may have run
+    /// it.
     pub fn resolve(&self) -> Option<Resolution> {
         if !self.waiting.is_empty() {
             return None;
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,8 +1,8 @@
 //! Settings that replace decisions of a home by simpler ones, for experiments.
 //!
-//! An experiment compares a decision with its simple alternative in the same daemon, for example the
-//! choice between replicas with a random one. In production only [`Policy::crash_signal`] differs between
-//! interfaces.
+//! An experiment compares a decision with its simple alternative in the same daemon, for example
+//! the choice between replicas with a random one. In production only [`Policy::crash_signal`]
+//! differs between interfaces.
 
 use crate::backend::suspect::CrashSignal;
 use std::time::Duration;
--- a/crates/decision/src/query/attempt.rs
+++ b/crates/decision/src/query/attempt.rs
@@ -1,9 +1,9 @@
 //! Typestates of an attempt, which prevent a wrong "not run".
 //!
-//! If a request that may have run ended as `Outcome::NotRun`, the caller would retry it and it could
-//! run twice. That outcome can only be built from a [`NotRunProof`]. A request has one, which can't
-//! be copied; sending the attempt consumes it, and only a failure that proves that nothing ran
-//! returns it.
+//! If a request that may have run ended as `Outcome::NotRun`, the caller would retry it and it
+//! could run twice. That outcome can only be built from a [`NotRunProof`]. A request has one, which
+//! can't be copied; sending the attempt consumes it, and only a failure that proves that nothing
+//! ran returns it.
 
 use crate::attempt::{AttemptId, Failure};
 use crate::outcome::{Outcome, Reason};
--- a/crates/decision/src/query/coverage.rs
+++ b/crates/decision/src/query/coverage.rs
@@ -163,7 +163,8 @@
     (set.weight(&route.groups) / total).clamp(0.0, 1.0 - f64::EPSILON)
 }
 
-/// Returns how many of `groups` groups of equal weight can be missing at a coverage of at least `least`.
+/// Returns how many of `groups` groups of equal weight can be missing at a coverage of at least
+/// `least`.
 pub fn dispensable(least: f64, groups: f64) -> usize {
     /// Tolerance for rounding errors, so that a tenth of ten groups is one group.
     const ROUNDING: f64 = 1e-9;
--- a/crates/decision/src/query/mod.rs
+++ b/crates/decision/src/query/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Each module enforces one property of an outcome: [`coverage`] measures the data searched,
 //! [`merge`] prevents duplicates, [`pin`] selects the index version, and [`attempt`] proves "not
-//! run". [`search`] and [`execution`] hold the two kinds of request in progress. Connections and the
-//! choice of backend servers belong to [`crate::home`].
+//! run". [`search`] and [`execution`] hold the two kinds of request in progress. Connections and
+//! the choice of backend servers belong to [`crate::home`].
 
 pub mod attempt;
 pub mod coverage;
--- a/crates/decision/src/query/pin.rs
+++ b/crates/decision/src/query/pin.rs
@@ -1,8 +1,8 @@
 //! Selection of the index version that new queries pin.
 //!
-//! During a roll-out servers load the new version one by one and later drop the old one. Pinning the
-//! new version too early loses the groups that don't serve it yet; pinning the old version too long
-//! loses the groups that have dropped it. The pin advances when every group can carry the new
+//! During a roll-out servers load the new version one by one and later drop the old one. Pinning
+//! the new version too early loses the groups that don't serve it yet; pinning the old version too
+//! long loses the groups that have dropped it. The pin advances when every group can carry the new
 //! version, and otherwise only if the pinned version reaches less of the data than another.
 
 use monsoonring_configuration::id::IndexVersion;
@@ -58,7 +58,7 @@
         let pinned = self.version.filter(|version| *version >= minimum);
         match (pinned, ready) {
             (Some(pinned), Some(ready)) if ready > pinned => Some(ready),
-            (Some(pinned), _) => Some(farthest(groups, &known, pinned)),
+            (Some(pinned), _) => Some(best_or_pinned(groups, &known, pinned)),
             (None, Some(ready)) => Some(ready),
             (None, None) => best(groups, &known),
         }
@@ -88,7 +88,7 @@
 
 /// Returns the pinned version unless a newer one has a greater reach. An older version is chosen
 /// only if no server serves the pinned one, so that answers don't go back in time during an outage.
-fn farthest(
+fn best_or_pinned(
     groups: &[Group],
     known: &BTreeSet<IndexVersion>,
     pinned: IndexVersion,
--- a/crates/decision/src/query/search.rs
+++ b/crates/decision/src/query/search.rs
@@ -39,11 +39,12 @@
     Remainder,
     /// An attempt is slower than usual: a second one, charged to the spare hedge budget.
     Hedge,
-    /// An attempt is among the slowest of its group and was not hedged: a second one, charged to the
-    /// whole hedge budget.
+    /// An attempt is among the slowest of its group and was not hedged: a second one, charged to
+    /// the whole hedge budget.
     LateHedge,
-    /// An attempt is far slower than its server ever is and was not hedged: a second one, charged to
-    /// the retry budget. A silent server delays many attempts, more than the hedge budget covers.
+    /// An attempt is far slower than its server ever is and was not hedged: a second one, charged
+    /// to the retry budget. A silent server delays many attempts, more than the hedge budget
+    /// covers.
     Overdue,
 }
 
--- a/crates/decision/src/reply.rs
+++ b/crates/decision/src/reply.rs
@@ -26,7 +26,8 @@
     pub report: Report,
 }
 
-/// State reported by a backend server, in a reply or at its load endpoint. It may be stale or wrong.
+/// State reported by a backend server, in a reply or at its load endpoint. It may be stale or
+/// wrong.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     /// Load of the server; `None` if it did not report one.
