--- a/crates/decision/src/gateway/bootstrap.rs
+++ b/crates/decision/src/gateway/bootstrap.rs
@@ -17,18 +17,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time within which hosts that start together have found each other, so that it is known who reads the store.
-const FOUND: Duration = Duration::from_millis(1_200);
+/// Time within which hosts that start together have discovered each other, so that it is known who reads the store.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time after which a host that had nothing yet is asked again: readers begin at the same moment.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Time after which a host that had nothing yet is asked retries: readers begin at the same moment.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Pages that a host that starts reads before it asks others for the rest: a tenth of a second of a store at its best.
-const FEW_PAGES: usize = 24;
+const MAX_FIRST_PAGES: usize = 24;
 
-/// Time for which hosts are asked again and again. Where nothing is known yet and others serve, there is no time to
+/// Time for which hosts are asked retries and retries. Where nothing is known yet and others serve, there is no time to
 /// lose; where much is known, it stays in use meanwhile.
-const PATIENCE: Duration = Duration::from_millis(600);
+const RETRY_PERIOD: Duration = Duration::from_millis(600);
 
 /// Why everything is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,19 +48,19 @@
     Host(MemberId),
     /// Wait until then, or until other readers are named.
     Wait(Time),
-    /// Read the store, up to so many pages: where there are more, [`Bootstrap::too_large`] is to be told.
+    /// Read the store, up to so many pages: where there are more, [`Bootstrap::too_large`] is to be offered.
     StorePages(usize),
     /// Read the store.
     Store,
 }
 
-/// Decides whom to ask, for one occasion.
+/// Decides whom to ask, for one reason.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
-    occasion: Reason,
-    began: Time,
+    reason: Reason,
+    started: Time,
     seeds: Vec<MemberId>,
-    /// Hosts that told nothing, and when they may be asked again; `None` for those that can't be reached.
+    /// Hosts that offered nothing, and when they may be asked retries; `None` for those that can't be reached.
     failed: BTreeMap<MemberId, Option<Time>>,
     /// Whether the store has not sufficed: it holds much, or does not answer.
     needs_hosts: bool,
@@ -68,10 +68,10 @@
 
 impl Bootstrap {
     /// Begins. `seeds` are hosts that the settings name, without this one.
-    pub fn new(occasion: Reason, seeds: Vec<MemberId>, now: Time) -> Self {
+    pub fn new(reason: Reason, seeds: Vec<MemberId>, now: Time) -> Self {
         Self {
-            occasion,
-            began: now,
+            reason,
+            started: now,
             seeds,
             failed: BTreeMap::new(),
             needs_hosts: false,
@@ -80,29 +80,29 @@
 
     /// Returns what to do next.
     pub fn next(&self, readers: &Readers, now: Time) -> Next {
-        let found = self.began + FOUND;
-        if self.occasion == Reason::FirstStart && now < found {
-            return Next::Wait(found);
+        let discovered = self.started + DISCOVERY_TIME;
+        if self.reason == Reason::FirstStart && now < discovered {
+            return Next::Wait(discovered);
         }
-        if self.occasion == Reason::Start && !self.needs_hosts {
-            return Next::StorePages(FEW_PAGES);
+        if self.reason == Reason::Start && !self.needs_hosts {
+            return Next::StorePages(MAX_FIRST_PAGES);
         }
-        let is_known = !readers.others.is_empty();
-        if is_known && readers.is_reader && self.occasion != Reason::Start {
+        let has_readers = !readers.others.is_empty();
+        if has_readers && readers.is_reader && self.reason != Reason::Start {
             return Next::Store;
         }
         let hosts = self.hosts(readers);
-        let is_new = |host: &&MemberId| !self.failed.contains_key(host);
-        if let Some(host) = hosts.iter().find(is_new) {
+        let is_untried = |host: &&MemberId| !self.failed.contains_key(host);
+        if let Some(host) = hosts.iter().find(is_untried) {
             return Next::Host(*host);
         }
-        if now >= self.ends() {
+        if now >= self.deadline() {
             return Next::Store;
         }
-        let again = hosts
+        let retries = hosts
             .iter()
             .filter_map(|host| Some((self.failed.get(host)?.as_ref()?, host)));
-        match again.min() {
+        match retries.min() {
             Some((at, host)) if *at <= now => Next::Host(*host),
             Some((at, _)) => Next::Wait(*at),
             None => Next::Store,
@@ -111,7 +111,7 @@
 
     /// A host had nothing to tell.
     pub fn declined(&mut self, host: MemberId, now: Time) {
-        self.failed.insert(host, Some(now + AGAIN));
+        self.failed.insert(host, Some(now + RETRY_INTERVAL));
     }
 
     /// A host could not be asked.
@@ -130,10 +130,10 @@
         self.failed.clear();
     }
 
-    /// Tells whether what a host told leads on from what is known.
-    pub fn is_useful(&self, told: Position) -> bool {
-        match self.occasion {
-            Reason::HistoryGone(known) => told > known,
+    /// Tells whether what a host offered leads on from what is known.
+    pub fn is_useful(&self, offered: Position) -> bool {
+        match self.reason {
+            Reason::HistoryGone(known) => offered > known,
             Reason::FirstStart | Reason::Start => true,
         }
     }
@@ -141,18 +141,18 @@
     /// Returns the hosts that may have it. Those of the settings are few and in any data centre: they are for a host
     /// that knows no others.
     fn hosts(&self, readers: &Readers) -> Vec<MemberId> {
-        let seeds = match self.occasion {
+        let seeds = match self.reason {
             Reason::Start if readers.others.is_empty() => self.seeds.as_slice(),
             _ => &[],
         };
         readers.others.iter().chain(seeds).copied().collect()
     }
 
-    fn ends(&self) -> Time {
-        match self.occasion {
-            Reason::FirstStart => self.began + FOUND + PATIENCE,
-            Reason::Start => self.began,
-            Reason::HistoryGone(_) => self.began + PATIENCE,
+    fn deadline(&self) -> Time {
+        match self.reason {
+            Reason::FirstStart => self.started + DISCOVERY_TIME + RETRY_PERIOD,
+            Reason::Start => self.started,
+            Reason::HistoryGone(_) => self.started + RETRY_PERIOD,
         }
     }
 }
--- a/crates/decision/src/gateway/evacuation.rs
+++ b/crates/decision/src/gateway/evacuation.rs
@@ -13,7 +13,7 @@
 
 /// Time after the store went back for which an order stays in force that its copy does not hold. Operators write
 /// theirs again in these seconds.
-const WRITTEN_AGAIN: Duration = Duration::from_secs(10);
+const REWRITE_TIME: Duration = Duration::from_secs(10);
 
 /// An order to empty a data centre, as it stands in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,22 +26,22 @@
 
 /// What is known of one data centre.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct Status {
     is_emptied: bool,
     /// Version of the last order, or of its being taken back.
     revision: Revision,
     /// When it came to stand like this.
     since: Time,
     /// When it is given up, where it is missing in the store.
-    doubted_until: Option<Time>,
+    unconfirmed_until: Option<Time>,
 }
 
 /// The data centres that operators have emptied.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    standings: BTreeMap<DataCentreId, Standing>,
+    statuses: BTreeMap<DataCentreId, Status>,
     /// Until when a missing order is only doubted.
-    doubted_until: Time,
+    unconfirmed_until: Time,
 }
 
 impl Evacuations {
@@ -67,28 +67,28 @@
             changed |= self.ordered(order, now);
         }
         for data_centre in missing {
-            changed |= self.missed(data_centre, as_of, now);
+            changed |= self.mark_missing(data_centre, as_of, now);
         }
         changed
     }
 
     /// The store came back from an older copy: its revisions are given out again, and what it lacks may be
     /// written again.
-    pub fn went_back(&mut self, now: Time) {
-        for standing in self.standings.values_mut() {
-            standing.revision = Revision::default();
+    pub fn store_restored(&mut self, now: Time) {
+        for status in self.statuses.values_mut() {
+            status.revision = Revision::default();
         }
-        self.doubted_until = now + WRITTEN_AGAIN;
+        self.unconfirmed_until = now + REWRITE_TIME;
     }
 
     /// Gives up orders that were doubted for long enough. Returns whether anything changed.
     pub fn tick(&mut self, now: Time) -> bool {
         let mut changed = false;
-        for standing in self.standings.values_mut() {
-            if standing.doubted_until.is_some_and(|until| until <= now) {
-                standing.doubted_until = None;
-                standing.is_emptied = false;
-                standing.since = now;
+        for status in self.statuses.values_mut() {
+            if status.unconfirmed_until.is_some_and(|until| until <= now) {
+                status.unconfirmed_until = None;
+                status.is_emptied = false;
+                status.since = now;
                 changed = true;
             }
         }
@@ -97,41 +97,41 @@
 
     /// Returns when [`Self::tick`] has something to do.
     pub fn next_wake(&self) -> Option<Time> {
-        let doubted = self.standings.values();
-        doubted.filter_map(|standing| standing.doubted_until).min()
+        let doubted = self.statuses.values();
+        doubted.filter_map(|status| status.unconfirmed_until).min()
     }
 
     /// Tells whether a data centre is emptied.
     pub fn contains(&self, data_centre: &DataCentreId) -> bool {
-        let standing = self.standings.get(data_centre);
-        standing.is_some_and(|standing| standing.is_emptied)
+        let status = self.statuses.get(data_centre);
+        status.is_some_and(|status| status.is_emptied)
     }
 
     /// Returns the data centres that are emptied.
     pub fn emptied(&self) -> impl Iterator<Item = &DataCentreId> {
-        let emptied = self.standings.iter();
-        let emptied = emptied.filter(|(_, standing)| standing.is_emptied);
+        let emptied = self.statuses.iter();
+        let emptied = emptied.filter(|(_, status)| status.is_emptied);
         emptied.map(|(data_centre, _)| data_centre)
     }
 
     /// Returns when a data centre that had been emptied was last given back, if it is in use now.
-    pub fn given_back(&self, data_centre: &DataCentreId) -> Option<Time> {
-        let standing = self.standings.get(data_centre)?;
-        (!standing.is_emptied).then_some(standing.since)
+    pub fn withdrawn_at(&self, data_centre: &DataCentreId) -> Option<Time> {
+        let status = self.statuses.get(data_centre)?;
+        (!status.is_emptied).then_some(status.since)
     }
 
     /// Takes in that an order is not in the store. It is only doubted where that may lie at an older copy.
-    fn missed(&mut self, data_centre: DataCentreId, as_of: Revision, now: Time) -> bool {
-        let doubted_until = self.doubted_until;
-        if now >= doubted_until {
+    fn mark_missing(&mut self, data_centre: DataCentreId, as_of: Revision, now: Time) -> bool {
+        let unconfirmed_until = self.unconfirmed_until;
+        if now >= unconfirmed_until {
             let order = Order {
                 data_centre,
                 revision: as_of,
             };
             return self.withdrawn(order, now);
         }
-        if let Some(standing) = self.standings.get_mut(&data_centre) {
-            standing.doubted_until = Some(doubted_until);
+        if let Some(status) = self.statuses.get_mut(&data_centre) {
+            status.unconfirmed_until = Some(unconfirmed_until);
         }
         false
     }
@@ -142,15 +142,15 @@
             data_centre,
             revision,
         } = order;
-        let new = Standing {
+        let new = Status {
             is_emptied,
             revision,
             since: now,
-            doubted_until: None,
+            unconfirmed_until: None,
         };
-        let Some(old) = self.standings.get_mut(&data_centre) else {
+        let Some(old) = self.statuses.get_mut(&data_centre) else {
             if is_emptied {
-                self.standings.insert(data_centre, new);
+                self.statuses.insert(data_centre, new);
             }
             return is_emptied;
         };
@@ -159,7 +159,7 @@
         }
         if old.is_emptied == is_emptied {
             old.revision = revision;
-            old.doubted_until = None;
+            old.unconfirmed_until = None;
             return false;
         }
         *old = new;
--- a/crates/decision/src/gateway/helper.rs
+++ b/crates/decision/src/gateway/helper.rs
@@ -2,14 +2,14 @@
 //!
 //! A search over 36 shards costs some milliseconds of a whole core, which a host with an eighth of one
 //! takes 30 ms for; a host with half a core takes 7. And the fewer hosts ask a backend server, the better
-//! each knows it, and the more each may hold of its connections and of the extra attempts. So a host
+//! each knows it, and the more each is_eligible hold of its connections and of the extra attempts. So a host
 //! hands its searches to one in its own data centre that is at least [`MIN_STRENGTH_RATIO`] times as strong, if
 //! there is one: one hop of a tenth of a millisecond, and no byte between data centres. Where all hosts
 //! are alike nobody hands on anything.
 //!
-//! A data centre may hold servers of only some shards of a search; the answers of the others cross to it, a kilobyte
+//! A data centre is_eligible hold servers of only some shards of a search; the answers of the others cross to it, a kilobyte
 //! each. Who fans out then asks a host beside those servers to look through them and to send one merged answer. Where
-//! each of six data centres held half of 42 to 63 shards, that was most of the bytes between them.
+//! each of six data centres held half of 42 to 63 shards, that was max_round_trip of the bytes between them.
 //!
 //! Nothing depends on a helper: who finds none, or gets no answer, fans out by itself.
 
@@ -29,8 +29,8 @@
 pub const MIN_STRENGTH_RATIO: u32 = 2;
 
 /// Pause after a helper was lost; it doubles with each further one.
-const PAUSE: Duration = Duration::from_millis(500);
-const PAUSE_DOUBLINGS: u32 = 4;
+const FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Pause after a helper declined: it has a full house, or another version of the configuration, for as
 /// long as it takes a version to reach all hosts.
@@ -38,14 +38,14 @@
 
 /// Time for which a host asks all servers of a search itself after another one's answer for a part lacked much, or
 /// did not come. It sees by itself which servers are slow or gone then, and can weigh all that is missing together.
-const POOR_PAUSE: Duration = Duration::from_secs(2);
+const INCOMPLETE_PAUSE: Duration = Duration::from_secs(2);
 
-/// By how much the round trip to a data centre may be longer than to the nearest one that could be asked, as a
+/// By how much the round trip to a data centre is_eligible be longer than to the nearest one that could be asked, as a
 /// multiple and beyond it: another data centre of the same region is asked, one of another region is not.
-const FURTHER: u32 = 2;
-const FURTHER_BY: Duration = Duration::from_millis(1);
+const MAX_ROUND_TRIP_RATIO: u32 = 2;
+const ROUND_TRIP_SLACK: Duration = Duration::from_millis(1);
 
-/// A host that may fan out for others, as hosts tell each other.
+/// A host that is_eligible fan out for others, as hosts tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
     /// The host.
@@ -54,7 +54,7 @@
     pub strength: Centicores,
 }
 
-/// The hosts of another data centre that may fan out for others.
+/// The hosts of another data centre that is_eligible fan out for others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Remote {
     /// Where they are.
@@ -74,7 +74,7 @@
     pub keys: Set,
 }
 
-/// How a helper ended a search.
+/// How a helper outcome a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// With an answer, whatever it says.
@@ -96,7 +96,7 @@
     failures: u32,
     paused: Option<Time>,
     /// Searches that were handed on in all when it was chosen last.
-    turn: u64,
+    last_chosen: u64,
     /// Where it is, if not in this host's own data centre.
     remote: Option<DataCentreId>,
 }
@@ -108,7 +108,7 @@
             outstanding: 0,
             failures: 0,
             paused: None,
-            turn: 0,
+            last_chosen: 0,
             remote,
         }
     }
@@ -119,9 +119,9 @@
 
     /// Compares by outstanding searches for the strength, and then by who was chosen the longest ago.
     fn compare(&self, other: &Self) -> Ordering {
-        let busy = |one: &Self| f64::from(one.outstanding) / f64::from(one.strength);
-        let busier = busy(self).total_cmp(&busy(other));
-        busier.then(self.turn.cmp(&other.turn))
+        let load = |helper: &Self| f64::from(helper.outstanding) / f64::from(helper.strength);
+        let by_load = load(self).total_cmp(&load(other));
+        by_load.then(self.last_chosen.cmp(&other.last_chosen))
     }
 }
 
@@ -133,9 +133,9 @@
     /// By data centre: the round trip to it.
     round_trips: BTreeMap<DataCentreId, Duration>,
     /// Until when no other host looks through a part.
-    poor: Option<Time>,
+    delegation_paused: Option<Time>,
     /// Searches handed on in all.
-    turns: u64,
+    assignments: u64,
 }
 
 impl Table {
@@ -145,8 +145,8 @@
             own,
             helpers: BTreeMap::new(),
             round_trips: BTreeMap::new(),
-            poor: None,
-            turns: 0,
+            delegation_paused: None,
+            assignments: 0,
         }
     }
 
@@ -163,7 +163,7 @@
         helper.paused = None;
     }
 
-    /// Takes in which hosts of another data centre may fan out for others. None weaker than this one is asked.
+    /// Takes in which hosts of another data centre is_eligible fan out for others. None weaker than this one is asked.
     pub fn set_remote(&mut self, remote: Remote) {
         let is_there = |helper: &Helper| helper.remote.as_ref() == Some(&remote.data_centre);
         let is_named = |host: &MemberId| {
@@ -185,82 +185,87 @@
     }
 
     /// Chooses the helper with the fewest searches of this host for its strength, and among several the one that was
-    /// chosen the longest ago; `None` where this host is on its own. Each may make a part of the extra attempts and hold
+    /// chosen the longest ago; `None` where this host is on its own. Each is_eligible make a part of the extra attempts and hold
     /// a part of the connections: one that gets all searches leaves the others' parts unused.
     pub fn choose(&mut self, now: Time) -> Option<MemberId> {
         let near = self.helpers.iter();
         let near = near.filter(|(_, helper)| helper.remote.is_none() && helper.is_ready(now));
-        let chosen = near.min_by(|(_, one), (_, other)| one.compare(other));
+        let chosen = near.min_by(|(_, a), (_, b)| a.compare(b));
         let chosen = chosen.map(|(host, _)| *host)?;
-        self.taken(chosen);
+        self.record_assignment(chosen);
         Some(chosen)
     }
 
     /// Chooses a host that looks through a part of a search, where these keys could be looked through in each data
-    /// centre: one where it is the most of them.
+    /// centre: one where it is the max_round_trip of them.
     pub fn delegate(
         &mut self,
         keys: &BTreeMap<DataCentreId, Set>,
         now: Time,
     ) -> Option<Delegation> {
-        if self.poor.is_some_and(|until| until > now) {
+        if self.delegation_paused.is_some_and(|until| until > now) {
             return None;
         }
-        let most = self.longest_round_trip(keys);
-        let near_enough =
-            |one: &DataCentreId| self.round_trips.get(one).is_some_and(|time| *time <= most);
-        let able = self.helpers.iter().filter_map(|(host, helper)| {
+        let max_round_trip = self.longest_round_trip(keys);
+        let is_near_enough = |data_centre: &DataCentreId| {
+            self.round_trips
+                .get(data_centre)
+                .is_some_and(|time| *time <= max_round_trip)
+        };
+        let eligible = self.helpers.iter().filter_map(|(host, helper)| {
             let data_centre = helper.remote.as_ref()?;
             let keys = keys.get(data_centre)?;
-            let may = helper.is_ready(now) && near_enough(data_centre);
-            may.then_some((host, helper, keys))
+            let is_eligible = helper.is_ready(now) && is_near_enough(data_centre);
+            is_eligible.then_some((host, helper, keys))
         });
-        let order = |(_, one, less): &(_, &Helper, &Set), (_, other, more): &(_, &Helper, &Set)| {
-            let fewer = more.len().cmp(&less.len());
-            fewer.then_with(|| one.compare(other))
+        let order = |(_, a, a_keys): &(_, &Helper, &Set), (_, b, b_keys): &(_, &Helper, &Set)| {
+            let by_size = b_keys.len().cmp(&a_keys.len());
+            by_size.then_with(|| a.compare(b))
         };
-        let (host, _, keys) = able.min_by(order)?;
-        let share = Delegation {
+        let (host, _, keys) = eligible.min_by(order)?;
+        let delegation = Delegation {
             host: *host,
             keys: keys.clone(),
         };
-        self.taken(share.host);
-        Some(share)
+        self.record_assignment(delegation.host);
+        Some(delegation)
     }
 
-    fn taken(&mut self, host: MemberId) {
+    fn record_assignment(&mut self, host: MemberId) {
         if let Some(helper) = self.helpers.get_mut(&host) {
-            self.turns += 1;
-            helper.turn = self.turns;
+            self.assignments += 1;
+            helper.last_chosen = self.assignments;
             helper.outstanding += 1;
         }
     }
 
     /// Returns the longest round trip to a data centre that is asked for a part.
     fn longest_round_trip(&self, keys: &BTreeMap<DataCentreId, Set>) -> Duration {
-        let able = self.round_trips.iter();
-        let able = able.filter(|(data_centre, _)| keys.contains_key(*data_centre));
-        let least = able.map(|(_, time)| *time).min().unwrap_or_default();
-        least * FURTHER + FURTHER_BY
+        let eligible = self.round_trips.iter();
+        let eligible = eligible.filter(|(data_centre, _)| keys.contains_key(*data_centre));
+        let shortest = eligible.map(|(_, time)| *time).min().unwrap_or_default();
+        shortest * MAX_ROUND_TRIP_RATIO + ROUND_TRIP_SLACK
     }
 
-    /// Records how a search ended that a helper was chosen for.
-    pub fn finished(&mut self, host: MemberId, ended: Outcome, now: Time) {
+    /// Records how a search outcome that a helper was chosen for.
+    pub fn finished(&mut self, host: MemberId, outcome: Outcome, now: Time) {
         let Some(helper) = self.helpers.get_mut(&host) else {
             return;
         };
         helper.outstanding = helper.outstanding.saturating_sub(1);
-        let is_poor = matches!(ended, Outcome::Incomplete | Outcome::Failed);
-        if helper.remote.is_some() && is_poor {
-            self.poor = Some(now + POOR_PAUSE);
+        let is_incomplete = matches!(outcome, Outcome::Incomplete | Outcome::Failed);
+        if helper.remote.is_some() && is_incomplete {
+            self.delegation_paused = Some(now + INCOMPLETE_PAUSE);
         }
-        match ended {
+        match outcome {
             Outcome::Answered | Outcome::Incomplete => helper.failures = 0,
             Outcome::Declined => helper.paused = helper.paused.max(Some(now + DECLINED_PAUSE)),
             Outcome::Failed => {
-                let doublings = helper.failures.min(PAUSE_DOUBLINGS);
+                let doublings = helper.failures.min(MAX_BACKOFF_DOUBLINGS);
                 helper.failures = helper.failures.saturating_add(1);
-                helper.paused = helper.paused.max(Some(now + PAUSE * 2_u32.pow(doublings)));
+                helper.paused = helper
+                    .paused
+                    .max(Some(now + FAILURE_BACKOFF * 2_u32.pow(doublings)));
             }
             Outcome::Cancelled => {}
         }
--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -32,24 +32,24 @@
 
 /// Bound of the changes in one datagram, in bytes: with the facts and the sender it stays under the
 /// 1,472 bytes that an Ethernet frame carries.
-const MESSAGE_BYTES: usize = 800;
+const MAX_CHANGE_BYTES: usize = 800;
 
 /// Bound of the facts in one datagram, in bytes.
-const FACT_BYTES: usize = 300;
+const MAX_FACT_BYTES: usize = 300;
 
 /// Bound of a page of the table, in bytes; one bucket goes in any case.
-const PAGE_BYTES: usize = 1_200;
+const MAX_PAGE_BYTES: usize = 1_200;
 
-/// Time for which a host that died or left is counted. It may come back in seconds, and until then
+/// Time for which a host that died or left is known_hosts. It may come back in seconds, and until then
 /// the others must not take its part: two sides of a partition would take the whole twice.
-const COUNTED_FOR: Duration = Duration::from_secs(10 * 60);
+const TOMBSTONE_LIFE: Duration = Duration::from_secs(10 * 60);
 
 /// Time that a page may take.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Hosts that are told at once what crashes servers. A caller that asks again is at the next host
 /// within milliseconds; beyond these it goes with the probes, within seconds.
-const TOLD_AT_ONCE: usize = 64;
+const MAX_IMMEDIATE_RECIPIENTS: usize = 64;
 
 /// What one host sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -107,7 +107,7 @@
     Strength(MemberId, Centicores),
     /// These hosts of another data centre may fan out for this one.
     Remote(Remote),
-    /// The hosts to divide by changed.
+    /// The hosts to publish_hosts by changed.
     Hosts(Homes),
     /// Who reads the store changed.
     Readers(Readers),
@@ -126,7 +126,7 @@
 
 /// An own probe that is not answered yet.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Pending {
     target: MemberId,
     until: Time,
 }
@@ -139,27 +139,27 @@
     table: member::Table,
     facts: fact::Table,
     assumed: Homes,
-    told: Homes,
-    /// Hosts known when they were last counted.
-    counted: usize,
+    published: Homes,
+    /// Hosts known when they were last known_hosts.
+    known_hosts: usize,
     data_centre: DataCentreId,
     /// By host in the same data centre, this one too.
     strengths: BTreeMap<MemberId, Centicores>,
     /// Hosts that were asked for theirs: how often, and when they are asked again.
-    asked_strength: BTreeMap<MemberId, (u32, Time)>,
+    strength_requests: BTreeMap<MemberId, (u32, Time)>,
     /// Data centres whose hosts parts of searches may go to.
-    sought: BTreeMap<DataCentreId, remote::Search>,
+    discoveries: BTreeMap<DataCentreId, remote::Discovery>,
     /// Hosts known in the same data centre, this one too.
     near: usize,
     /// Members that served when it was last looked who of them is strong.
     serving: usize,
     /// Who reads the store, as told last.
     readers: Readers,
-    asked: BTreeMap<ProbeId, Asked>,
+    pending: BTreeMap<ProbeId, Pending>,
     /// Probes in the place of others, by numbers that the table does not use.
     relays: BTreeMap<ProbeId, Relay>,
     next_relay: ProbeId,
-    pulling: Option<Asked>,
+    pulling: Option<Pending>,
     actions: Vec<Action>,
 }
 
@@ -175,9 +175,9 @@
         rng: ChaCha8Rng,
     ) -> Self {
         let settings = Settings {
-            tombstone_life: COUNTED_FOR,
-            message_bytes: MESSAGE_BYTES,
-            page_bytes: PAGE_BYTES,
+            tombstone_life: TOMBSTONE_LIFE,
+            message_bytes: MAX_CHANGE_BYTES,
+            page_bytes: MAX_PAGE_BYTES,
             ..Settings::default()
         };
         let data_centre = own.data_centre.clone();
@@ -189,19 +189,19 @@
             table,
             facts: fact::Table::default(),
             assumed,
-            told: assumed,
-            counted: 0,
+            published: assumed,
+            known_hosts: 0,
             data_centre,
             strengths: BTreeMap::from([(own_id, strength)]),
-            asked_strength: BTreeMap::new(),
-            sought: BTreeMap::new(),
+            strength_requests: BTreeMap::new(),
+            discoveries: BTreeMap::new(),
             near: 0,
             serving: 0,
             readers: Readers {
                 is_reader: true,
                 others: Vec::new(),
             },
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             relays: BTreeMap::new(),
             next_relay: ProbeId::MAX,
             pulling: None,
@@ -215,16 +215,18 @@
             Event::Tick => self.tick(now),
             Event::Received(from, datagram) => self.received(from, datagram, now),
             Event::Found(key, life) => self.found(key, life, now),
-            Event::RemoteDataCentres(data_centres) => self.seek(&data_centres, now),
+            Event::RemoteDataCentres(data_centres) => {
+                self.set_remote_data_centres(&data_centres, now)
+            }
         }
-        self.count();
+        self.update_count();
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the hosts to divide by: those known, the lately dead among them, and never
+    /// Returns the hosts to publish_hosts by: those known, the lately dead among them, and never
     /// fewer than assumed, as a host that starts or is cut off knows few.
     pub fn hosts(&self) -> Homes {
-        self.told
+        self.published
     }
 
     /// Returns the members that serve, this one included.
@@ -245,19 +247,19 @@
     fn tick(&mut self, now: Time) {
         self.facts.expire(now);
         self.relays.retain(|_, relay| relay.until > now);
-        let late: Vec<ProbeId> = (self.asked.iter())
-            .filter(|(_, asked)| asked.until <= now)
+        let expired: Vec<ProbeId> = (self.pending.iter())
+            .filter(|(_, pending)| pending.until <= now)
             .map(|(probe, _)| *probe)
             .collect();
-        for probe in late {
-            self.asked.remove(&probe);
-            self.table(TableEvent::Failed(probe), now);
+        for probe in expired {
+            self.pending.remove(&probe);
+            self.handle_table_event(TableEvent::Failed(probe), now);
         }
         if let Some(pulling) = self.pulling.filter(|pulling| pulling.until <= now) {
             self.pulling = None;
-            self.table(TableEvent::PullFailed(pulling.target), now);
+            self.handle_table_event(TableEvent::PullFailed(pulling.target), now);
         }
-        self.table(TableEvent::Tick, now);
+        self.handle_table_event(TableEvent::Tick, now);
         if self.table.serving() != self.serving {
             self.serving = self.table.serving();
             self.forget_strengths();
@@ -282,14 +284,18 @@
                 self.send(from, Datagram::Page(page));
             }
             Datagram::Page(page) => {
-                if self.pulling.take_if(|asked| asked.target == from).is_some() {
-                    self.table(TableEvent::Pulled(from, page), now);
+                if self
+                    .pulling
+                    .take_if(|pending| pending.target == from)
+                    .is_some()
+                {
+                    self.handle_table_event(TableEvent::Pulled(from, page), now);
                 }
             }
             Datagram::Fact(entry) => self.learn(vec![entry], now),
-            Datagram::Strength(strength, reply) => self.strength(from, strength, reply),
-            Datagram::AskCandidates => self.tell_candidates(from),
-            Datagram::Candidates(candidates) => self.candidates(from, candidates, now),
+            Datagram::Strength(strength, reply) => self.receive_strength(from, strength, reply),
+            Datagram::AskCandidates => self.send_candidates(from),
+            Datagram::Candidates(candidates) => self.receive_candidates(from, candidates, now),
         }
     }
 
@@ -301,7 +307,7 @@
                     let reply = self.attach(reply, now);
                     self.send(from, Datagram::Answer(probe, reply.into()));
                 }
-                other => self.carry_out(other, now),
+                other => self.execute(other, now),
             }
         }
     }
@@ -316,15 +322,15 @@
             return;
         }
         self.learn(std::mem::take(&mut message.attachment.facts), now);
-        let asked = self.asked.get(&probe);
-        let event = match asked.is_some_and(|asked| asked.target == message.from) {
+        let pending = self.pending.get(&probe);
+        let event = match pending.is_some_and(|pending| pending.target == message.from) {
             true => {
-                self.asked.remove(&probe);
+                self.pending.remove(&probe);
                 TableEvent::Acked(probe, message)
             }
             false => TableEvent::Overheard(message),
         };
-        self.table(event, now);
+        self.handle_table_event(event, now);
     }
 
     fn probe_for(&mut self, asker: MemberId, probe: ProbeId, target: MemberId, now: Time) {
@@ -348,9 +354,11 @@
         };
         let others = self.table.members().into_iter().map(|member| member.id);
         let own = self.table.own();
-        let others = others.filter(|id| *id != own).take(TOLD_AT_ONCE);
-        let told = others.map(|other| Action::Send(other, Datagram::Fact(entry.clone())));
-        self.actions.extend(told);
+        let others = others
+            .filter(|id| *id != own)
+            .take(MAX_IMMEDIATE_RECIPIENTS);
+        let sends = others.map(|other| Action::Send(other, Datagram::Fact(entry.clone())));
+        self.actions.extend(sends);
         self.actions.push(Action::Learned(entry));
     }
 
@@ -361,17 +369,17 @@
     }
 
     fn attach(&mut self, mut message: Message, now: Time) -> Message {
-        message.attachment.facts = self.facts.pick(FACT_BYTES, now);
+        message.attachment.facts = self.facts.pick(MAX_FACT_BYTES, now);
         message
     }
 
-    fn table(&mut self, event: TableEvent, now: Time) {
+    fn handle_table_event(&mut self, event: TableEvent, now: Time) {
         for action in self.table.handle(event, now) {
-            self.carry_out(action, now);
+            self.execute(action, now);
         }
     }
 
-    fn carry_out(&mut self, action: TableAction, now: Time) {
+    fn execute(&mut self, action: TableAction, now: Time) {
         match action {
             TableAction::Probe {
                 probe,
@@ -395,7 +403,7 @@
                 }
             }
             TableAction::Pull(from, span) => {
-                self.pulling = Some(Asked {
+                self.pulling = Some(Pending {
                     target: from,
                     until: now + PAGE_TIMEOUT,
                 });
@@ -412,19 +420,19 @@
     }
 
     fn ask(&mut self, probe: ProbeId, target: MemberId, until: Time) {
-        self.asked.insert(probe, Asked { target, until });
+        self.pending.insert(probe, Pending { target, until });
     }
 
     fn send(&mut self, to: MemberId, datagram: Datagram) {
         self.actions.push(Action::Send(to, datagram));
     }
 
-    fn count(&mut self) {
+    fn update_count(&mut self) {
         let known = self.table.known();
-        if known != self.counted {
-            self.counted = known;
+        if known != self.known_hosts {
+            self.known_hosts = known;
             self.facts.set_members(known);
-            self.divide();
+            self.publish_hosts();
         }
     }
 }
--- a/crates/decision/src/gateway/members/readers.rs
+++ b/crates/decision/src/gateway/members/readers.rs
@@ -12,10 +12,10 @@
 
 /// Readers in a data centre: one may be restarting and one cut off from the store. Where there are no more
 /// hosts than that, each reads for itself.
-const READERS: usize = 3;
+const MAX_READERS: usize = 3;
 
 /// What readers are ranked by.
-const RANK: &str = "readers of the store";
+const RANK_KEY: &str = "readers of the store";
 
 impl Members {
     /// Tells this host whom to ask, where that has changed.
@@ -34,14 +34,14 @@
         let members = self.table.members().into_iter();
         let near = members.filter(|member| member.data_centre == self.data_centre);
         let near: BTreeSet<MemberId> = near.map(|member| member.id).chain([own]).collect();
-        let place = near.range(..own).count();
+        let index = near.range(..own).count();
         let others = |mut readers: Vec<MemberId>| {
             readers.retain(|id| *id != own);
-            let turn = place % readers.len().max(1);
-            readers.rotate_left(turn);
+            let offset = index % readers.len().max(1);
+            readers.rotate_left(offset);
             readers
         };
-        if near.len() <= READERS {
+        if near.len() <= MAX_READERS {
             return Readers {
                 is_reader: true,
                 others: others(near.into_iter().collect()),
@@ -52,8 +52,8 @@
             true => near.into_iter().collect(),
             false => strong,
         };
-        readers.sort_by_key(|id| std::cmp::Reverse(placement::score(RANK, *id)));
-        readers.truncate(READERS);
+        readers.sort_by_key(|id| std::cmp::Reverse(placement::score(RANK_KEY, *id)));
+        readers.truncate(MAX_READERS);
         Readers {
             is_reader: readers.contains(&own),
             others: others(readers),
--- a/crates/decision/src/gateway/members/strength.rs
+++ b/crates/decision/src/gateway/members/strength.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 /// Time after which a host is asked again how strong it is, which doubles, and how often it is asked.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-const ASKED_AT_MOST: u32 = 6;
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+const MAX_TRIES: u32 = 6;
 
 impl Members {
-    /// Tells the homes what there is to divide by.
-    pub(super) fn divide(&mut self) {
-        let known = self.counted;
+    /// Tells the homes what there is to publish_hosts by.
+    pub(super) fn publish_hosts(&mut self) {
+        let known = self.known_hosts;
         let is_near = |change: &&Change| change.data_centre == self.data_centre;
         let near = self.table.iter().filter(is_near).count();
         self.near = near;
@@ -26,8 +26,8 @@
             role: self.role(),
             rank: self.rank(),
         };
-        if hosts != self.told {
-            self.told = hosts;
+        if hosts != self.published {
+            self.published = hosts;
             self.actions.push(Action::Hosts(hosts));
         }
         self.choose_readers();
@@ -39,11 +39,14 @@
             .strengths
             .values()
             .copied()
-            .filter(|one| *one > 0)
+            .filter(|strength| *strength > 0)
             .min();
-        let bound = weakest.unwrap_or(0).saturating_mul(MIN_STRENGTH_RATIO);
-        let is_strong = move |strength: &Centicores| bound > 0 && *strength >= bound;
-        let strong = self.strengths.iter().filter(move |(_, one)| is_strong(one));
+        let threshold = weakest.unwrap_or(0).saturating_mul(MIN_STRENGTH_RATIO);
+        let is_strong = move |strength: &Centicores| threshold > 0 && *strength >= threshold;
+        let strong = self
+            .strengths
+            .iter()
+            .filter(move |(_, strength)| is_strong(strength));
         strong.map(|(host, _)| *host)
     }
 
@@ -68,13 +71,13 @@
     }
 
     /// Takes in how strong a host nearby is, and answers.
-    pub(super) fn strength(&mut self, from: MemberId, strength: Centicores, reply: Reply) {
+    pub(super) fn receive_strength(&mut self, from: MemberId, strength: Centicores, reply: Reply) {
         if reply == Reply::Wanted {
             self.send_strength(from, Reply::Unwanted);
         }
         self.actions.push(Action::Strength(from, strength));
         if self.strengths.insert(from, strength) != Some(strength) {
-            self.divide();
+            self.publish_hosts();
         }
     }
 
@@ -86,9 +89,9 @@
         let serving: BTreeSet<MemberId> = serving.chain([own]).collect();
         let before = self.strengths.len();
         self.strengths.retain(|id, _| serving.contains(id));
-        self.asked_strength.retain(|id, _| serving.contains(id));
+        self.strength_requests.retain(|id, _| serving.contains(id));
         if self.strengths.len() != before {
-            self.divide();
+            self.publish_hosts();
         }
     }
 
@@ -102,9 +105,9 @@
         let near = near.map(|member| member.id);
         let unknown: Vec<MemberId> = near.filter(|id| !self.strengths.contains_key(id)).collect();
         for id in unknown {
-            let (tries, next) = self.asked_strength.entry(id).or_default();
-            if *tries < ASKED_AT_MOST && *next <= now {
-                *next = now + ASK_AGAIN * 2_u32.pow(*tries);
+            let (tries, next) = self.strength_requests.entry(id).or_default();
+            if *tries < MAX_TRIES && *next <= now {
+                *next = now + RETRY_DELAY * 2_u32.pow(*tries);
                 *tries += 1;
                 self.send_strength(id, Reply::Wanted);
             }
--- a/crates/decision/src/gateway/mirror.rs
+++ b/crates/decision/src/gateway/mirror.rs
@@ -13,7 +13,7 @@
 //! to say.
 //!
 //! How old that may be is another matter. A reader speaks only while it knows that it is up to date:
-//! [`Log::answer`] declines once the store has not answered for a while, and who is declined asks the store.
+//! [`Log::answer`] declines once the store has not last_contact for a while, and who is declined asks the store.
 
 use super::registry::Revision;
 use crate::Time;
@@ -24,7 +24,7 @@
 
 /// Bytes of answers that are kept at most. Who asks is behind by one or two of them; one that is further behind
 /// reads the store.
-const KEPT_BYTES: usize = 2 * 1024 * 1024;
+const MAX_LOG_BYTES: usize = 2 * 1024 * 1024;
 
 /// Number of the store's lives up to now: it rises each time that the store comes back from an older copy.
 pub type Era = u64;
@@ -63,7 +63,7 @@
     NotReader,
     /// It can't reach the store.
     StoreLost,
-    /// The store has not answered for too long.
+    /// The store has not last_contact for too long.
     Stale,
     /// Who asks knows more.
     Behind,
@@ -108,28 +108,28 @@
 #[derive(Debug)]
 pub struct Log {
     /// Time for which an answer of the store vouches for what is known.
-    sure_for: Duration,
+    freshness: Duration,
     position: Option<Position>,
     batches: VecDeque<Batch>,
     bytes: usize,
-    answered: Time,
+    last_contact: Time,
     is_lost: bool,
     outages: u64,
-    regained: Option<Time>,
+    regained_at: Option<Time>,
 }
 
 impl Log {
     /// Makes the empty log of a host that knows nothing.
-    pub fn new(sure_for: Duration) -> Self {
+    pub fn new(freshness: Duration) -> Self {
         Self {
-            sure_for,
+            freshness,
             position: None,
             batches: VecDeque::new(),
             bytes: 0,
-            answered: Time::ZERO,
+            last_contact: Time::ZERO,
             is_lost: false,
             outages: 0,
-            regained: None,
+            regained_at: None,
         }
     }
 
@@ -138,12 +138,12 @@
         self.batches.clear();
         self.bytes = 0;
         self.position = Some(position);
-        self.heard(now);
+        self.record_contact(now);
     }
 
-    /// The store has answered a watch.
+    /// The store has last_contact a watch.
     pub fn append(&mut self, batch: Batch, now: Time) {
-        self.heard(now);
+        self.record_contact(now);
         let follows = self.position == Some(batch.after);
         if !follows {
             self.reset(batch.to, now);
@@ -155,7 +155,7 @@
         self.position = Some(batch.to);
         self.bytes += batch.body.len();
         self.batches.push_back(batch);
-        while self.bytes > KEPT_BYTES {
+        while self.bytes > MAX_LOG_BYTES {
             let Some(oldest) = self.batches.pop_front() else {
                 return;
             };
@@ -184,7 +184,7 @@
         if self.is_lost {
             return Answer::Declined(DeclineReason::StoreLost);
         }
-        if now > self.answered + self.sure_for {
+        if now > self.last_contact + self.freshness {
             return Answer::Declined(DeclineReason::Stale);
         }
         if after > position {
@@ -204,14 +204,14 @@
     pub fn outage(&self, now: Time) -> Outage {
         Outage {
             count: self.outages,
-            ended_ago: self.regained.map(|at| now.saturating_sub(at)),
+            ended_ago: self.regained_at.map(|at| now.saturating_sub(at)),
         }
     }
 
-    fn heard(&mut self, now: Time) {
+    fn record_contact(&mut self, now: Time) {
         if std::mem::take(&mut self.is_lost) {
-            self.regained = Some(now);
+            self.regained_at = Some(now);
         }
-        self.answered = now;
+        self.last_contact = now;
     }
 }
--- a/crates/decision/src/gateway/registry.rs
+++ b/crates/decision/src/gateway/registry.rs
@@ -3,7 +3,7 @@
 //! Entries lapse by themselves while the store that holds them is away, and those whose servers
 //! live are back a moment after it. Taking the first list after an outage at its word would empty
 //! services whose servers are well, seen as refusals everywhere just when the store is back. So what
-//! is missing in the time after a return is only doubted, and stays in use until that time is over.
+//! is missing in the time after a return is only unconfirmed, and stays in use until that time is over.
 //!
 //! A server may start again under the name that it had, and what it said before may be written after
 //! what it says now. Entries of one name are therefore ordered by what the server itself counts
@@ -20,17 +20,17 @@
 /// name about two seconds.
 pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Time after the store went back within which the entry of a server that is gone has lapsed there: three heartbeats,
+/// Time after the store went back within which the entry of a server that is tombstones has lapsed there: three heartbeats,
 /// which come every second or so, with as much again.
-const LAPSED: Duration = Duration::from_secs(8);
+const ENTRY_EXPIRY: Duration = Duration::from_secs(8);
 
 /// Time by which heartbeats of a server that is cold for as long as it said before may differ on their way.
-const COLD_LATE: Duration = Duration::from_millis(500);
+const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Time for which it is remembered what a server that is gone said last. A heartbeat that was under
+/// Time for which it is remembered what a server that is tombstones said last. A heartbeat that was under
 /// way when the entry went would bring a server back that is leaving without a word; they come every
 /// second or so, and one that is late by more than some of them has been given up by the store.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const TOMBSTONE_LIFE: Duration = Duration::from_secs(60);
 
 /// Version that the store gives an entry; a higher one is newer.
 pub type Revision = u64;
@@ -82,8 +82,8 @@
 
 impl Entry {
     /// Tells whether it says the same as another one, whenever that was. How long it is cold is told apart.
-    fn says_the_same(&self, other: &Self) -> bool {
-        let said_then = Self {
+    fn is_equivalent(&self, other: &Self) -> bool {
+        let aligned = Self {
             order: Order {
                 sequence: other.order.sequence,
                 ..self.order
@@ -92,7 +92,7 @@
             cold_for: other.cold_for,
             ..self.clone()
         };
-        said_then == *other
+        aligned == *other
     }
 
     fn is_older_than(&self, other: &Self) -> bool {
@@ -110,7 +110,7 @@
     /// Something was written in the place of a server's entry that can't be read as one. It names no
     /// server to use.
     Unreadable(InstanceId, Revision),
-    /// An entry is gone.
+    /// An entry is tombstones.
     Deleted(InstanceId),
     /// Operators have emptied a data centre: its servers are to get no new work.
     EvacuationOrdered(evacuation::Order),
@@ -119,7 +119,7 @@
     /// All orders to empty data centres that there are, as of a revision.
     EvacuationsListed(Vec<evacuation::Order>, Revision),
     /// The store came back from an older copy: revisions are given out again, and what was written since is
-    /// written again, or gone.
+    /// written again, or tombstones.
     StoreRestored,
     /// The store can't be reached.
     StoreLost,
@@ -136,20 +136,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<InstanceId, Entry>,
-    /// Entries that are missing, and when they are taken as gone.
-    doubted: BTreeMap<InstanceId, Time>,
-    /// What those that are gone said last, and until when that is remembered.
-    gone: BTreeMap<InstanceId, (Order, Time)>,
-    /// Entries that an older copy of the store has of servers that were gone, and when they are believed.
-    revived: BTreeMap<InstanceId, (Entry, Time)>,
-    /// Until when the store may hold entries of servers that are gone.
-    copied_until: Time,
+    /// Entries that are missing, and when they are taken as tombstones.
+    unconfirmed: BTreeMap<InstanceId, Time>,
+    /// What those that are tombstones said last, and until when that is remembered.
+    tombstones: BTreeMap<InstanceId, (Order, Time)>,
+    /// Entries that an older copy of the store has of servers that were tombstones, and when they are believed.
+    reappeared: BTreeMap<InstanceId, (Entry, Time)>,
+    /// Until when the store may hold entries of servers that are tombstones.
+    restored_until: Time,
     /// Until when servers are cold.
     cold: BTreeMap<InstanceId, Time>,
     evacuations: Evacuations,
-    listed: bool,
-    /// Time from which on a missing entry is gone.
-    trusted_from: Time,
+    is_listed: bool,
+    /// Time from which on a missing entry is tombstones.
+    grace_until: Time,
     lost: bool,
 }
 
@@ -158,15 +158,17 @@
     pub fn handle(&mut self, event: Event, now: Time) -> bool {
         let ticked = self.tick(now);
         let changed = match event {
-            Event::Listed(entries) => self.list(entries, now),
-            Event::Written(entry) => self.write(entry, now),
-            Event::Unreadable(instance, revision) => self.distrust(&instance, revision, now),
-            Event::Deleted(instance) => self.miss(&instance, now),
+            Event::Listed(entries) => self.apply_list(entries, now),
+            Event::Written(entry) => self.apply_write(entry, now),
+            Event::Unreadable(instance, revision) => {
+                self.remove_unreadable(&instance, revision, now)
+            }
+            Event::Deleted(instance) => self.mark_missing(&instance, now),
             Event::EvacuationOrdered(order) => self.evacuations.ordered(order, now),
             Event::EvacuationWithdrawn(order) => self.evacuations.withdrawn(order, now),
             Event::EvacuationsListed(orders, as_of) => self.evacuations.listed(orders, as_of, now),
             Event::StoreRestored => {
-                self.go_back(now);
+                self.mark_restored(now);
                 false
             }
             Event::StoreLost => {
@@ -175,7 +177,7 @@
             }
             Event::StoreRegained => {
                 if std::mem::take(&mut self.lost) {
-                    self.trusted_from = now + RECOVERY_GRACE;
+                    self.grace_until = now + RECOVERY_GRACE;
                 }
                 false
             }
@@ -184,9 +186,9 @@
         ticked || changed
     }
 
-    /// Tells whether the servers were ever listed.
+    /// Tells whether the servers were ever is_listed.
     pub fn is_known(&self) -> bool {
-        self.listed
+        self.is_listed
     }
 
     /// Tells whether what lists the servers can't be reached.
@@ -196,10 +198,14 @@
 
     /// Returns when [`Event::Tick`] has something to do.
     pub fn next_wake(&self) -> Option<Time> {
-        let doubted = self.doubted.values().min().copied();
-        let revived = self.revived.values().map(|(_, at)| *at).min();
+        let unconfirmed = self.unconfirmed.values().min().copied();
+        let reappeared = self.reappeared.values().map(|(_, at)| *at).min();
         let emptied = self.evacuations.next_wake();
-        doubted.into_iter().chain(revived).chain(emptied).min()
+        unconfirmed
+            .into_iter()
+            .chain(reappeared)
+            .chain(emptied)
+            .min()
     }
 
     /// Returns the data centres that operators have emptied.
@@ -220,7 +226,7 @@
                 *other = entry;
             }
         }
-        usable.retain(|_, entry| self.takes_work(entry));
+        usable.retain(|_, entry| self.is_usable(entry));
         usable
     }
 
@@ -235,42 +241,42 @@
         self.entries.values().filter(ready).count()
     }
 
-    /// Returns the number of entries, and of those that are missing and not yet taken as gone.
+    /// Returns the number of entries, and of those that are missing and not yet taken as tombstones.
     pub fn counts(&self) -> (usize, usize) {
-        (self.entries.len(), self.doubted.len())
+        (self.entries.len(), self.unconfirmed.len())
     }
 
-    fn takes_work(&self, entry: &Entry) -> bool {
+    fn is_usable(&self, entry: &Entry) -> bool {
         entry.state == State::Ready && !self.evacuations.contains(&entry.data_centre)
     }
 
-    fn list(&mut self, entries: Vec<Entry>, now: Time) -> bool {
-        self.listed = true;
-        self.revived.clear();
+    fn apply_list(&mut self, entries: Vec<Entry>, now: Time) -> bool {
+        self.is_listed = true;
+        self.reappeared.clear();
         let mut missing = std::mem::take(&mut self.entries);
         let mut changed = false;
         for entry in entries {
             let old = missing.remove(&entry.instance);
-            changed |= self.put(entry, old, now);
+            changed |= self.upsert(entry, old, now);
         }
         for (instance, entry) in missing {
             self.entries.insert(instance.clone(), entry);
-            changed |= self.miss(&instance, now);
+            changed |= self.mark_missing(&instance, now);
         }
         changed
     }
 
-    fn write(&mut self, entry: Entry, now: Time) -> bool {
+    fn apply_write(&mut self, entry: Entry, now: Time) -> bool {
         let old = self.entries.remove(&entry.instance);
-        self.put(entry, old, now)
+        self.upsert(entry, old, now)
     }
 
-    /// What is known stays in use. What the older copy lacks is doubted until the servers have written again, and its
+    /// What is known stays in use. What the older copy lacks is unconfirmed until the servers have written again, and its
     /// revisions say nothing beside those of before.
-    fn go_back(&mut self, now: Time) {
-        self.trusted_from = now + RECOVERY_GRACE;
-        self.copied_until = now + LAPSED;
-        self.evacuations.went_back(now);
+    fn mark_restored(&mut self, now: Time) {
+        self.grace_until = now + RECOVERY_GRACE;
+        self.restored_until = now + ENTRY_EXPIRY;
+        self.evacuations.store_restored(now);
         for entry in self.entries.values_mut() {
             entry.revision = Revision::default();
         }
@@ -278,30 +284,31 @@
 
     /// Puts an entry in the place of an older one. What was overtaken on its way changes nothing: a
     /// read, or what the server said earlier or before its last start.
-    fn put(&mut self, entry: Entry, old: Option<Entry>, now: Time) -> bool {
+    fn upsert(&mut self, entry: Entry, old: Option<Entry>, now: Time) -> bool {
         let instance = entry.instance.clone();
-        self.doubted.remove(&instance);
-        self.revived.remove(&instance);
-        let said_last = self.gone.get(&instance).map(|(order, _)| *order);
+        self.unconfirmed.remove(&instance);
+        self.reappeared.remove(&instance);
+        let last_order = self.tombstones.get(&instance).map(|(order, _)| *order);
         if let Some(old) = old {
             let is_new = !entry.is_older_than(&old);
-            let mut changed = is_new && !entry.says_the_same(&old);
+            let mut changed = is_new && !entry.is_equivalent(&old);
             if old.is_older_than(&entry) {
-                changed |= self.note_cold(&entry, now);
+                changed |= self.update_cold(&entry, now);
             }
             self.entries
                 .insert(instance, if is_new { entry } else { old });
             return changed;
         }
-        if said_last.is_some_and(|said_last| entry.order < said_last) {
+        if last_order.is_some_and(|last_order| entry.order < last_order) {
             return false;
         }
-        if said_last == Some(entry.order) && now < self.copied_until {
-            self.revived.insert(instance, (entry, self.copied_until));
+        if last_order == Some(entry.order) && now < self.restored_until {
+            self.reappeared
+                .insert(instance, (entry, self.restored_until));
             return false;
         }
-        self.gone.remove(&instance);
-        self.note_cold(&entry, now);
+        self.tombstones.remove(&instance);
+        self.update_cold(&entry, now);
         self.entries.insert(instance, entry);
         true
     }
@@ -309,17 +316,17 @@
     /// Notes how long a server is cold. Returns whether it became so, or is so no more.
     ///
     /// Each heartbeat of a cold server says a little less, and comes a little late; what is noted is never too early.
-    fn note_cold(&mut self, entry: &Entry, now: Time) -> bool {
+    fn update_cold(&mut self, entry: &Entry, now: Time) -> bool {
         if entry.cold_for.is_zero() {
             return self.cold.remove(&entry.instance).is_some();
         }
         let until = now + entry.cold_for;
         let before = self.cold.insert(entry.instance.clone(), until);
-        before.is_none_or(|before| before + COLD_LATE < until)
+        before.is_none_or(|before| before + COLD_TOLERANCE < until)
     }
 
     /// Takes out a server whose entry can't be read any more.
-    fn distrust(&mut self, instance: &InstanceId, revision: Revision, now: Time) -> bool {
+    fn remove_unreadable(&mut self, instance: &InstanceId, revision: Revision, now: Time) -> bool {
         let is_older = |entry: &Entry| entry.revision > revision;
         if self.entries.get(instance).is_some_and(is_older) {
             return false;
@@ -328,22 +335,23 @@
     }
 
     fn remove(&mut self, instance: &InstanceId, now: Time) -> bool {
-        self.doubted.remove(instance);
-        self.revived.remove(instance);
+        self.unconfirmed.remove(instance);
+        self.reappeared.remove(instance);
         let Some(entry) = self.entries.remove(instance) else {
             return false;
         };
-        let until = now + REMEMBERED;
-        self.gone.insert(instance.clone(), (entry.order, until));
+        let until = now + TOMBSTONE_LIFE;
+        self.tombstones
+            .insert(instance.clone(), (entry.order, until));
         self.cold.remove(instance);
         true
     }
 
-    fn miss(&mut self, instance: &InstanceId, now: Time) -> bool {
-        self.revived.remove(instance);
-        if now < self.trusted_from {
+    fn mark_missing(&mut self, instance: &InstanceId, now: Time) -> bool {
+        self.reappeared.remove(instance);
+        if now < self.grace_until {
             if self.entries.contains_key(instance) {
-                self.doubted.insert(instance.clone(), self.trusted_from);
+                self.unconfirmed.insert(instance.clone(), self.grace_until);
             }
             return false;
         }
@@ -351,26 +359,26 @@
     }
 
     fn tick(&mut self, now: Time) -> bool {
-        self.gone.retain(|_, (_, until)| *until > now);
-        let over = self.doubted.iter().filter(|(_, until)| **until <= now);
+        self.tombstones.retain(|_, (_, until)| *until > now);
+        let over = self.unconfirmed.iter().filter(|(_, until)| **until <= now);
         let over: Vec<InstanceId> = over.map(|(instance, _)| instance.clone()).collect();
         let mut changed = self.evacuations.tick(now);
         for instance in over {
             changed |= self.remove(&instance, now);
         }
-        changed | self.believe_revived(now)
+        changed | self.accept_reappeared(now)
     }
 
-    /// Takes in servers that were gone before the store went back, and whose entries have not lapsed since.
-    fn believe_revived(&mut self, now: Time) -> bool {
-        let revived = std::mem::take(&mut self.revived).into_iter();
+    /// Takes in servers that were tombstones before the store went back, and whose entries have not lapsed since.
+    fn accept_reappeared(&mut self, now: Time) -> bool {
+        let reappeared = std::mem::take(&mut self.reappeared).into_iter();
         let (due, later): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            revived.partition(|(_, (_, at))| *at <= now);
-        self.revived = later;
+            reappeared.partition(|(_, (_, at))| *at <= now);
+        self.reappeared = later;
         let changed = !due.is_empty();
         for (instance, (entry, _)) in due {
-            self.gone.remove(&instance);
-            self.note_cold(&entry, now);
+            self.tombstones.remove(&instance);
+            self.update_cold(&entry, now);
             self.entries.insert(instance, entry);
         }
         changed
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -19,8 +19,8 @@
 
 /// Parts of the extra attempts that the owners of the backend servers allow, in all, for each first
 /// one; the rest is for requests that end within another window than they began.
-const HEDGE_PART: f64 = 0.5;
-const RETRY_PART: f64 = 0.4;
+const HEDGE_BUDGET_SHARE: f64 = 0.5;
+const RETRY_BUDGET_SHARE: f64 = 0.4;
 
 /// Quantile of a shard's latency after which an attempt is hedged. About one attempt in 25 meets a
 /// pause of its server, so that the budget pays for these and as many ordinary stragglers.
@@ -28,23 +28,23 @@
 
 /// Attempts for one shard that servers may refuse before the shard is given up. What may run is
 /// bounded for each request.
-const ATTEMPTS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 
 /// Longest objective that is assumed where no route names one.
-const OBJECTIVE: Duration = Duration::from_secs(1);
+const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(1);
 
 /// Deadline of the set as a multiple of the longest objective of its routes: admission aims at half
 /// of the deadline.
-const DEADLINE_IN_OBJECTIVES: u32 = 2;
+const OBJECTIVES_PER_DEADLINE: u32 = 2;
 
 /// Slots and connections that are assumed of a server that says nothing of them.
-const SLOTS: u32 = 1;
-const CONNECTIONS: u32 = 16;
+const DEFAULT_SLOTS: u32 = 1;
+const DEFAULT_CONNECTIONS: u32 = 16;
 
 /// Returns the name of a set, for logs and metrics.
 pub fn name(shards: &Shards) -> String {
     match &**shards {
-        [one] => one.to_string(),
+        [service] => service.to_string(),
         [first, .., last] => format!("{first}..{last}"),
         [] => String::new(),
     }
@@ -63,26 +63,31 @@
         .map(|service| (service, servers(service)))
         .collect();
     let slots = groups.iter().flat_map(|(_, servers)| servers.iter());
-    let slots = slots.map(|entry| entry.slots).min().unwrap_or(SLOTS);
-    let limits = shards.iter().filter_map(|one| table.connections.get(one));
+    let slots = slots
+        .map(|entry| entry.slots)
+        .min()
+        .unwrap_or(DEFAULT_SLOTS);
+    let limits = shards
+        .iter()
+        .filter_map(|service| table.connections.get(service));
     let objective = objective(shards, table);
     Route {
         name: name(shards).into(),
         kind: Kind::Search,
         callers: Vec::new(),
-        deadline_ms: (objective * DEADLINE_IN_OBJECTIVES).as_millis() as u64,
+        deadline_ms: (objective * OBJECTIVES_PER_DEADLINE).as_millis() as u64,
         soft_deadline: None,
         hedge: Hedge {
-            budget_percent: extra * HEDGE_PART * 100.0,
+            budget_percent: extra * HEDGE_BUDGET_SHARE * 100.0,
             quantile: HEDGE_QUANTILE,
         },
         retry: Retry {
-            budget_percent: extra * RETRY_PART * 100.0,
-            attempts: ATTEMPTS,
+            budget_percent: extra * RETRY_BUDGET_SHARE * 100.0,
+            attempts: MAX_ATTEMPTS,
         },
         capacity: Capacity {
             slots,
-            connections: limits.min().copied().unwrap_or(CONNECTIONS),
+            connections: limits.min().copied().unwrap_or(DEFAULT_CONNECTIONS),
             connect_ms: 0,
         },
         max_body_bytes: table.limits.body_bytes as u64,
@@ -105,9 +110,9 @@
 
 /// Returns what is expected at each address of a set.
 pub fn expected(shards: &Shards, usable: &Usable<'_>) -> BTreeMap<BackendServerId, Expected> {
-    let places = places(shards);
+    let indexes = indexes(shards);
     let expected = usable.iter().filter_map(|(address, entry)| {
-        let index = *places.get(&entry.service)?;
+        let index = *indexes.get(&entry.service)?;
         let expected = Expected {
             instance: entry.instance.clone(),
             started_at: entry.order.started_at,
@@ -130,13 +135,13 @@
     if table.cold.is_empty() {
         return BTreeMap::new();
     }
-    let places = places(shards);
+    let indexes = indexes(shards);
     let cold = usable.iter().filter_map(|(address, entry)| {
-        places.get(&entry.service)?;
+        indexes.get(&entry.service)?;
         let bound = table.cold.get(&entry.service)?;
-        let said = registry.cold_until(&entry.instance);
-        let given_back = registry.evacuations().given_back(&entry.data_centre);
-        let until = said.max(given_back.map(|at| at + bound.duration))?;
+        let reported = registry.cold_until(&entry.instance);
+        let withdrawn_at = registry.evacuations().withdrawn_at(&entry.data_centre);
+        let until = reported.max(withdrawn_at.map(|at| at + bound.duration))?;
         let max_rate = bound.max_rate;
         (until > now).then_some((*address, ColdLimit { until, max_rate }))
     });
@@ -150,12 +155,12 @@
     now: &BTreeMap<BackendServerId, Expected>,
 ) -> BTreeSet<BackendServerId> {
     let start = |expected: &Expected| (expected.instance.clone(), expected.started_at);
-    let is_other = |(address, expected): &(&BackendServerId, &Expected)| {
+    let is_restarted = |(address, expected): &(&BackendServerId, &Expected)| {
         let earlier = before.get(address);
         earlier.is_some_and(|earlier| start(earlier) != start(expected))
     };
     now.iter()
-        .filter(is_other)
+        .filter(is_restarted)
         .map(|(address, _)| *address)
         .collect()
 }
@@ -166,17 +171,17 @@
     usable: &Usable<'_>,
     own: &DataCentreId,
 ) -> BTreeSet<BackendServerId> {
-    let places = places(shards);
+    let indexes = indexes(shards);
     usable
         .iter()
-        .filter(|(_, entry)| entry.data_centre != *own && places.contains_key(&entry.service))
+        .filter(|(_, entry)| entry.data_centre != *own && indexes.contains_key(&entry.service))
         .map(|(address, _)| *address)
         .collect()
 }
 
 /// Shards without a server in a host's own data centre from which on another host looks through them. One answer
 /// has the records of a whole one and a signature for each shard, so that for fewer it saves few bytes.
-const ELSEWHERE_AT_LEAST: usize = 4;
+const MIN_REMOTE_SHARDS: usize = 4;
 
 /// Returns, by data centre, the shards of a set that have servers there and none in `own`; none at all where they are
 /// few.
@@ -185,22 +190,22 @@
     usable: &Usable<'_>,
     own: &DataCentreId,
 ) -> BTreeMap<DataCentreId, Set> {
-    let places = places(shards);
+    let indexes = indexes(shards);
     let mut held: BTreeMap<&DataCentreId, BTreeSet<usize>> = BTreeMap::new();
     for entry in usable.values() {
-        if let Some(index) = places.get(&entry.service) {
+        if let Some(index) = indexes.get(&entry.service) {
             held.entry(&entry.data_centre).or_default().insert(*index);
         }
     }
     let here = held.remove(own).unwrap_or_default();
-    let far = held.into_iter().map(|(data_centre, held)| {
-        let lacking = held.difference(&here);
-        (data_centre, lacking.copied().collect::<Vec<usize>>())
+    let remote = held.into_iter().map(|(data_centre, held)| {
+        let missing = held.difference(&here);
+        (data_centre, missing.copied().collect::<Vec<usize>>())
     });
-    let enough = far.filter(|(_, lacking)| lacking.len() >= ELSEWHERE_AT_LEAST);
+    let enough = remote.filter(|(_, missing)| missing.len() >= MIN_REMOTE_SHARDS);
     enough
-        .map(|(data_centre, lacking)| {
-            let keys = lacking.into_iter().map(shard).collect();
+        .map(|(data_centre, missing)| {
+            let keys = missing.into_iter().map(shard).collect();
             (data_centre.clone(), keys)
         })
         .collect()
@@ -218,12 +223,12 @@
 /// Returns the place of each service in a set. A host holds all servers against all sets at each change of one. Without
 /// an index that took 414 µs for 315 servers of 63 shards, 3.4 ms at a host of an eighth of a core, and 65 ms for 5,000 of
 /// 1,000; with it, 111 µs and 2.8 ms (`cargo run --release -p monsoonring-decision --example placing`, one run each).
-fn places(shards: &Shards) -> FxHashMap<&ServiceId, usize> {
-    let mut places = FxHashMap::default();
+fn indexes(shards: &Shards) -> FxHashMap<&ServiceId, usize> {
+    let mut indexes = FxHashMap::default();
     for (index, service) in shards.iter().enumerate() {
-        places.entry(service).or_insert(index);
+        indexes.entry(service).or_insert(index);
     }
-    places
+    indexes
 }
 
 /// Returns the keys that the shard with this index holds.
@@ -252,5 +257,7 @@
     let leads = |route: &&std::sync::Arc<super::table::Route>| route.sets().contains(&shards);
     let routes = table.routes().filter(leads);
     let longest = routes.map(|route| route.objective).max();
-    longest.unwrap_or(OBJECTIVE).max(Time::from_millis(1))
+    longest
+        .unwrap_or(DEFAULT_OBJECTIVE)
+        .max(Time::from_millis(1))
 }
--- a/crates/decision/src/gateway/source.rs
+++ b/crates/decision/src/gateway/source.rs
@@ -1,7 +1,7 @@
 //! Whom a host asks for what changed: the store, or another host that reads it.
 //!
 //! Nothing depends on a reader. Whenever one does not answer, or declines, the store is asked next, so that
-//! what may have been missed is known a round trip later, and only then another reader. A host without
+//! what may have been missed is reader_states a round trip later, and only then another reader. A host without
 //! readers asks the store all the time.
 //!
 //! A store that is away or turns away counts the calls of all hosts. Who has readers leaves most of the
@@ -18,12 +18,12 @@
 
 /// Pause after a reader did not answer; it doubles with each further time. One that declines is well, and may
 /// have something to tell any moment.
-const PAUSE: Duration = Duration::from_millis(500);
-const PAUSE_DOUBLINGS: u32 = 4;
+const READER_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Time between two calls to a store that fails, at a host that has readers: less than the four seconds
 /// after its return from which on changes have to be in force in time again.
-const STORE_PAUSE: Duration = Duration::from_secs(3);
+const STORE_BACKOFF: Duration = Duration::from_secs(3);
 
 /// The hosts that read the store, as one host sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -69,10 +69,10 @@
 pub struct Selector {
     readers: Readers,
     /// Whether the store has failed at this host, which reads it, since another reader was asked.
-    is_turned_away: bool,
-    known: BTreeMap<MemberId, Reader>,
+    has_store_failed: bool,
+    reader_states: BTreeMap<MemberId, Reader>,
     /// Whether something may have been missed.
-    is_unsure: bool,
+    may_be_stale: bool,
     /// Until when the store is left alone.
     store_paused: Option<Time>,
 }
@@ -80,7 +80,8 @@
 impl Selector {
     /// Takes over who reads the store.
     pub fn set_readers(&mut self, readers: Readers) {
-        self.known.retain(|host, _| readers.others.contains(host));
+        self.reader_states
+            .retain(|host, _| readers.others.contains(host));
         if readers.is_reader || readers.others.is_empty() {
             self.store_paused = None;
         }
@@ -89,18 +90,22 @@
 
     /// Returns whom to ask now.
     pub fn next(&self, now: Time) -> Source {
-        let pause = |host: &MemberId| self.known.get(host).and_then(|reader| reader.paused);
+        let pause = |host: &MemberId| {
+            self.reader_states
+                .get(host)
+                .and_then(|reader| reader.paused)
+        };
         let is_ready = |host: &&MemberId| pause(host).is_none_or(|until| until <= now);
         let ready = self.readers.others.iter().find(is_ready);
         if self.readers.is_reader {
-            return match ready.filter(|_| self.is_turned_away) {
+            return match ready.filter(|_| self.has_store_failed) {
                 Some(host) => Source::Host(*host),
                 None => Source::Store,
             };
         }
         let store_at = self.store_paused.filter(|until| *until > now);
         match (ready, store_at) {
-            (Some(_), None) if self.is_unsure => Source::StoreOnce,
+            (Some(_), None) if self.may_be_stale => Source::StoreOnce,
             (Some(host), _) => Source::Host(*host),
             (None, None) => Source::Store,
             (None, Some(at)) => {
@@ -112,50 +117,50 @@
 
     /// A reader has answered.
     pub fn reader_answered(&mut self, host: MemberId) {
-        let reader = self.known.entry(host).or_default();
+        let reader = self.reader_states.entry(host).or_default();
         reader.failures = 0;
         reader.paused = None;
-        self.is_turned_away = false;
+        self.has_store_failed = false;
     }
 
     /// A reader did not tell what changed.
     pub fn reader_failed(&mut self, host: MemberId, failure: Failure, now: Time) {
-        let reader = self.known.entry(host).or_default();
+        let reader = self.reader_states.entry(host).or_default();
         let doublings = match failure {
-            Failure::Unreachable => reader.failures.min(PAUSE_DOUBLINGS),
+            Failure::Unreachable => reader.failures.min(MAX_BACKOFF_DOUBLINGS),
             Failure::Declined => 0,
         };
         reader.failures = reader.failures.saturating_add(1);
-        reader.paused = Some(now + PAUSE * 2_u32.pow(doublings));
-        self.is_unsure = true;
-        self.is_turned_away = false;
+        reader.paused = Some(now + READER_BACKOFF * 2_u32.pow(doublings));
+        self.may_be_stale = true;
+        self.has_store_failed = false;
     }
 
     /// There is reason to ask the store itself.
     pub fn mark_stale(&mut self) {
-        self.is_unsure = true;
+        self.may_be_stale = true;
     }
 
     /// The store has answered.
     pub fn store_answered(&mut self) {
-        self.is_unsure = false;
-        self.is_turned_away = false;
+        self.may_be_stale = false;
+        self.has_store_failed = false;
         self.store_paused = None;
     }
 
     /// The store has not answered.
     pub fn store_failed(&mut self, now: Time) {
-        self.is_turned_away = self.readers.is_reader;
+        self.has_store_failed = self.readers.is_reader;
         if !self.readers.is_reader && !self.readers.others.is_empty() {
-            self.store_paused = Some(now + STORE_PAUSE);
+            self.store_paused = Some(now + STORE_BACKOFF);
         }
     }
 
     /// Takes in what a reader says of losses of the store. Returns whether one that this host has not heard
-    /// of ended less than `doubted` ago.
-    pub fn record_outage(&mut self, host: MemberId, outage: Outage, doubted: Duration) -> bool {
-        let reader = self.known.entry(host).or_default();
+    /// of ended less than `grace` ago.
+    pub fn record_outage(&mut self, host: MemberId, outage: Outage, grace: Duration) -> bool {
+        let reader = self.reader_states.entry(host).or_default();
         let is_known = reader.outages.replace(outage.count) == Some(outage.count);
-        !is_known && outage.ended_ago.is_some_and(|ago| ago < doubted)
+        !is_known && outage.ended_ago.is_some_and(|ago| ago < grace)
     }
 }
--- a/crates/decision/src/gateway/table.rs
+++ b/crates/decision/src/gateway/table.rs
@@ -13,8 +13,8 @@
 
 /// Last ranks of the two upper classes. Routes that somebody in the field waits for have rank 1, the
 /// others 2, and what nobody waits for comes after them.
-const URGENT_AT_MOST: u32 = 1;
-const NORMAL_AT_MOST: u32 = 2;
+const MAX_URGENT_RANK: u32 = 1;
+const MAX_NORMAL_RANK: u32 = 2;
 
 /// Version of a configuration; a higher one is newer.
 pub type Version = u64;
@@ -88,10 +88,10 @@
     }
 
     /// Returns what holds for its requests at a home, where answers take so long on their way to callers.
-    pub fn terms(&self, on_the_way: Duration) -> Params {
+    pub fn terms(&self, margin: Duration) -> Params {
         let soft = match &self.target {
             Target::FanOut(gather) => Some(SoftDeadline {
-                after_ms: delivery::cutoff(self.objective, on_the_way).as_millis() as u64,
+                after_ms: delivery::cutoff(self.objective, margin).as_millis() as u64,
                 coverage: gather.min_coverage,
             }),
             Target::Split(_) => None,
@@ -104,7 +104,7 @@
             work: xxh3_64(self.name.as_bytes()),
             urgency: Some(Urgency {
                 rank: self.priority,
-                objective: delivery::cutoff(self.objective, on_the_way),
+                objective: delivery::cutoff(self.objective, margin),
             }),
         }
     }
@@ -112,8 +112,8 @@
     /// Returns how much its requests count when there is not room for all.
     pub fn class(&self) -> Class {
         match self.priority {
-            rank if rank <= URGENT_AT_MOST => Class::Urgent,
-            rank if rank <= NORMAL_AT_MOST => Class::Normal,
+            rank if rank <= MAX_URGENT_RANK => Class::Urgent,
+            rank if rank <= MAX_NORMAL_RANK => Class::Normal,
             _ => Class::Background,
         }
     }
--- a/crates/decision/tests/evacuation.rs
+++ b/crates/decision/tests/evacuation.rs
@@ -83,11 +83,11 @@
 fn given_back_is_told_with_its_time() {
     let mut evacuations = Evacuations::default();
     let hall: DataCentreId = "hall".into();
-    assert_eq!(evacuations.given_back(&hall), None);
+    assert_eq!(evacuations.withdrawn_at(&hall), None);
     evacuations.ordered(order("hall", 5), ms(10));
-    assert_eq!(evacuations.given_back(&hall), None);
+    assert_eq!(evacuations.withdrawn_at(&hall), None);
     evacuations.withdrawn(order("hall", 9), ms(30));
-    assert_eq!(evacuations.given_back(&hall), Some(ms(30)));
+    assert_eq!(evacuations.withdrawn_at(&hall), Some(ms(30)));
 }
 
 // Symptom: an emptied data centre gets requests for a moment, each time that the history is gone.
@@ -110,7 +110,7 @@
 fn went_back_before_the_order_stays_emptied_until_it_is_written_again() {
     let mut evacuations = Evacuations::default();
     evacuations.ordered(order("hall", 50), ms(0));
-    evacuations.went_back(ms(1_000));
+    evacuations.store_restored(ms(1_000));
     assert!(!evacuations.listed(Vec::new(), 40, ms(1_010)));
     assert!(evacuations.contains(&"hall".into()));
     // Under a revision that is lower than the one under which it was known.
@@ -125,7 +125,7 @@
 fn went_back_before_an_order_that_nobody_repeats_ends_it_in_the_end() {
     let mut evacuations = Evacuations::default();
     evacuations.ordered(order("hall", 50), ms(0));
-    evacuations.went_back(ms(1_000));
+    evacuations.store_restored(ms(1_000));
     evacuations.listed(Vec::new(), 40, ms(1_010));
     let wake = evacuations.next_wake().expect("it is doubted");
     assert!(wake >= ms(5_000), "operators need some seconds: {wake:?}");
