--- a/crates/decision/src/gateway/bootstrap.rs
+++ b/crates/decision/src/gateway/bootstrap.rs
@@ -1,14 +1,16 @@
-//! Whom a host asks for all that the store holds.
+//! Choice of the source of the full state: the store, or a host that already has it.
 //!
-//! Everything is many pages, one after the other, and the store counts each: at thousands of hosts, servers and
-//! restarts far more than it allows. Other hosts have it: those that read the store in the own data centre, and the
-//! hosts that the settings name. What they tell may be a little old, which the first question for changes makes good.
+//! The full state is many pages, read one after the other, and the store counts each. With
+//! thousands of hosts, servers and restarts this exceeds its rate limits. Other hosts have the
+//! state as well: the readers in the same data centre, and the seeds from the settings. Their copy
+//! may be slightly out of date, which the first poll for changes corrects.
 //!
-//! A host that starts alone begins with the store all the same. Few pages are there sooner than the answer of a host
-//! that may be starting too: after a loss of power of all hosts each tenth of a second counts for callers who wait.
+//! A host that starts still reads the first pages from the store. A small state is then loaded
+//! sooner than through a host that may itself be starting, which shortens the outage after a power
+//! loss of all hosts.
 //!
-//! Nothing depends on other hosts. One that nobody tells reads the store, and one that the store does not answer asks
-//! them.
+//! Other hosts are never required: a host that gets no state from them reads the store, and one
+//! whose store fails asks them.
 
 use super::mirror::Position;
 use super::source::Readers;
@@ -17,57 +19,56 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time within which hosts that start together have discovered each other, so that it is known who reads the store.
+/// Time within which hosts that start together discover each other and agree on the readers.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time after which a host that had nothing yet is asked retries: readers begin at the same moment.
+/// Interval for retrying a host that declined, as readers start at the same time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pages that a host that starts reads before it asks others for the rest: a tenth of a second of a store at its best.
+/// Pages that a starting host reads from the store before it asks other hosts.
 const MAX_FIRST_PAGES: usize = 24;
 
-/// Time for which hosts are asked retries and retries. Where nothing is known yet and others serve, there is no time to
-/// lose; where much is known, it stays in use meanwhile.
+/// Time for which hosts that declined are retried before the store is read.
 const RETRY_PERIOD: Duration = Duration::from_millis(600);
 
-/// Why everything is asked for.
+/// Why the full state is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// All hosts start for the first time, and callers come later.
+    /// First start of the whole fleet; there are no callers yet.
     FirstStart,
-    /// This host starts, and others may be running.
+    /// This host starts; others may be running.
     Start,
-    /// What is known leads nowhere any more.
+    /// The changes after this position are no longer available.
     HistoryGone(Position),
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask this host.
+    /// Request the state from this host.
     Host(MemberId),
-    /// Wait until then, or until other readers are named.
+    /// Wait until this time, or until the readers change.
     Wait(Time),
-    /// Read the store, up to so many pages: where there are more, [`Bootstrap::too_large`] is to be offered.
+    /// Read up to this many pages from the store; if there are more, call [`Bootstrap::too_large`].
     StorePages(usize),
-    /// Read the store.
+    /// Read everything from the store.
     Store,
 }
 
-/// Decides whom to ask, for one reason.
+/// Selects the source of the full state.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
     reason: Reason,
     started: Time,
     seeds: Vec<MemberId>,
-    /// Hosts that offered nothing, and when they may be asked retries; `None` for those that can't be reached.
+    /// Hosts that failed, with the time of the next attempt, or `None` if unreachable.
     failed: BTreeMap<MemberId, Option<Time>>,
-    /// Whether the store has not sufficed: it holds much, or does not answer.
+    /// Whether the store failed or holds too many pages.
     needs_hosts: bool,
 }
 
 impl Bootstrap {
-    /// Begins. `seeds` are hosts that the settings name, without this one.
+    /// Starts loading. `seeds` are the hosts named in the settings, without this one.
     pub fn new(reason: Reason, seeds: Vec<MemberId>, now: Time) -> Self {
         Self {
             reason,
@@ -109,28 +110,29 @@
         }
     }
 
-    /// A host had nothing to tell.
+    /// Records that a host declined; it is retried later.
     pub fn declined(&mut self, host: MemberId, now: Time) {
         self.failed.insert(host, Some(now + RETRY_INTERVAL));
     }
 
-    /// A host could not be asked.
+    /// Records that a host can't be reached; it is not retried.
     pub fn unreachable(&mut self, host: MemberId) {
         self.failed.insert(host, None);
     }
 
-    /// There is more in the store than a few pages.
+    /// Records that the store holds more pages than [`Next::StorePages`] allowed.
     pub fn too_large(&mut self) {
         self.needs_hosts = true;
     }
 
-    /// The store could not be read: hosts are asked, and asked anew, one of which may know more by now.
+    /// Records that the store failed. All hosts may be tried again, as one may have the state by
+    /// now.
     pub fn store_failed(&mut self) {
         self.needs_hosts = true;
         self.failed.clear();
     }
 
-    /// Tells whether what a host offered leads on from what is known.
+    /// Returns whether a state at the offered position is newer than the position already reached.
     pub fn is_useful(&self, offered: Position) -> bool {
         match self.reason {
             Reason::HistoryGone(known) => offered > known,
@@ -138,8 +140,8 @@
         }
     }
 
-    /// Returns the hosts that may have it. Those of the settings are few and in any data centre: they are for a host
-    /// that knows no others.
+    /// Returns the hosts to ask, in order. Seeds are few and may be in any data centre, so only a
+    /// starting host that knows no readers uses them.
     fn hosts(&self, readers: &Readers) -> Vec<MemberId> {
         let seeds = match self.reason {
             Reason::Start if readers.others.is_empty() => self.seeds.as_slice(),
--- a/crates/decision/src/gateway/evacuation.rs
+++ b/crates/decision/src/gateway/evacuation.rs
@@ -1,9 +1,9 @@
-//! Which data centres operators have emptied.
+//! Data centres that operators have evacuated.
 //!
-//! From the order on until it is taken back, backend servers there get no new work: operators empty a data
-//! centre because its servers are about to be switched off, or have just lost what makes them fast. An order
-//! that is lost sends them the full load; one that is held for too long only keeps servers idle. So whatever
-//! is in doubt counts as emptied.
+//! Backend servers of an evacuated data centre get no new requests until the order is withdrawn.
+//! Operators evacuate a data centre before its servers are switched off, or when they would be
+//! slow. Losing an order sends them the full load, while holding it for too long only leaves
+//! servers idle. In doubt, a data centre therefore counts as evacuated.
 
 use super::registry::Revision;
 use crate::Time;
@@ -11,51 +11,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after the store went back for which an order stays in force that its copy does not hold. Operators write
-/// theirs again in these seconds.
+/// Time for which orders missing in a restored store stay in force, so that operators can write
+/// them again.
 const REWRITE_TIME: Duration = Duration::from_secs(10);
 
-/// An order to empty a data centre, as it stands in the store.
+/// An order to evacuate a data centre, as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The data centre.
+    /// The data centre to evacuate.
     pub data_centre: DataCentreId,
-    /// Version of the order.
+    /// The store's version of the order.
     pub revision: Revision,
 }
 
-/// What is known of one data centre.
+/// Last known status of one data centre.
 #[derive(Clone, Copy, Debug)]
 struct Status {
     is_emptied: bool,
-    /// Version of the last order, or of its being taken back.
+    /// Version of the last order or withdrawal.
     revision: Revision,
-    /// When it came to stand like this.
+    /// When `is_emptied` last changed.
     since: Time,
-    /// When it is given up, where it is missing in the store.
+    /// When an order that is missing in the store is dropped.
     unconfirmed_until: Option<Time>,
 }
 
-/// The data centres that operators have emptied.
+/// The data centres that operators have evacuated.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     statuses: BTreeMap<DataCentreId, Status>,
-    /// Until when a missing order is only doubted.
+    /// Until when missing orders stay in force.
     unconfirmed_until: Time,
 }
 
 impl Evacuations {
-    /// Takes in an order. Returns whether the data centre was in use before.
+    /// Applies an order. Returns whether the data centre was in use before.
     pub fn ordered(&mut self, order: Order, now: Time) -> bool {
         self.set(order, true, now)
     }
 
-    /// Takes in that an order was taken back. Returns whether the data centre is in use again.
+    /// Applies the withdrawal of an order. Returns whether the data centre is in use again.
     pub fn withdrawn(&mut self, order: Order, now: Time) -> bool {
         self.set(order, false, now)
     }
 
-    /// Takes in all orders that there are, as of a revision. Returns whether anything changed.
+    /// Applies the complete list of orders, as of a revision. Returns whether anything changed.
     pub fn listed(&mut self, orders: Vec<Order>, as_of: Revision, now: Time) -> bool {
         let missing = self.emptied().filter(|data_centre| {
             let is_it = |order: &Order| order.data_centre == **data_centre;
@@ -72,8 +72,8 @@
         changed
     }
 
-    /// The store came back from an older copy: its revisions are given out again, and what it lacks may be
-    /// written again.
+    /// Handles the restore of the store from an older copy: resets the revisions, which are
+    /// assigned again, and keeps missing orders in force for a while.
     pub fn store_restored(&mut self, now: Time) {
         for status in self.statuses.values_mut() {
             status.revision = Revision::default();
@@ -81,7 +81,7 @@
         self.unconfirmed_until = now + REWRITE_TIME;
     }
 
-    /// Gives up orders that were doubted for long enough. Returns whether anything changed.
+    /// Drops missing orders whose time is over. Returns whether anything changed.
     pub fn tick(&mut self, now: Time) -> bool {
         let mut changed = false;
         for status in self.statuses.values_mut() {
@@ -95,32 +95,34 @@
         changed
     }
 
-    /// Returns when [`Self::tick`] has something to do.
+    /// Returns when [`Self::tick`] is due.
     pub fn next_wake(&self) -> Option<Time> {
         let doubted = self.statuses.values();
         doubted.filter_map(|status| status.unconfirmed_until).min()
     }
 
-    /// Tells whether a data centre is emptied.
+    /// Returns whether a data centre is evacuated.
     pub fn contains(&self, data_centre: &DataCentreId) -> bool {
         let status = self.statuses.get(data_centre);
         status.is_some_and(|status| status.is_emptied)
     }
 
-    /// Returns the data centres that are emptied.
+    /// Returns the evacuated data centres.
     pub fn emptied(&self) -> impl Iterator<Item = &DataCentreId> {
         let emptied = self.statuses.iter();
         let emptied = emptied.filter(|(_, status)| status.is_emptied);
         emptied.map(|(data_centre, _)| data_centre)
     }
 
-    /// Returns when a data centre that had been emptied was last given back, if it is in use now.
+    /// Returns when the last evacuation of a data centre ended, or `None` if it is evacuated or
+    /// never was.
     pub fn withdrawn_at(&self, data_centre: &DataCentreId) -> Option<Time> {
         let status = self.statuses.get(data_centre)?;
         (!status.is_emptied).then_some(status.since)
     }
 
-    /// Takes in that an order is not in the store. It is only doubted where that may lie at an older copy.
+    /// Handles an order that is missing in the store. It counts as withdrawn, except shortly after
+    /// a restore from an older copy.
     fn mark_missing(&mut self, data_centre: DataCentreId, as_of: Revision, now: Time) -> bool {
         let unconfirmed_until = self.unconfirmed_until;
         if now >= unconfirmed_until {
@@ -136,7 +138,7 @@
         false
     }
 
-    /// Takes over an order or its end, unless something later is known.
+    /// Sets the status of a data centre unless a newer one is known. Returns whether it changed.
     fn set(&mut self, order: Order, is_emptied: bool, now: Time) -> bool {
         let Order {
             data_centre,
--- a/crates/decision/src/gateway/helper.rs
+++ b/crates/decision/src/gateway/helper.rs
@@ -1,17 +1,18 @@
-//! Which host fans a search out in another one's place.
+//! Selection of hosts that fan out searches for this one (*helpers*).
 //!
-//! A search over 36 shards costs some milliseconds of a whole core, which a host with an eighth of one
-//! takes 30 ms for; a host with half a core takes 7. And the fewer hosts ask a backend server, the better
-//! each knows it, and the more each is_eligible hold of its connections and of the extra attempts. So a host
-//! hands its searches to one in its own data centre that is at least [`MIN_STRENGTH_RATIO`] times as strong, if
-//! there is one: one hop of a tenth of a millisecond, and no byte between data centres. Where all hosts
-//! are alike nobody hands on anything.
+//! A fan-out costs several milliseconds of CPU time on a full core, which a host with a small
+//! fraction of a core takes several times as long for. And the fewer hosts query a backend server,
+//! the better each knows its load and the larger each one's share of its connections and of the
+//! retry and hedge budgets. So a host hands its searches to a host of its data centre that is at
+//! least [`MIN_STRENGTH_RATIO`] times as strong, if there is one. That costs one hop and no traffic
+//! between data centres. If all hosts are similarly strong, each fans out by itself.
 //!
-//! A data centre is_eligible hold servers of only some shards of a search; the answers of the others cross to it, a kilobyte
-//! each. Who fans out then asks a host beside those servers to look through them and to send one merged answer. Where
-//! each of six data centres held half of 42 to 63 shards, that was max_round_trip of the bytes between them.
+//! A data centre may hold servers of only some shards. The answers of the others then cross data
+//! centres, about a kilobyte per shard. To save that traffic, the host that fans out delegates
+//! those shards to a host next to their servers, which returns one merged answer.
 //!
-//! Nothing depends on a helper: who finds none, or gets no answer, fans out by itself.
+//! Helpers are never required: a host that has none, or gets no answer from one, fans out by
+//! itself.
 
 use crate::Time;
 use crate::member::MemberId;
@@ -22,70 +23,71 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How much processor time a host has, in hundredths of a core.
+/// CPU capacity of a host in hundredths of a core.
 pub type Centicores = u32;
 
-/// How many times as strong a helper is at least: below that, the hop costs what it saves.
+/// Minimum ratio of a helper's strength to that of this host; below it the hop outweighs the gain.
 pub const MIN_STRENGTH_RATIO: u32 = 2;
 
-/// Pause after a helper was lost; it doubles with each further one.
+/// Backoff after a helper failed; doubles with each consecutive failure.
 const FAILURE_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Pause after a helper declined: it has a full house, or another version of the configuration, for as
-/// long as it takes a version to reach all hosts.
+/// Backoff after a helper declined, because it is overloaded or has another version of the
+/// configuration. New versions reach all hosts within about this time.
 const DECLINED_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time for which a host asks all servers of a search itself after another one's answer for a part lacked much, or
-/// did not come. It sees by itself which servers are slow or gone then, and can weigh all that is missing together.
+/// Time without delegation after a delegated answer was incomplete or missing. This host then
+/// queries all servers itself, so that it detects slow and failed servers and can decide on retries
+/// for the whole search.
 const INCOMPLETE_PAUSE: Duration = Duration::from_secs(2);
 
-/// By how much the round trip to a data centre is_eligible be longer than to the nearest one that could be asked, as a
-/// multiple and beyond it: another data centre of the same region is asked, one of another region is not.
+/// Maximum round trip to a data centre, as a multiple of that to the nearest eligible one plus a
+/// slack. Admits data centres of the same region and excludes other regions.
 const MAX_ROUND_TRIP_RATIO: u32 = 2;
 const ROUND_TRIP_SLACK: Duration = Duration::from_millis(1);
 
-/// A host that is_eligible fan out for others, as hosts tell each other.
+/// A host that may fan out for others, as advertised to other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// The host.
+    /// Address of the host.
     pub host: MemberId,
-    /// How much processor time it has.
+    /// CPU capacity of the host.
     pub strength: Centicores,
 }
 
-/// The hosts of another data centre that is_eligible fan out for others.
+/// Hosts of another data centre that may fan out for others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Remote {
-    /// Where they are.
+    /// The data centre.
     pub data_centre: DataCentreId,
-    /// Those that were named.
+    /// The advertised hosts.
     pub candidates: Vec<Candidate>,
-    /// Time from a question there to its answer.
+    /// Round trip of the request that returned them.
     pub round_trip: Duration,
 }
 
-/// A part of a search that another host looks through.
+/// Part of a search that is delegated to another host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delegation {
-    /// The host.
+    /// The host that searches it.
     pub host: MemberId,
-    /// The keys.
+    /// The keys to search.
     pub keys: Set,
 }
 
-/// How a helper outcome a search.
+/// How a search that was handed to a helper ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer, whatever it says.
+    /// The helper answered, with whatever status.
     Answered,
-    /// It would not take it on.
+    /// The helper refused it.
     Declined,
-    /// With an answer for a part of a search that lacks much of it.
+    /// The answer to a delegated part covered too few of its shards.
     Incomplete,
-    /// There was no answer.
+    /// The helper did not answer.
     Failed,
-    /// Nobody waits for the answer any more.
+    /// The caller gave up before the helper answered.
     Cancelled,
 }
 
@@ -95,9 +97,9 @@
     outstanding: u32,
     failures: u32,
     paused: Option<Time>,
-    /// Searches that were handed on in all when it was chosen last.
+    /// Value of [`Table::assignments`] when it was last chosen.
     last_chosen: u64,
-    /// Where it is, if not in this host's own data centre.
+    /// The helper's data centre, if not that of this host.
     remote: Option<DataCentreId>,
 }
 
@@ -117,7 +119,7 @@
         self.paused.is_none_or(|until| until <= now)
     }
 
-    /// Compares by outstanding searches for the strength, and then by who was chosen the longest ago.
+    /// Orders by outstanding searches relative to strength, then by least recently chosen.
     fn compare(&self, other: &Self) -> Ordering {
         let load = |helper: &Self| f64::from(helper.outstanding) / f64::from(helper.strength);
         let by_load = load(self).total_cmp(&load(other));
@@ -125,21 +127,21 @@
     }
 }
 
-/// The hosts that fan out for this one.
+/// The helpers of one host.
 #[derive(Clone, Debug)]
 pub struct Table {
     own: Centicores,
     helpers: BTreeMap<MemberId, Helper>,
-    /// By data centre: the round trip to it.
+    /// Round trip to each data centre.
     round_trips: BTreeMap<DataCentreId, Duration>,
-    /// Until when no other host looks through a part.
+    /// Until when nothing is delegated.
     delegation_paused: Option<Time>,
-    /// Searches handed on in all.
+    /// Number of searches handed to helpers so far.
     assignments: u64,
 }
 
 impl Table {
-    /// Makes the table of a host with this strength.
+    /// Creates the table of a host with this strength, without helpers.
     pub fn new(own: Centicores) -> Self {
         Self {
             own,
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Takes in how strong a host in the same data centre is.
+    /// Sets the strength of a host in the same data centre. Removes it if it is not strong enough
+    /// to help.
     pub fn set_strength(&mut self, host: MemberId, strength: Centicores) {
         if self.own == 0 || strength < self.own.saturating_mul(MIN_STRENGTH_RATIO) {
             self.helpers.remove(&host);
@@ -159,11 +162,11 @@
         let new = Helper::new(strength, None);
         let helper = self.helpers.entry(host).or_insert(new);
         helper.strength = strength;
-        // It has started, or a way to it has opened.
+        // The message shows that the host has restarted or is reachable again.
         helper.paused = None;
     }
 
-    /// Takes in which hosts of another data centre is_eligible fan out for others. None weaker than this one is asked.
+    /// Replaces the helpers in another data centre. Ignores hosts that are weaker than this one.
     pub fn set_remote(&mut self, remote: Remote) {
         let is_there = |helper: &Helper| helper.remote.as_ref() == Some(&remote.data_centre);
         let is_named = |host: &MemberId| {
@@ -184,9 +187,9 @@
             .insert(remote.data_centre, remote.round_trip);
     }
 
-    /// Chooses the helper with the fewest searches of this host for its strength, and among several the one that was
-    /// chosen the longest ago; `None` where this host is on its own. Each is_eligible make a part of the extra attempts and hold
-    /// a part of the connections: one that gets all searches leaves the others' parts unused.
+    /// Chooses the helper in this data centre with the fewest outstanding searches of this host
+    /// relative to its strength, the least recently chosen among equals; `None` if there is none.
+    /// Spreading the searches uses every helper's share of the connections and budgets.
     pub fn choose(&mut self, now: Time) -> Option<MemberId> {
         let near = self.helpers.iter();
         let near = near.filter(|(_, helper)| helper.remote.is_none() && helper.is_ready(now));
@@ -196,8 +199,8 @@
         Some(chosen)
     }
 
-    /// Chooses a host that looks through a part of a search, where these keys could be looked through in each data
-    /// centre: one where it is the max_round_trip of them.
+    /// Chooses a host to delegate a part of a search to, given the keys that each data centre could
+    /// search: one in the data centre with the most keys.
     pub fn delegate(
         &mut self,
         keys: &BTreeMap<DataCentreId, Set>,
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Returns the longest round trip to a data centre that is asked for a part.
+    /// Returns the maximum round trip to a data centre that a part is delegated to.
     fn longest_round_trip(&self, keys: &BTreeMap<DataCentreId, Set>) -> Duration {
         let eligible = self.round_trips.iter();
         let eligible = eligible.filter(|(data_centre, _)| keys.contains_key(*data_centre));
@@ -247,7 +250,7 @@
         shortest * MAX_ROUND_TRIP_RATIO + ROUND_TRIP_SLACK
     }
 
-    /// Records how a search outcome that a helper was chosen for.
+    /// Records how a search that was handed to a helper ended.
     pub fn finished(&mut self, host: MemberId, outcome: Outcome, now: Time) {
         let Some(helper) = self.helpers.get_mut(&host) else {
             return;
@@ -271,7 +274,7 @@
         }
     }
 
-    /// Tells whether no host fans out for this one.
+    /// Returns whether there is no helper in this data centre.
     pub fn is_empty(&self) -> bool {
         self.helpers.values().all(|helper| helper.remote.is_some())
     }
--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -1,15 +1,14 @@
-//! What hosts tell each other where every one of them is a home: who there is, and which requests
-//! crash backend servers.
+//! Communication between hosts: membership, crash reports, strengths and helpers.
 //!
-//! The number of hosts decides what each may take of the servers' connections and of the extra
-//! attempts. Assumed too low, 21 hosts with a share for 9 had 3,801 connections of a day ended by
-//! servers that had too many, and no room for the routes that few ask for. Assumed too high, each
-//! takes less than it could. A request that crashes servers is found by the host that loses two of
-//! them to it; without a word to the others it would take two more at each of them.
+//! The number of hosts determines each host's share of the servers' connections and of the retry
+//! and hedge budgets. If it is assumed too low, servers reject connections; if too high, capacity
+//! is left unused. A request that crashes servers is detected by the host that loses two of them to
+//! it; without a report to the others, each would lose two more.
 //!
-//! Everything goes in datagrams: a lost one is a probe that failed, and no connection can fall silent
-//! between two hosts. [`member::Table`] and [`fact::Table`] decide what is believed; this keeps the
-//! questions that are open and translates between their actions and datagrams.
+//! All messages are datagrams. A lost one is equivalent to a failed probe, and there are no
+//! connections that could fail silently. [`member::Table`] and [`fact::Table`] hold the membership
+//! and the facts; this module tracks pending requests and converts their actions to datagrams and
+//! back.
 
 mod readers;
 mod remote;
@@ -30,92 +29,92 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bound of the changes in one datagram, in bytes: with the facts and the sender it stays under the
-/// 1,472 bytes that an Ethernet frame carries.
+/// Maximum size of the changes in a datagram, in bytes. With facts and sender the datagram stays
+/// below the 1,472 bytes of UDP payload in an Ethernet frame.
 const MAX_CHANGE_BYTES: usize = 800;
 
-/// Bound of the facts in one datagram, in bytes.
+/// Maximum size of the facts in a datagram, in bytes.
 const MAX_FACT_BYTES: usize = 300;
 
-/// Bound of a page of the table, in bytes; one bucket goes in any case.
+/// Maximum size of a page of the table, in bytes; a page holds at least one bucket.
 const MAX_PAGE_BYTES: usize = 1_200;
 
-/// Time for which a host that died or left is known_hosts. It may come back in seconds, and until then
-/// the others must not take its part: two sides of a partition would take the whole twice.
+/// Time for which a dead or departed host still counts. It may return within seconds, and the two
+/// sides of a partition must not each use the full connection limit.
 const TOMBSTONE_LIFE: Duration = Duration::from_secs(10 * 60);
 
-/// Time that a page may take.
+/// Timeout of a page request, and of a relayed probe.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Hosts that are told at once what crashes servers. A caller that asks again is at the next host
-/// within milliseconds; beyond these it goes with the probes, within seconds.
+/// Maximum number of hosts that a new fact is sent to immediately, as a caller retries at another
+/// host within milliseconds. The other hosts receive it with probes, within seconds.
 const MAX_IMMEDIATE_RECIPIENTS: usize = 64;
 
-/// What one host sends to another.
+/// A message between hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// A probe.
     Probe(ProbeId, Box<Message>),
-    /// The answer to the probe of that number.
+    /// The answer to a probe.
     Answer(ProbeId, Box<Message>),
-    /// A request that the receiver probe somebody in the sender's place.
+    /// Asks the receiver to probe another host for the sender.
     ProbeFor(ProbeId, MemberId),
-    /// A request for a page of the table.
+    /// Requests a page of the membership table.
     Pull(BucketRange),
-    /// The page that was requested.
+    /// The requested page.
     Page(Page),
-    /// Something found out just now.
+    /// A fact that the sender has just learned.
     Fact(fact::Entry),
-    /// How strong the sender is.
+    /// The strength of the sender.
     Strength(Centicores, Reply),
-    /// A question who fans out for others in the receiver's data centre.
+    /// Requests the hosts in the receiver's data centre that fan out for others.
     AskCandidates,
-    /// Who fans out for others in the sender's data centre.
+    /// The hosts in the sender's data centre that fan out for others.
     Candidates(Vec<Candidate>),
 }
 
-/// Whether the sender waits for a reply.
+/// Whether the sender expects a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It does.
+    /// A reply is expected.
     Wanted,
-    /// It does not.
+    /// No reply is expected.
     Unwanted,
 }
 
-/// Something that happened.
+/// An input of [`Members::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passes; to be fed several times a second.
+    /// Time has passed; due several times per second.
     Tick,
-    /// A datagram came from this address.
+    /// A datagram arrived from this address.
     Received(MemberId, Datagram),
-    /// A home here found something out, to be held for that long.
+    /// A home on this host found a fact, valid for this time.
     Found(fact::Key, Duration),
-    /// Parts of searches may go to these other data centres from now on.
+    /// Searches may be delegated to these data centres.
     RemoteDataCentres(BTreeSet<DataCentreId>),
 }
 
-/// Something to be done.
+/// An output of [`Members::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send(MemberId, Datagram),
-    /// A fact that was not known here before; for the homes.
+    /// Pass a new fact to the homes.
     Learned(fact::Entry),
-    /// A host in the same data centre has this strength.
+    /// Record the strength of a host in the same data centre.
     Strength(MemberId, Centicores),
-    /// These hosts of another data centre may fan out for this one.
+    /// Replace the hosts of another data centre that fan out for others.
     Remote(Remote),
-    /// The hosts to publish_hosts by changed.
+    /// Apply new numbers of hosts, which determine this host's shares.
     Hosts(Homes),
-    /// Who reads the store changed.
+    /// Replace the readers of the store.
     Readers(Readers),
-    /// Write a line to the log.
+    /// Write a log line.
     Log(LogLine),
 }
 
-/// A probe in somebody's place.
+/// A probe on behalf of another host.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
     asker: MemberId,
@@ -124,39 +123,40 @@
     until: Time,
 }
 
-/// An own probe that is not answered yet.
+/// A probe or page request that awaits its answer.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     target: MemberId,
     until: Time,
 }
 
-/// One host's part.
+/// State of one host.
 ///
-/// Invariant: the numbers told last are never below those assumed, nor below the hosts known.
+/// Invariant: the published host counts are never below the assumed counts or the number of known
+/// hosts.
 #[derive(Debug)]
 pub struct Members {
     table: member::Table,
     facts: fact::Table,
     assumed: Homes,
     published: Homes,
-    /// Hosts known when they were last known_hosts.
+    /// Number of known hosts when the counts were last updated.
     known_hosts: usize,
     data_centre: DataCentreId,
-    /// By host in the same data centre, this one too.
+    /// Strengths of the hosts in this data centre, including this one.
     strengths: BTreeMap<MemberId, Centicores>,
-    /// Hosts that were asked for theirs: how often, and when they are asked again.
+    /// Requests for unknown strengths: number sent, and time of the next.
     strength_requests: BTreeMap<MemberId, (u32, Time)>,
-    /// Data centres whose hosts parts of searches may go to.
+    /// Discovery of helpers, by remote data centre.
     discoveries: BTreeMap<DataCentreId, remote::Discovery>,
-    /// Hosts known in the same data centre, this one too.
+    /// Number of known hosts in this data centre, including this one.
     near: usize,
-    /// Members that served when it was last looked who of them is strong.
+    /// Number of serving members at the last update of the strengths.
     serving: usize,
-    /// Who reads the store, as told last.
+    /// The readers as published last.
     readers: Readers,
     pending: BTreeMap<ProbeId, Pending>,
-    /// Probes in the place of others, by numbers that the table does not use.
+    /// Relayed probes, by IDs that count down and so don't collide with the table's own.
     relays: BTreeMap<ProbeId, Relay>,
     next_relay: ProbeId,
     pulling: Option<Pending>,
@@ -164,7 +164,7 @@
 }
 
 impl Members {
-    /// Makes the part of a host that knows the `seeds` and reckons with `assumed` hosts at least.
+    /// Creates the state of a host that knows the `seeds` and assumes at least `assumed` hosts.
     pub fn new(
         own: placement::Member,
         start: Incarnation,
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Takes in what happened and returns what is to be done.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
@@ -223,23 +223,24 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the hosts to publish_hosts by: those known, the lately dead among them, and never
-    /// fewer than assumed, as a host that starts or is cut off knows few.
+    /// Returns the host counts that determine this host's shares. They include recently dead hosts
+    /// and are never below the assumed counts, as a host that starts or is partitioned knows few
+    /// others.
     pub fn hosts(&self) -> Homes {
         self.published
     }
 
-    /// Returns the members that serve, this one included.
+    /// Returns the number of serving members, including this one.
     pub fn serving(&self) -> usize {
         self.table.serving()
     }
 
-    /// Returns all that is known of members, the lately dead among them.
+    /// Returns the state of all members, including recently dead ones.
     pub fn changes(&self) -> Vec<Change> {
         self.table.iter().cloned().collect()
     }
 
-    /// Returns all facts that hold.
+    /// Returns all valid facts.
     pub fn facts(&self, now: Time) -> Vec<fact::Entry> {
         self.facts.iter(now).collect()
     }
@@ -273,8 +274,8 @@
 
     fn received(&mut self, from: MemberId, datagram: Datagram, now: Time) {
         match datagram {
-            // Who speaks in another's name is not heard: a copy of an old message from a host that
-            // has another address now would bring the old one back.
+            // Ignores messages with a wrong sender: a delayed message from a host that has since
+            // changed its address would revive the old member.
             Datagram::Probe(_, ref message) if message.from != from => {}
             Datagram::Probe(probe, message) => self.probed(from, probe, *message, now),
             Datagram::Answer(probe, message) => self.answered(probe, *message, now),
@@ -312,8 +313,8 @@
         }
     }
 
-    /// Takes an answer, or passes it on to whom it is for. One that came too late is news all the
-    /// same.
+    /// Processes the answer to a probe, or forwards it if the probe was relayed. A late answer
+    /// still carries valid changes.
     fn answered(&mut self, probe: ProbeId, mut message: Message, now: Time) {
         if let Some(relay) = self.relays.remove(&probe) {
             if relay.target == message.from {
@@ -410,8 +411,8 @@
                 self.send(from, Datagram::Pull(span));
             }
             TableAction::Log(line) => self.actions.push(Action::Log(line)),
-            // Answers go out where the probe is known; nobody waits for the rest here: a host that
-            // was paused learns from the store what changed meanwhile, and no list names hosts.
+            // Replies are sent in `probed`. The others need no action: after a pause, a host learns
+            // of changes from the store, and hosts are not registered anywhere.
             TableAction::Reply(_)
             | TableAction::Changed(..)
             | TableAction::Paused(_)
--- a/crates/decision/src/gateway/members/readers.rs
+++ b/crates/decision/src/gateway/members/readers.rs
@@ -1,8 +1,8 @@
-//! Which hosts of the own data centre read the store for the others.
+//! Choice of the hosts in this data centre that read the store for the others.
 //!
-//! All compute this from the members that they know, without a word to each other. Views may differ for a
-//! while: a host that is taken for a reader and is none declines, and one that reads although nobody asks it costs
-//! some calls.
+//! Each host computes the readers from the members it knows, without coordination. Views may differ
+//! temporarily, which is harmless: a host wrongly taken for a reader declines, and a superfluous
+//! reader only costs some calls to the store.
 
 use super::{Action, Members};
 use crate::gateway::source::Readers;
@@ -10,15 +10,15 @@
 use crate::placement;
 use std::collections::BTreeSet;
 
-/// Readers in a data centre: one may be restarting and one cut off from the store. Where there are no more
-/// hosts than that, each reads for itself.
+/// Number of readers per data centre, so that one may be restarting and another partitioned from
+/// the store. In data centres with no more hosts than this, every host is a reader.
 const MAX_READERS: usize = 3;
 
-/// What readers are ranked by.
+/// Hash key for ranking the readers. All hosts must use the same.
 const RANK_KEY: &str = "readers of the store";
 
 impl Members {
-    /// Tells this host whom to ask, where that has changed.
+    /// Updates the readers and publishes them if they changed.
     pub(super) fn choose_readers(&mut self) {
         let readers = self.readers();
         if readers != self.readers {
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Returns those who read. The strong ones come before others, as each answer takes processor time; hosts take
-    /// turns in whom they ask first, so that all are asked alike.
+    /// Returns the readers. Strong hosts are preferred, as answering polls costs CPU time. Each
+    /// host rotates the list by its own index, which spreads the polls.
     fn readers(&self) -> Readers {
         let own = self.table.own();
         let members = self.table.members().into_iter();
--- a/crates/decision/src/gateway/members/remote.rs
+++ b/crates/decision/src/gateway/members/remote.rs
@@ -1,7 +1,8 @@
-//! Who fans out for others in data centres that this host's searches go to.
+//! Discovery of helpers in the data centres that this host's searches go to.
 //!
-//! One host hosts is asked, another one each time: each knows who is strong in its own data centre. So a question and
-//! an answer of some 250 bytes each [`REFRESH_INTERVAL`] are all that a data centre costs, whatever the number of hosts.
+//! Every [`REFRESH_INTERVAL`], one host of each data centre is asked, a different one each time.
+//! Every host knows the strong hosts of its own data centre, so the traffic doesn't depend on the
+//! number of hosts.
 
 use super::{Action, Datagram, Members};
 use crate::Time;
@@ -12,32 +13,32 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time after an answer until it is asked again. A host that has died is left alone by who hands searches on, so
-/// that this only has to find new ones.
+/// Interval between requests to a data centre. Failed helpers are skipped when a search is handed
+/// over, so this only has to find new ones.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time after which a question without an answer is put to another host; it doubles with each further one.
+/// Delay before an unanswered request is sent to another host; doubles with each further one.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 
-/// Hosts that are named at most. More are not needed to spread the searches of one host.
+/// Maximum number of hosts in an answer, enough to spread the searches of one host.
 const MAX_CANDIDATES: usize = 8;
 
-/// The discovery for candidates in one data centre.
+/// State of the discovery in one data centre.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Discovery {
-    /// Questions put since the last answer.
+    /// Requests sent since the last answer.
     tries: u32,
-    /// Questions put in all.
+    /// Offset of the next host to ask; advances with every request.
     next_index: usize,
-    /// When the last question was put, and to whom.
+    /// Host that was last asked, and when.
     pending: Option<(MemberId, Time)>,
-    /// When the next one is.
+    /// Time of the next request.
     next: Time,
 }
 
 impl Members {
-    /// Takes over where candidates are looked for.
+    /// Sets the data centres in which helpers are discovered.
     pub(super) fn set_remote_data_centres(
         &mut self,
         data_centres: &BTreeSet<DataCentreId>,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Asks where it is due.
+    /// Sends the requests that are due.
     pub(super) fn ask_candidates(&mut self, now: Time) {
         let due = self
             .discoveries
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Asks one of the hosts in a data centre. Hosts begin with different ones, and each goes on to the next: one whose
-    /// own table is out of date is not asked again and again.
+    /// Asks one host of a data centre. Hosts start at different offsets and advance with each
+    /// request, so a host with an outdated table is not asked repeatedly.
     fn ask_candidates_in(&mut self, data_centre: &DataCentreId, hosts: &[MemberId], now: Time) {
         let begin = placement::score(data_centre, self.table.own()) as usize;
         let Some(discovery) = self.discoveries.get_mut(data_centre) else {
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Names those who fan out here: the strong ones, or where all are alike any. Askers are told different ones.
+    /// Returns the hosts that fan out in this data centre to the sender: the strong ones, or any if
+    /// all are alike. The selection depends on the sender.
     pub(super) fn send_candidates(&mut self, to: MemberId) {
         let strong: BTreeSet<MemberId> = self.strong().collect();
         let is_named = |host: &MemberId| strong.is_empty() || strong.contains(host);
@@ -111,7 +113,7 @@
         self.send(to, Datagram::Candidates(candidates));
     }
 
-    /// Takes in who fans out in another data centre.
+    /// Processes the hosts that fan out in another data centre.
     pub(super) fn receive_candidates(
         &mut self,
         from: MemberId,
--- a/crates/decision/src/gateway/members/strength.rs
+++ b/crates/decision/src/gateway/members/strength.rs
@@ -1,4 +1,4 @@
-//! How strong the hosts of the own data centre are, and what each may take for it.
+//! Strengths of the hosts in this data centre, and the host counts derived from them.
 
 use super::{Action, Datagram, Members, Reply};
 use crate::Time;
@@ -8,12 +8,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time after which a host is asked again how strong it is, which doubles, and how often it is asked.
+/// Delay before a host is asked again for its strength, which doubles with each request, and the
+/// maximum number of requests.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 const MAX_TRIES: u32 = 6;
 
 impl Members {
-    /// Tells the homes what there is to publish_hosts by.
+    /// Updates the host counts and publishes them if they changed.
     pub(super) fn publish_hosts(&mut self) {
         let known = self.known_hosts;
         let is_near = |change: &&Change| change.data_centre == self.data_centre;
@@ -33,7 +34,7 @@
         self.choose_readers();
     }
 
-    /// Returns the hosts nearby that fan out for others.
+    /// Returns the hosts of this data centre that fan out for others.
     pub(super) fn strong(&self) -> impl Iterator<Item = MemberId> {
         let weakest = self
             .strengths
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns the place of this host among those nearby that do the same.
+    /// Returns the index of this host among those in this data centre that have the same role.
     fn rank(&self) -> usize {
         let own = self.table.own();
         let strong: BTreeSet<MemberId> = self.strong().collect();
@@ -70,7 +71,7 @@
         before.filter(is_alike).count()
     }
 
-    /// Takes in how strong a host nearby is, and answers.
+    /// Records the strength of a host and replies if requested.
     pub(super) fn receive_strength(&mut self, from: MemberId, strength: Centicores, reply: Reply) {
         if reply == Reply::Wanted {
             self.send_strength(from, Reply::Unwanted);
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Forgets how strong hosts were that died or left. Hosts whose strong ones are gone for good would otherwise
-    /// go on taking the small part of those that others fan out for.
+    /// Removes the strengths of hosts that died or left. Otherwise, after the strong hosts are
+    /// gone, the remaining ones would keep the small shares of hosts that hand their searches over.
     pub(super) fn forget_strengths(&mut self) {
         let own = self.table.own();
         let serving = self.table.members().into_iter().map(|member| member.id);
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Asks the hosts nearby of which it is not known how strong they are. A datagram may be lost, and one
-    /// that does not say was never told.
+    /// Requests unknown strengths of hosts in this data centre. Requests are limited, as a host
+    /// without a configured strength never answers.
     pub(super) fn ask_strengths(&mut self, now: Time) {
         let own = self.table.own();
         let is_near =
--- a/crates/decision/src/gateway/mirror.rs
+++ b/crates/decision/src/gateway/mirror.rs
@@ -1,19 +1,19 @@
-//! What a host that follows the store keeps for those that follow it.
+//! Log of store changes that a reader keeps for the hosts that poll it.
 //!
-//! The store counts each call, a waiting watch as one, and its rates grow more slowly than the fleet: a
-//! change that every host reads for itself costs a call for each. So a few hosts of a data centre read, and
-//! the others ask them. What is passed on are the store's own answers, as they came. Each says after which
-//! revision it begins and up to which it goes, and holds all changes between the two.
+//! The store counts every call, and its rate limits grow more slowly than the fleet. So a few hosts
+//! per data centre (*readers*) watch the store and the others poll them. A reader passes on the
+//! store's answers unmodified. Each is a [`Batch`] with all changes after one revision up to
+//! another.
 //!
-//! Invariant: what a host has taken in is everything up to its revision and nothing else, whoever it had
-//! it from, and its revision never goes down. It holds by two rules. A batch is handed only to who stands within
-//! it, so that nothing is left out; and who takes it in passes over what is not after its own revision, so
-//! that nothing comes twice. Loss, repetition, delay and order of messages then don't matter, nor who was
-//! asked before, nor whether a reader restarted or woke late: one that knows less than who asks has nothing
-//! to say.
+//! Invariant: a host has applied all changes up to its revision and no others, whichever source
+//! they came from, and its revision never decreases. Two rules ensure this. A reader returns a
+//! batch only to a host whose revision lies within it, so no change is skipped. The host ignores
+//! changes up to its own revision, so none is applied twice. Loss, duplication, delay and
+//! reordering of messages, a change of the source and restarts of readers are therefore harmless: a
+//! reader that is behind the host declines.
 //!
-//! How old that may be is another matter. A reader speaks only while it knows that it is up to date:
-//! [`Log::answer`] declines once the store has not last_contact for a while, and who is declined asks the store.
+//! A reader answers only while it is up to date: [`Log::answer`] declines once the store has not
+//! answered for a while, and the host then polls the store.
 
 use super::registry::Revision;
 use crate::Time;
@@ -22,57 +22,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes of answers that are kept at most. Who asks is behind by one or two of them; one that is further behind
-/// reads the store.
+/// Upper bound of the batches kept, in bytes. A host is usually one or two batches behind; one that
+/// is further behind reads the store.
 const MAX_LOG_BYTES: usize = 2 * 1024 * 1024;
 
-/// Number of the store's lives up to now: it rises each time that the store comes back from an older copy.
+/// Generation of the store; increases each time it is restored from an older copy.
 pub type Era = u64;
 
-/// A point in the history of the store. A later one is greater.
+/// A position in the history of the store, ordered by era and revision.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{revision} of era {era}")]
 pub struct Position {
-    /// The life of the store.
+    /// The generation of the store.
     pub era: Era,
-    /// The revision within it.
+    /// The revision within the era.
     pub revision: Revision,
 }
 
-/// Tells whether a change is one that a host has not taken in that knows everything up to a revision. One that says
-/// no revision is taken in again: what it says holds in any case.
+/// Returns whether a change is not yet applied on a host that knows everything up to a revision. A
+/// change without a revision (0) is always applied; applying it again is harmless.
 pub fn is_new(change: Revision, known: Revision) -> bool {
     change == 0 || change > known
 }
 
-/// One answer of the store: all changes after a revision, up to another.
+/// One answer of the store: all changes between two positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// Where it begins.
+    /// Position before the first change.
     pub after: Position,
-    /// Up to where it goes, in the same life of the store.
+    /// Position of the last change, in the same era.
     pub to: Position,
-    /// The answer as it came; nobody but the reader of the store's format looks into it.
+    /// The answer as received, in the store's format.
     pub body: Arc<[u8]>,
 }
 
-/// Why a reader does not answer.
+/// Why a reader declines to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclineReason {
-    /// It has not read the store itself, or only just starts.
+    /// It has not read the store itself.
     NotReader,
-    /// It can't reach the store.
+    /// The store is unreachable.
     StoreLost,
-    /// The store has not last_contact for too long.
+    /// The store has not answered for too long.
     Stale,
-    /// Who asks knows more.
+    /// The host that asks is ahead of the reader.
     Behind,
-    /// It does not keep what goes so far back.
+    /// The requested changes are no longer kept.
     HistoryGone,
 }
 
 impl DeclineReason {
-    /// Returns the reason as hosts tell it to each other.
+    /// Returns the reason as transmitted between hosts.
     pub const fn reason(self) -> &'static str {
         match self {
             Self::NotReader => "no reader",
@@ -84,30 +84,30 @@
     }
 }
 
-/// A loss of the store that is over.
+/// Past outages of the store, as seen by a reader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outage {
-    /// How many there were since the reader's start.
+    /// Number of outages since the reader started.
     pub count: u64,
-    /// How long ago the last one ended.
+    /// Time since the last outage ended, or `None` if there was none.
     pub ended_ago: Option<Duration>,
 }
 
-/// What a reader answers.
+/// A reader's answer to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// What comes next.
+    /// The next changes.
     Batch(Batch),
-    /// There is nothing that who asks does not have.
+    /// There are no newer changes.
     UpToDate,
-    /// Somebody else is to be asked.
+    /// The host has to use another source.
     Declined(DeclineReason),
 }
 
-/// The store's last answers at a host that reads it.
+/// Recent answers of the store, kept by a reader.
 #[derive(Debug)]
 pub struct Log {
-    /// Time for which an answer of the store vouches for what is known.
+    /// Time for which an answer of the store keeps the log up to date.
     freshness: Duration,
     position: Option<Position>,
     batches: VecDeque<Batch>,
@@ -119,7 +119,7 @@
 }
 
 impl Log {
-    /// Makes the empty log of a host that knows nothing.
+    /// Creates an empty log, which declines all polls.
     pub fn new(freshness: Duration) -> Self {
         Self {
             freshness,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Everything was read, as of this position: what was kept does not lead there.
+    /// Records a full read of the store as of a position, and drops the batches before it.
     pub fn reset(&mut self, position: Position, now: Time) {
         self.batches.clear();
         self.bytes = 0;
@@ -141,7 +141,8 @@
         self.record_contact(now);
     }
 
-    /// The store has last_contact a watch.
+    /// Appends the answer to a watch. If it does not start at the current position, drops all
+    /// batches.
     pub fn append(&mut self, batch: Batch, now: Time) {
         self.record_contact(now);
         let follows = self.position == Some(batch.after);
@@ -163,20 +164,20 @@
         }
     }
 
-    /// A call to the store failed.
+    /// Records a failed call to the store.
     pub fn store_failed(&mut self) {
         self.outages += u64::from(!self.is_lost);
         self.is_lost = true;
     }
 
-    /// This host asks another one from now on: what it has is not the store's own word.
+    /// Clears the log of a host that stops being a reader.
     pub fn clear(&mut self) {
         self.batches.clear();
         self.bytes = 0;
         self.position = None;
     }
 
-    /// Returns what a host has to hear that has taken in everything up to a position.
+    /// Returns the changes that follow a position.
     pub fn answer(&self, after: Position, now: Time) -> Answer {
         let Some(position) = self.position else {
             return Answer::Declined(DeclineReason::NotReader);
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Returns what who asks has to know of losses of the store: entries that lapsed meanwhile are doubted.
+    /// Returns the past outages of the store. A host that missed one keeps entries that expired
+    /// during it as unconfirmed.
     pub fn outage(&self, now: Time) -> Outage {
         Outage {
             count: self.outages,
--- a/crates/decision/src/gateway/mod.rs
+++ b/crates/decision/src/gateway/mod.rs
@@ -1,12 +1,12 @@
-//! Forwarding: which backend servers a request that nobody here reads is meant for.
+//! Routing of requests to registered backend servers.
 //!
-//! The operators' configuration names services, hosts and path prefixes, and backend servers
-//! register themselves under a service. Both change on their own. [`Table`] holds what one version
-//! of the configuration says, [`Registry`] which servers there are, and [`shards`] makes of the two
-//! what a [`Home`](crate::home::Home) works on: a set of services, one group of replicas for each.
+//! The operators' configuration names services, hosts and path prefixes; backend servers register
+//! under a service. [`Table`] holds one version of the configuration and [`Registry`] the
+//! registered servers. [`shards`] combines the two into the route that a
+//! [`Home`](crate::home::Home) serves: a set of services, with one group of replicas per service.
 //!
-//! All parts of an answer come from one set, because a home has only one: another set is another
-//! home. That is how an answer keeps to one snapshot while an index is repartitioned.
+//! A home serves exactly one set, so all parts of an answer come from the same set. Repartitioning
+//! an index creates a new set and a new home, and answers never mix the two.
 
 pub mod bootstrap;
 pub mod delivery;
@@ -27,11 +27,11 @@
 
 use std::sync::Arc;
 
-/// Name under which backend servers that answer the same requests register.
+/// Name under which equivalent backend servers register.
 pub type ServiceId = Arc<str>;
 
-/// Name of one start of a backend server; a later start on the same address has another one.
+/// Identifies one start of a backend server; a restart on the same address gets a new name.
 pub type InstanceId = Arc<str>;
 
-/// The services whose answers make up a whole one, in the configuration's order.
+/// Services that together hold a whole index, in configuration order.
 pub type Shards = Arc<[ServiceId]>;
--- a/crates/decision/src/gateway/registry.rs
+++ b/crates/decision/src/gateway/registry.rs
@@ -1,13 +1,13 @@
-//! Which backend servers there are, by what they register.
+//! Registered backend servers.
 //!
-//! Entries lapse by themselves while the store that holds them is away, and those whose servers
-//! live are back a moment after it. Taking the first list after an outage at its word would empty
-//! services whose servers are well, seen as refusals everywhere just when the store is back. So what
-//! is missing in the time after a return is only unconfirmed, and stays in use until that time is over.
+//! Entries expire while the store is unavailable, and live servers register again shortly after it
+//! recovers. Trusting the first list after an outage would empty healthy services and refuse
+//! requests. Entries missing during the grace period after recovery are therefore kept as
+//! unconfirmed until the period ends.
 //!
-//! A server may start again under the name that it had, and what it said before may be written after
-//! what it says now. Entries of one name are therefore ordered by what the server itself counts
-//! ([`Order`]), and not by when they were written.
+//! A server may restart under the same name, and an old entry may be written after a newer one.
+//! Entries of one name are therefore ordered by the server's own counters ([`Order`]) and not by
+//! write time.
 
 use super::evacuation::{self, Evacuations};
 use super::{InstanceId, ServiceId};
@@ -16,72 +16,72 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after a return of the store within which entries of living servers come back: their owners
-/// name about two seconds.
+/// Grace period after the store recovers, in which live servers register again. They take about two
+/// seconds.
 pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Time after the store went back within which the entry of a server that is tombstones has lapsed there: three heartbeats,
-/// which come every second or so, with as much again.
+/// Time after the store was restored from an older copy by which the entries of servers that are
+/// gone have expired. Entries expire after three missed heartbeats, sent about once a second; the
+/// rest is margin.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(8);
 
-/// Time by which heartbeats of a server that is cold for as long as it said before may differ on their way.
+/// Difference in the reported end of a cold period that is attributed to network delay.
 const COLD_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Time for which it is remembered what a server that is tombstones said last. A heartbeat that was under
-/// way when the entry went would bring a server back that is leaving without a word; they come every
-/// second or so, and one that is late by more than some of them has been given up by the store.
+/// Time for which the last order of a removed server is remembered. Without it, a heartbeat in
+/// flight when a draining server's entry is removed would add the server again.
 const TOMBSTONE_LIFE: Duration = Duration::from_secs(60);
 
-/// Version that the store gives an entry; a higher one is newer.
+/// Version of an entry, assigned by the store; higher is newer.
 pub type Revision = u64;
 
-/// Time of day at which a server started, in milliseconds since 1970, 0 where it does not say.
+/// Wall-clock start time of a server in milliseconds since the Unix epoch, or 0 if unknown.
 pub type StartTime = u64;
 
-/// Where an entry stands among all that servers of its name said of themselves; a later start comes
-/// after an earlier one, whatever their counts.
+/// Position of an entry among all entries of the same name. A later start sorts after an earlier
+/// one, regardless of the sequence numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
     /// When the server started.
     pub started_at: StartTime,
-    /// Its own count of what it said since then.
+    /// Number of entries that the server has written since its start.
     pub sequence: u64,
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is leaving.
+    /// Is shutting down and accepts none.
     Draining,
 }
 
-/// One backend server, as it registered.
+/// Registration of one backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// This start of it.
+    /// The start of the server that registered.
     pub instance: InstanceId,
-    /// The service whose requests it answers.
+    /// The service that it serves.
     pub service: ServiceId,
-    /// Where it answers them.
+    /// The address that it listens on.
     pub address: BackendServerId,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentreId,
-    /// Requests that it works on at the same time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// How much longer it is cold, counted from when it was written.
+    /// Remaining warm-up time when the entry was written.
     pub cold_for: Duration,
-    /// Its place among what the server said.
+    /// Position among the entries of this server's name.
     pub order: Order,
-    /// Version of the entry.
+    /// The store's version of the entry.
     pub revision: Revision,
 }
 
 impl Entry {
-    /// Tells whether it says the same as another one, whenever that was. How long it is cold is told apart.
+    /// Returns whether two entries differ only in sequence, revision and remaining warm-up time.
     fn is_equivalent(&self, other: &Self) -> bool {
         let aligned = Self {
             order: Order {
@@ -100,61 +100,61 @@
     }
 }
 
-/// Something that was learned from the store.
+/// A change reported by the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// All entries that there are, as of a revision.
+    /// The complete list of entries, as of a revision.
     Listed(Vec<Entry>),
     /// An entry was written.
     Written(Entry),
-    /// Something was written in the place of a server's entry that can't be read as one. It names no
-    /// server to use.
+    /// A server's entry was overwritten with data that can't be parsed.
     Unreadable(InstanceId, Revision),
-    /// An entry is tombstones.
+    /// An entry was deleted.
     Deleted(InstanceId),
-    /// Operators have emptied a data centre: its servers are to get no new work.
+    /// Operators evacuated a data centre: its servers get no new requests.
     EvacuationOrdered(evacuation::Order),
-    /// They have taken the order back.
+    /// Operators withdrew an evacuation.
     EvacuationWithdrawn(evacuation::Order),
-    /// All orders to empty data centres that there are, as of a revision.
+    /// The complete list of evacuated data centres, as of a revision.
     EvacuationsListed(Vec<evacuation::Order>, Revision),
-    /// The store came back from an older copy: revisions are given out again, and what was written since is
-    /// written again, or tombstones.
+    /// The store was restored from an older copy. It assigns revisions again that were already
+    /// used, and changes since the copy are lost unless they are written again.
     StoreRestored,
-    /// The store can't be reached.
+    /// The store became unreachable.
     StoreLost,
-    /// The store can be reached again.
+    /// The store is reachable again.
     StoreRegained,
     /// Time has passed.
     Tick,
 }
 
-/// Servers that may be given new work, by their addresses.
+/// Servers that accept new requests, by address.
 pub type Usable<'a> = BTreeMap<BackendServerId, &'a Entry>;
 
 /// The registered backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<InstanceId, Entry>,
-    /// Entries that are missing, and when they are taken as tombstones.
+    /// Missing entries that are still in use, with the time at which they are removed.
     unconfirmed: BTreeMap<InstanceId, Time>,
-    /// What those that are tombstones said last, and until when that is remembered.
+    /// Last order of removed servers, with the time at which it is forgotten.
     tombstones: BTreeMap<InstanceId, (Order, Time)>,
-    /// Entries that an older copy of the store has of servers that were tombstones, and when they are believed.
+    /// Entries of removed servers that reappeared in a restored store, with the time at which they
+    /// are accepted if they have not expired.
     reappeared: BTreeMap<InstanceId, (Entry, Time)>,
-    /// Until when the store may hold entries of servers that are tombstones.
+    /// Until when a restored store may contain entries of servers that are gone.
     restored_until: Time,
-    /// Until when servers are cold.
+    /// End of the warm-up of cold servers.
     cold: BTreeMap<InstanceId, Time>,
     evacuations: Evacuations,
     is_listed: bool,
-    /// Time from which on a missing entry is tombstones.
+    /// End of the grace period, in which missing entries are kept.
     grace_until: Time,
     lost: bool,
 }
 
 impl Registry {
-    /// Takes in what was learned. Returns whether the usable servers may have changed.
+    /// Applies an event. Returns whether the usable servers may have changed.
     pub fn handle(&mut self, event: Event, now: Time) -> bool {
         let ticked = self.tick(now);
         let changed = match event {
@@ -186,17 +186,17 @@
         ticked || changed
     }
 
-    /// Tells whether the servers were ever is_listed.
+    /// Returns whether a complete list was ever received.
     pub fn is_known(&self) -> bool {
         self.is_listed
     }
 
-    /// Tells whether what lists the servers can't be reached.
+    /// Returns whether the store is unreachable.
     pub fn is_lost(&self) -> bool {
         self.lost
     }
 
-    /// Returns when [`Event::Tick`] has something to do.
+    /// Returns when [`Event::Tick`] is due.
     pub fn next_wake(&self) -> Option<Time> {
         let unconfirmed = self.unconfirmed.values().min().copied();
         let reappeared = self.reappeared.values().map(|(_, at)| *at).min();
@@ -208,15 +208,16 @@
             .min()
     }
 
-    /// Returns the data centres that operators have emptied.
+    /// Returns the evacuated data centres.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Returns the servers that may be given new work, in the order of their addresses.
+    /// Returns the servers that accept new requests, by address.
     ///
-    /// Where two starts are registered on one address, only the one that started last can be there;
-    /// where they don't say, the one that registered last. Servers of emptied data centres are none of them.
+    /// If two starts are registered on one address, the one that started later is returned, or the
+    /// one that registered later if the start times are unknown. Servers in evacuated data centres
+    /// are excluded.
     pub fn usable(&self) -> Usable<'_> {
         let mut usable = Usable::new();
         for entry in self.entries.values() {
@@ -230,18 +231,18 @@
         usable
     }
 
-    /// Returns until when a server is cold, if it said that it is. That may be over.
+    /// Returns the end of a server's warm-up, if it reported one; may lie in the past.
     pub fn cold_until(&self, instance: &InstanceId) -> Option<Time> {
         self.cold.get(instance).copied()
     }
 
-    /// Returns the number of entries whose servers take new work.
+    /// Returns the number of entries in state [`State::Ready`].
     pub fn ready(&self) -> usize {
         let ready = |entry: &&Entry| entry.state == State::Ready;
         self.entries.values().filter(ready).count()
     }
 
-    /// Returns the number of entries, and of those that are missing and not yet taken as tombstones.
+    /// Returns the number of entries, and how many of them are missing but still in use.
     pub fn counts(&self) -> (usize, usize) {
         (self.entries.len(), self.unconfirmed.len())
     }
@@ -271,8 +272,8 @@
         self.upsert(entry, old, now)
     }
 
-    /// What is known stays in use. What the older copy lacks is unconfirmed until the servers have written again, and its
-    /// revisions say nothing beside those of before.
+    /// Keeps all known entries. Entries missing in the restored copy stay unconfirmed for the grace
+    /// period. Its revisions can't be compared with earlier ones, so these are reset.
     fn mark_restored(&mut self, now: Time) {
         self.grace_until = now + RECOVERY_GRACE;
         self.restored_until = now + ENTRY_EXPIRY;
@@ -282,8 +283,8 @@
         }
     }
 
-    /// Puts an entry in the place of an older one. What was overtaken on its way changes nothing: a
-    /// read, or what the server said earlier or before its last start.
+    /// Inserts an entry or replaces an older one. Ignores an entry that is older than the known one
+    /// or than the server's tombstone.
     fn upsert(&mut self, entry: Entry, old: Option<Entry>, now: Time) -> bool {
         let instance = entry.instance.clone();
         self.unconfirmed.remove(&instance);
@@ -313,9 +314,11 @@
         true
     }
 
-    /// Notes how long a server is cold. Returns whether it became so, or is so no more.
+    /// Updates the end of a server's warm-up. Returns whether the warm-up started, ended or was
+    /// extended.
     ///
-    /// Each heartbeat of a cold server says a little less, and comes a little late; what is noted is never too early.
+    /// The remaining time in consecutive heartbeats decreases and each arrives with some delay, so
+    /// the computed end is never too early.
     fn update_cold(&mut self, entry: &Entry, now: Time) -> bool {
         if entry.cold_for.is_zero() {
             return self.cold.remove(&entry.instance).is_some();
@@ -325,7 +328,7 @@
         before.is_none_or(|before| before + COLD_TOLERANCE < until)
     }
 
-    /// Takes out a server whose entry can't be read any more.
+    /// Removes a server whose entry can't be parsed, unless a newer entry is known.
     fn remove_unreadable(&mut self, instance: &InstanceId, revision: Revision, now: Time) -> bool {
         let is_older = |entry: &Entry| entry.revision > revision;
         if self.entries.get(instance).is_some_and(is_older) {
@@ -369,7 +372,7 @@
         changed | self.accept_reappeared(now)
     }
 
-    /// Takes in servers that were tombstones before the store went back, and whose entries have not lapsed since.
+    /// Accepts reappeared servers whose entries have not expired by now.
     fn accept_reappeared(&mut self, now: Time) -> bool {
         let reappeared = std::mem::take(&mut self.reappeared).into_iter();
         let (due, later): (BTreeMap<_, _>, BTreeMap<_, _>) =
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -1,8 +1,8 @@
-//! What a home works on: a set of shards as a route of the core.
+//! Conversion of a set of shards to the route that a home serves.
 //!
-//! The key space of a set of `n` shards is `0..n`, and shard `i` holds key `i`: coverage then is the
-//! share of the shards that are in, all of them weigh the same, and what is missing in an answer is
-//! a list of shards. The same core so counts coverage for both interfaces.
+//! The key space of a set of `n` shards is `0..n`, and shard `i` holds key `i`. Coverage is
+//! therefore the fraction of shards that answered, all shards weigh the same, and missing keys
+//! identify missing shards.
 
 use super::registry::{Entry, Registry, StartTime, Usable};
 use super::table::Table;
@@ -17,31 +17,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Parts of the extra attempts that the owners of the backend servers allow, in all, for each first
-/// one; the rest is for requests that end within another window than they began.
+/// Shares of the extra attempts that the owners of the backend servers allow per first attempt. The
+/// rest covers requests that start in one budget window and end in another.
 const HEDGE_BUDGET_SHARE: f64 = 0.5;
 const RETRY_BUDGET_SHARE: f64 = 0.4;
 
-/// Quantile of a shard's latency after which an attempt is hedged. About one attempt in 25 meets a
-/// pause of its server, so that the budget pays for these and as many ordinary stragglers.
+/// Latency quantile of a shard after which an attempt is hedged. Balances hedges against servers
+/// that pause, about one attempt in 25, with hedges against ordinary stragglers.
 const HEDGE_QUANTILE: f64 = 0.92;
 
-/// Attempts for one shard that servers may refuse before the shard is given up. What may run is
-/// bounded for each request.
+/// Maximum attempts per shard, including refused ones. The number of executions is bounded per
+/// request.
 const MAX_ATTEMPTS: u32 = 6;
 
-/// Longest objective that is assumed where no route names one.
+/// Objective of a set that no route leads to.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// Deadline of the set as a multiple of the longest objective of its routes: admission aims at half
+/// Deadline of a set as a multiple of the longest objective of its routes. Admission targets half
 /// of the deadline.
 const OBJECTIVES_PER_DEADLINE: u32 = 2;
 
-/// Slots and connections that are assumed of a server that says nothing of them.
+/// Slots of a set without servers, and connections per server of services without a configured
+/// limit.
 const DEFAULT_SLOTS: u32 = 1;
 const DEFAULT_CONNECTIONS: u32 = 16;
 
-/// Returns the name of a set, for logs and metrics.
+/// Returns the name of a set for logs and metrics.
 pub fn name(shards: &Shards) -> String {
     match &**shards {
         [service] => service.to_string(),
@@ -50,8 +51,8 @@
     }
 }
 
-/// Makes the route of the core for a set of shards, whose owners allow so many extra attempts for each
-/// first one. A server is in the group of its service, in the order of the addresses.
+/// Returns the route for a set of shards. Servers are grouped by service and ordered by address;
+/// `extra` is the number of extra attempts allowed per first attempt.
 pub fn route(shards: &Shards, table: &Table, usable: &Usable<'_>, extra: f64) -> Route {
     let mut by_service: FxHashMap<&ServiceId, Vec<&Entry>> = FxHashMap::default();
     for entry in usable.values() {
@@ -97,18 +98,18 @@
     }
 }
 
-/// The start of a server that is expected at an address, and the shard that it holds.
+/// The server start expected at an address, and its shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// The start.
+    /// Name of the start.
     pub instance: InstanceId,
-    /// When it was: a later start may have the same name.
+    /// Start time, which distinguishes restarts under the same name.
     pub started_at: StartTime,
-    /// The keys of its shard.
+    /// Keys of its shard.
     pub keys: Range,
 }
 
-/// Returns what is expected at each address of a set.
+/// Returns the expected server start for each address of a set.
 pub fn expected(shards: &Shards, usable: &Usable<'_>) -> BTreeMap<BackendServerId, Expected> {
     let indexes = indexes(shards);
     let expected = usable.iter().filter_map(|(address, entry)| {
@@ -123,8 +124,8 @@
     expected.collect()
 }
 
-/// Returns which servers of a set are cold, with what they bear. Where a data centre was just given back, all its
-/// servers may be, and say so a heartbeat later.
+/// Returns the load limits of the cold servers of a set. After the evacuation of a data centre is
+/// withdrawn, all its servers count as cold, as they report it only with their next heartbeat.
 pub fn cold(
     shards: &Shards,
     table: &Table,
@@ -148,8 +149,8 @@
     cold.collect()
 }
 
-/// Returns the addresses at which another start is expected now than before: what was learned of the
-/// earlier one does not hold any more.
+/// Returns the addresses whose expected start changed. State learned about the earlier start no
+/// longer applies.
 pub fn replaced(
     before: &BTreeMap<BackendServerId, Expected>,
     now: &BTreeMap<BackendServerId, Expected>,
@@ -179,12 +180,12 @@
         .collect()
 }
 
-/// Shards without a server in a host's own data centre from which on another host looks through them. One answer
-/// has the records of a whole one and a signature for each shard, so that for fewer it saves few bytes.
+/// Minimum number of shards to delegate to another data centre. A merged answer carries a full list
+/// of records and a signature per shard, so it saves little traffic for fewer.
 const MIN_REMOTE_SHARDS: usize = 4;
 
-/// Returns, by data centre, the shards of a set that have servers there and none in `own`; none at all where they are
-/// few.
+/// Returns, by data centre, the shards of a set that have servers there and none in `own`. Omits
+/// data centres with fewer than [`MIN_REMOTE_SHARDS`] of them.
 pub fn remote_shards(
     shards: &Shards,
     usable: &Usable<'_>,
@@ -211,7 +212,7 @@
         .collect()
 }
 
-/// Tells whether a larger set that some route leads to has one of the services of this one.
+/// Returns whether some route leads to a larger set that shares a service with this one.
 pub fn is_in_larger_set(shards: &Shards, table: &Table) -> bool {
     let larger = |other: &&Shards| {
         let shares = other.iter().any(|service| shards.contains(service));
@@ -220,9 +221,8 @@
     table.routes().any(|route| route.sets().iter().any(larger))
 }
 
-/// Returns the place of each service in a set. A host holds all servers against all sets at each change of one. Without
-/// an index that took 414 µs for 315 servers of 63 shards, 3.4 ms at a host of an eighth of a core, and 65 ms for 5,000 of
-/// 1,000; with it, 111 µs and 2.8 ms (`cargo run --release -p monsoonring-decision --example placing`, one run each).
+/// Returns the index of each service in a set. Every change to the servers matches all of them
+/// against all sets, so this must not be a linear search.
 fn indexes(shards: &Shards) -> FxHashMap<&ServiceId, usize> {
     let mut indexes = FxHashMap::default();
     for (index, service) in shards.iter().enumerate() {
@@ -231,7 +231,7 @@
     indexes
 }
 
-/// Returns the keys that the shard with this index holds.
+/// Returns the keys of the shard with this index.
 pub fn shard(index: usize) -> Range {
     keys(index, index + 1)
 }
--- a/crates/decision/src/gateway/source.rs
+++ b/crates/decision/src/gateway/source.rs
@@ -1,14 +1,17 @@
-//! Whom a host asks for what changed: the store, or another host that reads it.
+//! Choice of the source to poll for changes: the store, or a host that reads the store (a
+//! *reader*).
 //!
-//! Nothing depends on a reader. Whenever one does not answer, or declines, the store is asked next, so that
-//! what may have been missed is reader_states a round trip later, and only then another reader. A host without
-//! readers asks the store all the time.
+//! Readers are an optimisation and never required. If a reader fails or declines, the store is
+//! polled next, which detects missed changes within one round trip; only then is another reader
+//! tried. A host without readers always polls the store.
 //!
-//! A store that is away or turns away counts the calls of all hosts. Who has readers leaves most of the
-//! asking to them, and tries the store itself now and then: it may be the readers that it turns away.
+//! An unavailable or throttling store counts the calls of all hosts, so a host that has readers
+//! retries the store only occasionally and otherwise polls the readers. It does retry, because the
+//! store may be throttling only the readers.
 //!
-//! A reader that the store turns away asks the other readers in turn with it, as it may be alone in that. Of 195 hosts
-//! two readers went on for nine seconds with a configuration that all others in their data centres had replaced.
+//! A reader whose own calls to the store fail alternates between the store and the other readers,
+//! since the failure may affect it alone. Otherwise it would keep serving an outdated
+//! configuration.
 
 use super::mirror::Outage;
 use crate::Time;
@@ -16,43 +19,43 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Pause after a reader did not answer; it doubles with each further time. One that declines is well, and may
-/// have something to tell any moment.
+/// Backoff after a reader did not answer; doubles with each consecutive failure. A reader that
+/// declined is alive and may have changes soon, so its backoff does not double.
 const READER_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Time between two calls to a store that fails, at a host that has readers: less than the four seconds
-/// after its return from which on changes have to be in force in time again.
+/// Retry interval for a failing store on a host that has readers. Must stay below four seconds, the
+/// time after the store's recovery by which changes have to be in force again.
 const STORE_BACKOFF: Duration = Duration::from_secs(3);
 
-/// The hosts that read the store, as one host sees them.
+/// The readers of the store, as seen by one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Readers {
-    /// Whether this host reads it too, and asks others only where the store does not answer.
+    /// Whether this host is a reader; it then polls others only while the store fails.
     pub is_reader: bool,
-    /// The others, in the order in which they are asked.
+    /// The other readers, in order of preference.
     pub others: Vec<MemberId>,
 }
 
-/// Whom to ask.
+/// Where to poll next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The store, and then a reader again: the call is to end soon.
+    /// The store, with a short poll, then a reader again.
     StoreOnce,
-    /// The store, for as long as there is no reader.
+    /// The store, until a reader becomes available.
     Store,
-    /// A host that reads it.
+    /// A reader.
     Host(MemberId),
-    /// Wait before this time.
+    /// Nowhere until this time.
     Wait(Time),
 }
 
-/// How a reader did not tell what changed.
+/// Why a reader returned no changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It can't be reached, or does not answer.
+    /// It can't be reached or did not answer in time.
     Unreachable,
-    /// It says that somebody else is to be asked.
+    /// It refused to answer, because it may be out of date itself.
     Declined,
 }
 
@@ -60,25 +63,25 @@
 struct Reader {
     failures: u32,
     paused: Option<Time>,
-    /// How many losses of the store it had told of.
+    /// Number of store outages that it had reported last.
     outages: Option<u64>,
 }
 
-/// Decides whom to ask.
+/// Selects the source to poll.
 #[derive(Debug, Default)]
 pub struct Selector {
     readers: Readers,
-    /// Whether the store has failed at this host, which reads it, since another reader was asked.
+    /// Whether this host is a reader and the store has failed since it last polled another reader.
     has_store_failed: bool,
     reader_states: BTreeMap<MemberId, Reader>,
-    /// Whether something may have been missed.
+    /// Whether changes may have been missed.
     may_be_stale: bool,
-    /// Until when the store is left alone.
+    /// Backoff of the store.
     store_paused: Option<Time>,
 }
 
 impl Selector {
-    /// Takes over who reads the store.
+    /// Replaces the readers.
     pub fn set_readers(&mut self, readers: Readers) {
         self.reader_states
             .retain(|host, _| readers.others.contains(host));
@@ -88,7 +91,7 @@
         self.readers = readers;
     }
 
-    /// Returns whom to ask now.
+    /// Returns where to poll now.
     pub fn next(&self, now: Time) -> Source {
         let pause = |host: &MemberId| {
             self.reader_states
@@ -115,7 +118,7 @@
         }
     }
 
-    /// A reader has answered.
+    /// Records that a reader answered.
     pub fn reader_answered(&mut self, host: MemberId) {
         let reader = self.reader_states.entry(host).or_default();
         reader.failures = 0;
@@ -123,7 +126,7 @@
         self.has_store_failed = false;
     }
 
-    /// A reader did not tell what changed.
+    /// Records that a reader returned no changes, and starts its backoff.
     pub fn reader_failed(&mut self, host: MemberId, failure: Failure, now: Time) {
         let reader = self.reader_states.entry(host).or_default();
         let doublings = match failure {
@@ -136,19 +139,19 @@
         self.has_store_failed = false;
     }
 
-    /// There is reason to ask the store itself.
+    /// Requests that the store be polled next.
     pub fn mark_stale(&mut self) {
         self.may_be_stale = true;
     }
 
-    /// The store has answered.
+    /// Records that the store answered.
     pub fn store_answered(&mut self) {
         self.may_be_stale = false;
         self.has_store_failed = false;
         self.store_paused = None;
     }
 
-    /// The store has not answered.
+    /// Records that the store failed, and starts its backoff if there are readers to poll instead.
     pub fn store_failed(&mut self, now: Time) {
         self.has_store_failed = self.readers.is_reader;
         if !self.readers.is_reader && !self.readers.others.is_empty() {
@@ -156,8 +159,8 @@
         }
     }
 
-    /// Takes in what a reader says of losses of the store. Returns whether one that this host has not heard
-    /// of ended less than `grace` ago.
+    /// Records the store outages that a reader reports. Returns whether there is one that this host
+    /// did not know of and that ended less than `grace` ago.
     pub fn record_outage(&mut self, host: MemberId, outage: Outage, grace: Duration) -> bool {
         let reader = self.reader_states.entry(host).or_default();
         let is_known = reader.outages.replace(outage.count) == Some(outage.count);
--- a/crates/decision/src/gateway/split.rs
+++ b/crates/decision/src/gateway/split.rs
@@ -1,10 +1,10 @@
-//! Dividing the requests of a route among services by weight.
+//! Weighted distribution of a route's requests over services.
 //!
-//! Smooth weighted round robin: each request adds its weight to each part's credit, the part with
-//! the most credit takes the request and pays the sum of all weights. After any number of requests
-//! a part is off its share by less than one request, where choosing at random would be off by
-//! several per cent in a few hundred. Room plays no part: what does not fit where it belongs is
-//! refused there, or the weights would mean nothing under load.
+//! Uses smooth weighted round robin: each request adds every part's weight to its credit; the part
+//! with the most credit takes the request and pays the sum of the weights. A part deviates from its
+//! share by less than one request, while random choice deviates by several per cent over a few
+//! hundred requests. Free capacity is ignored: a request is refused if the chosen service has none,
+//! so that the configured weights also hold under load.
 
 use super::table::WeightedTarget;
 
@@ -15,7 +15,7 @@
 }
 
 impl Split {
-    /// Returns the index of the part that takes the next request, `None` where no part has weight.
+    /// Returns the index of the part that takes the next request, or `None` if no part has weight.
     pub fn next(&mut self, parts: &[WeightedTarget]) -> Option<usize> {
         self.credits.resize(parts.len(), 0.0);
         let total: f64 = parts.iter().map(|part| part.weight).sum();
--- a/crates/decision/src/gateway/table.rs
+++ b/crates/decision/src/gateway/table.rs
@@ -1,4 +1,4 @@
-//! The routes of one version of the configuration, and which of them a request takes.
+//! Routes of one version of the configuration, and the lookup of a request's route.
 
 use super::{ServiceId, Shards, delivery};
 use crate::admission::Urgency;
@@ -11,75 +11,75 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Last ranks of the two upper classes. Routes that somebody in the field waits for have rank 1, the
-/// others 2, and what nobody waits for comes after them.
+/// Highest ranks of the classes urgent and normal. Rank 1 is for requests with a user waiting in
+/// the field, rank 2 for other requests that somebody waits for; higher ranks are background work.
 const MAX_URGENT_RANK: u32 = 1;
 const MAX_NORMAL_RANK: u32 = 2;
 
-/// Version of a configuration; a higher one is newer.
+/// Version of a configuration; higher is newer.
 pub type Version = u64;
 
-/// What a request on a route is sent to.
+/// Destination of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// One server of one of the services, chosen by weight.
     Split(Vec<WeightedTarget>),
-    /// One server of each service.
+    /// One server of every service.
     FanOut(FanOut),
 }
 
-/// A service and its share of a route's requests.
+/// A service and its weight in the split of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedTarget {
-    /// The service, alone.
+    /// The service, as a set of one shard.
     pub shards: Shards,
-    /// Its share, relative to the others.
+    /// Weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// How a request is answered from many shards.
+/// Parameters of a fan-out over many shards.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FanOut {
-    /// The shards.
+    /// The shards to query.
     pub shards: Shards,
-    /// Records in an answer at most.
+    /// Maximum number of records in the merged answer.
     pub max_records: usize,
-    /// Share of the shards, from 0 to 1, that an answer must hold.
+    /// Fraction of the shards, from 0 to 1, that an answer must cover.
     pub min_coverage: f64,
 }
 
 impl FanOut {
-    /// Returns how many shards an answer can do without.
+    /// Returns how many shards may be missing from an answer.
     pub fn dispensable(&self) -> usize {
         coverage::dispensable(self.min_coverage, self.shards.len() as f64)
     }
 }
 
-/// One route.
+/// A route of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: RouteId,
-    /// Host that requests name, in lower case.
+    /// Host name that requests must carry, in lower case.
     pub host: Box<str>,
-    /// Beginning of the paths that take this route; it begins and ends with a slash.
+    /// Path prefix of the requests; starts and ends with a slash.
     pub prefix: Box<str>,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub kind: Kind,
-    /// Longest time that a request may be kept waiting.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Target latency, measured by the caller.
     pub objective: Duration,
-    /// Backend servers that may come to run one request, in each shard.
+    /// Maximum number of backend servers per shard that may execute a request.
     pub attempts: u32,
-    /// Rank of its requests; 0 comes first.
+    /// Rank of its requests; 0 is the most urgent.
     pub priority: u32,
-    /// Where requests go.
+    /// Destination of its requests.
     pub target: Target,
 }
 
 impl Route {
-    /// Returns all sets of shards that requests may go to.
+    /// Returns all sets of shards that requests may be sent to.
     pub fn sets(&self) -> Vec<&Shards> {
         match &self.target {
             Target::Split(parts) => parts.iter().map(|part| &part.shards).collect(),
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Returns what holds for its requests at a home, where answers take so long on their way to callers.
+    /// Returns the parameters of its requests at a home, with `margin` reserved for delivering the
+    /// answer.
     pub fn terms(&self, margin: Duration) -> Params {
         let soft = match &self.target {
             Target::FanOut(gather) => Some(SoftDeadline {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Returns how much its requests count when there is not room for all.
+    /// Returns the class of its requests for admission under overload.
     pub fn class(&self) -> Class {
         match self.priority {
             rank if rank <= MAX_URGENT_RANK => Class::Urgent,
@@ -119,40 +120,40 @@
     }
 }
 
-/// What a client may send. How long it may take over it and stay idle is bounded by the process, more
-/// widely than by any configuration: a connection would keep the bound that it began under, and a
-/// client that goes by a later, wider one would find it closed.
+/// Limits on client requests. Timeouts for reading a request and for idle connections are process
+/// settings, not part of the configuration: a connection keeps the limits it was opened with, and a
+/// client relying on a later, longer timeout would find it closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest body, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
 }
 
-/// What the servers of a service bear while they are cold.
+/// Load limit for the cold servers of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cold {
-    /// Requests in a second, from all hosts together.
+    /// Requests per second and server, from all hosts together.
     pub max_rate: f64,
-    /// How long a server is cold that does not say.
+    /// Warm-up time of a server that reports none.
     pub duration: Duration,
 }
 
-/// A version of the configuration.
+/// One version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Table {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
-    /// What clients may take.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// By service: connections that each of its servers accepts.
+    /// Connections that each server of a service accepts.
     pub connections: FxHashMap<ServiceId, u32>,
-    /// By service whose cold servers bear a bounded number of requests: the bound.
+    /// Load limits for cold servers, for the services that have one.
     pub cold: FxHashMap<ServiceId, Cold>,
     routes: FxHashMap<Box<str>, Vec<Arc<Route>>>,
 }
 
 impl Table {
-    /// Makes the table of one version.
+    /// Creates the table of one version, without limits for cold servers.
     pub fn new(
         version: Version,
         limits: Limits,
@@ -176,14 +177,14 @@
         }
     }
 
-    /// Bounds what cold servers get, by service.
+    /// Sets the load limits for cold servers.
     #[must_use]
     pub fn with_cold(self, cold: FxHashMap<ServiceId, Cold>) -> Self {
         Self { cold, ..self }
     }
 
-    /// Returns the route of a request: of those of its host, the one with the longest prefix that
-    /// its path begins with. A port in `host` is of no account, and neither is its case.
+    /// Returns the route of a request: the one with the longest matching path prefix among those of
+    /// the host. Ignores the case of `host` and a port in it.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split_once(':').map_or(host, |(name, _)| name);
         let routes = match self.routes.get(name) {
@@ -193,7 +194,7 @@
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns all routes.
+    /// Returns all routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.values().flatten()
     }
--- a/crates/decision/src/gateway/timing.rs
+++ b/crates/decision/src/gateway/timing.rs
@@ -1,71 +1,73 @@
-//! How often a host asks the store that lists configuration and backend servers, and the hosts that read it for
-//! others.
+//! Intervals and timeouts for polling the store and its readers.
 //!
-//! The store counts each call, a waiting watch as one, and its rates grow more slowly than the fleet. What
-//! changed ends a wait at once in any case: what its length guards against is an answer that was lost, or an
-//! end that has gone silent. So all of it is a part of the time within which a change has to be in force.
+//! The store counts every call, and its rate limits grow more slowly than the fleet. Since a change
+//! ends a pending watch immediately, the length of a watch only matters for lost answers and
+//! silently dropped connections. All times are therefore derived from the bound within which a
+//! change has to be in force.
 
 use std::time::Duration;
 
-/// Time that a watch of the store waits.
+/// Timeout of a watch on the store.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The same at a host that reads for others, as a part of the bound. What it doesn't notice reaches none of
-/// them, so that it has to notice sooner, and the few calls more are few hosts'.
+/// Timeout of a watch on a reader, as a fraction of the bound. A change that a reader misses
+/// reaches none of the hosts that poll it, so readers detect a lost watch sooner.
 const READER_WATCH_FRACTION: f64 = 0.4;
 
-/// Part of the bound for which an answer of the store vouches for what a reader knows: changes are gathered, a
-/// watch waits, and a little. Past it the others ask the store, and have three tenths left for it.
+/// Age of the store's last answer, as a fraction of the bound, up to which a reader counts as up to
+/// date. It covers the batch pause and one watch. After that, hosts poll the store and have the
+/// rest of the bound to do so.
 const FRESHNESS_FRACTION: f64 = 0.7;
 
-/// Part of the bound that a question to a reader waits. One that is frozen is noticed after it.
+/// Duration of a long poll of a reader, as a fraction of the bound. A frozen reader is detected
+/// after it.
 const POLL_FRACTION: f64 = 0.25;
 
-/// Time beyond the wait after which a reader that does not answer counts as silent.
+/// Time beyond the long poll after which a reader is considered unreachable.
 const POLL_SLACK: Duration = Duration::from_millis(250);
 
-/// Part of the time within which a change has to be in force that changes are gathered for. They come in
-/// batches, as when servers are replaced one after the other, and each would cost every host a call.
+/// Pause for batching changes, as a fraction of the bound. Changes arrive in bursts, for example
+/// during a rolling restart, and each would otherwise cost every host a call.
 const BATCH_FRACTION: f64 = 0.2;
 
-/// How long things take for a host, where changes have to be in force within a bound.
+/// Polling intervals and timeouts, derived from the bound on the propagation of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     bound: Duration,
 }
 
 impl Timing {
-    /// Makes the pace for a bound.
+    /// Creates the timing for a bound.
     pub fn new(bound: Duration) -> Self {
         Self { bound }
     }
 
-    /// Returns how long a watch of the store may wait.
+    /// Returns the timeout of a watch on the store.
     pub fn watch(self) -> Duration {
         WATCH_TIMEOUT
     }
 
-    /// Returns how long a watch of the store may wait at a host that others ask.
+    /// Returns the timeout of a watch on the store for a reader.
     pub fn reader_watch(self) -> Duration {
         self.bound.mul_f64(READER_WATCH_FRACTION).min(WATCH_TIMEOUT)
     }
 
-    /// Returns the time for which an answer of the store vouches for what a reader knows.
+    /// Returns how long an answer of the store keeps a reader up to date.
     pub fn freshness(self) -> Duration {
         self.bound.mul_f64(FRESHNESS_FRACTION)
     }
 
-    /// Returns how long a question to a reader may wait there.
+    /// Returns the duration of a long poll of a reader.
     pub fn poll(self) -> Duration {
         self.bound.mul_f64(POLL_FRACTION)
     }
 
-    /// Returns the time within which a reader answers such a question.
+    /// Returns the timeout of a long poll, after which the reader counts as unreachable.
     pub fn poll_timeout(self) -> Duration {
         self.poll() + POLL_SLACK
     }
 
-    /// Returns the pause after a watch that brought changes.
+    /// Returns the pause after a watch that returned changes.
     pub fn batch_pause(self) -> Duration {
         self.bound.mul_f64(BATCH_FRACTION)
     }
