--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -179,7 +179,7 @@
 
     /// Writes to the log which data centres were emptied or given back, as this host knows it from now on.
     fn note_emptied(&mut self) {
-        let emptied = self.registry.evacuations().emptied();
+        let emptied = self.registry.evacuations().evacuated();
         let emptied: BTreeSet<DataCentreId> = emptied.cloned().collect();
         for data_centre in emptied.difference(&self.emptied) {
             info!(self.settings.log, "data centre"; "what" => "emptied: its backend servers get no new work",
--- a/crates/decision/src/gateway/evacuation.rs
+++ b/crates/decision/src/gateway/evacuation.rs
@@ -27,10 +27,10 @@
 /// Last known status of one data centre.
 #[derive(Clone, Copy, Debug)]
 struct Status {
-    is_emptied: bool,
+    is_evacuated: bool,
     /// Version of the last order or withdrawal.
     revision: Revision,
-    /// When `is_emptied` last changed.
+    /// When `is_evacuated` last changed.
     since: Time,
     /// When an order that is missing in the store is dropped.
     unconfirmed_until: Option<Time>,
@@ -57,9 +57,9 @@
 
     /// Applies the complete list of orders, as of a revision. Returns whether anything changed.
     pub fn listed(&mut self, orders: Vec<Order>, as_of: Revision, now: Time) -> bool {
-        let missing = self.emptied().filter(|data_centre| {
-            let is_it = |order: &Order| order.data_centre == **data_centre;
-            !orders.iter().any(is_it)
+        let missing = self.evacuated().filter(|data_centre| {
+            let is_match = |order: &Order| order.data_centre == **data_centre;
+            !orders.iter().any(is_match)
         });
         let missing: Vec<DataCentreId> = missing.cloned().collect();
         let mut changed = false;
@@ -87,7 +87,7 @@
         for status in self.statuses.values_mut() {
             if status.unconfirmed_until.is_some_and(|until| until <= now) {
                 status.unconfirmed_until = None;
-                status.is_emptied = false;
+                status.is_evacuated = false;
                 status.since = now;
                 changed = true;
             }
@@ -97,28 +97,28 @@
 
     /// Returns when [`Self::tick`] is due.
     pub fn next_wake(&self) -> Option<Time> {
-        let doubted = self.statuses.values();
-        doubted.filter_map(|status| status.unconfirmed_until).min()
+        let statuses = self.statuses.values();
+        statuses.filter_map(|status| status.unconfirmed_until).min()
     }
 
     /// Returns whether a data centre is evacuated.
     pub fn contains(&self, data_centre: &DataCentreId) -> bool {
         let status = self.statuses.get(data_centre);
-        status.is_some_and(|status| status.is_emptied)
+        status.is_some_and(|status| status.is_evacuated)
     }
 
     /// Returns the evacuated data centres.
-    pub fn emptied(&self) -> impl Iterator<Item = &DataCentreId> {
-        let emptied = self.statuses.iter();
-        let emptied = emptied.filter(|(_, status)| status.is_emptied);
-        emptied.map(|(data_centre, _)| data_centre)
+    pub fn evacuated(&self) -> impl Iterator<Item = &DataCentreId> {
+        let evacuated = self.statuses.iter();
+        let evacuated = evacuated.filter(|(_, status)| status.is_evacuated);
+        evacuated.map(|(data_centre, _)| data_centre)
     }
 
     /// Returns when the last evacuation of a data centre ended, or `None` if it is evacuated or
     /// never was.
     pub fn withdrawn_at(&self, data_centre: &DataCentreId) -> Option<Time> {
         let status = self.statuses.get(data_centre)?;
-        (!status.is_emptied).then_some(status.since)
+        (!status.is_evacuated).then_some(status.since)
     }
 
     /// Handles an order that is missing in the store. It counts as withdrawn, except shortly after
@@ -139,27 +139,27 @@
     }
 
     /// Sets the status of a data centre unless a newer one is known. Returns whether it changed.
-    fn set(&mut self, order: Order, is_emptied: bool, now: Time) -> bool {
+    fn set(&mut self, order: Order, is_evacuated: bool, now: Time) -> bool {
         let Order {
             data_centre,
             revision,
         } = order;
         let new = Status {
-            is_emptied,
+            is_evacuated,
             revision,
             since: now,
             unconfirmed_until: None,
         };
         let Some(old) = self.statuses.get_mut(&data_centre) else {
-            if is_emptied {
+            if is_evacuated {
                 self.statuses.insert(data_centre, new);
             }
-            return is_emptied;
+            return is_evacuated;
         };
         if revision < old.revision {
             return false;
         }
-        if old.is_emptied == is_emptied {
+        if old.is_evacuated == is_evacuated {
             old.revision = revision;
             old.unconfirmed_until = None;
             return false;
--- a/crates/decision/src/gateway/helper.rs
+++ b/crates/decision/src/gateway/helper.rs
@@ -168,14 +168,15 @@
 
     /// Replaces the helpers in another data centre. Ignores hosts that are weaker than this one.
     pub fn set_remote(&mut self, remote: Remote) {
-        let is_there = |helper: &Helper| helper.remote.as_ref() == Some(&remote.data_centre);
-        let is_named = |host: &MemberId| {
+        let is_in_data_centre =
+            |helper: &Helper| helper.remote.as_ref() == Some(&remote.data_centre);
+        let is_advertised = |host: &MemberId| {
             remote
                 .candidates
                 .iter()
                 .any(|candidate| candidate.host == *host)
         };
-        (self.helpers).retain(|host, helper| !is_there(helper) || is_named(host));
+        (self.helpers).retain(|host, helper| !is_in_data_centre(helper) || is_advertised(host));
         for Candidate { host, strength } in remote.candidates {
             if self.own == 0 || strength < self.own {
                 continue;
@@ -209,7 +210,7 @@
         if self.delegation_paused.is_some_and(|until| until > now) {
             return None;
         }
-        let max_round_trip = self.longest_round_trip(keys);
+        let max_round_trip = self.max_round_trip(keys);
         let is_near_enough = |data_centre: &DataCentreId| {
             self.round_trips
                 .get(data_centre)
@@ -243,7 +244,7 @@
     }
 
     /// Returns the maximum round trip to a data centre that a part is delegated to.
-    fn longest_round_trip(&self, keys: &BTreeMap<DataCentreId, Set>) -> Duration {
+    fn max_round_trip(&self, keys: &BTreeMap<DataCentreId, Set>) -> Duration {
         let eligible = self.round_trips.iter();
         let eligible = eligible.filter(|(data_centre, _)| keys.contains_key(*data_centre));
         let shortest = eligible.map(|(_, time)| *time).min().unwrap_or_default();
--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -44,7 +44,7 @@
 const TOMBSTONE_LIFE: Duration = Duration::from_secs(10 * 60);
 
 /// Timeout of a page request, and of a relayed probe.
-const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Maximum number of hosts that a new fact is sent to immediately, as a caller retries at another
 /// host within milliseconds. The other hosts receive it with probes, within seconds.
@@ -159,7 +159,7 @@
     /// Relayed probes, by IDs that count down and so don't collide with the table's own.
     relays: BTreeMap<ProbeId, Relay>,
     next_relay: ProbeId,
-    pulling: Option<Pending>,
+    pending_pull: Option<Pending>,
     actions: Vec<Action>,
 }
 
@@ -204,7 +204,7 @@
             pending: BTreeMap::new(),
             relays: BTreeMap::new(),
             next_relay: ProbeId::MAX,
-            pulling: None,
+            pending_pull: None,
             actions: Vec::new(),
         }
     }
@@ -213,13 +213,13 @@
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Received(from, datagram) => self.received(from, datagram, now),
-            Event::Found(key, life) => self.found(key, life, now),
+            Event::Received(from, datagram) => self.receive(from, datagram, now),
+            Event::Found(key, life) => self.record_fact(key, life, now),
             Event::RemoteDataCentres(data_centres) => {
                 self.set_remote_data_centres(&data_centres, now)
             }
         }
-        self.update_count();
+        self.update_known_hosts();
         std::mem::take(&mut self.actions)
     }
 
@@ -256,9 +256,12 @@
             self.pending.remove(&probe);
             self.handle_table_event(TableEvent::Failed(probe), now);
         }
-        if let Some(pulling) = self.pulling.filter(|pulling| pulling.until <= now) {
-            self.pulling = None;
-            self.handle_table_event(TableEvent::PullFailed(pulling.target), now);
+        if let Some(pending_pull) = self
+            .pending_pull
+            .filter(|pending_pull| pending_pull.until <= now)
+        {
+            self.pending_pull = None;
+            self.handle_table_event(TableEvent::PullFailed(pending_pull.target), now);
         }
         self.handle_table_event(TableEvent::Tick, now);
         if self.table.serving() != self.serving {
@@ -272,36 +275,36 @@
         self.ask_candidates(now);
     }
 
-    fn received(&mut self, from: MemberId, datagram: Datagram, now: Time) {
+    fn receive(&mut self, from: MemberId, datagram: Datagram, now: Time) {
         match datagram {
             // Ignores messages with a wrong sender: a delayed message from a host that has since
             // changed its address would revive the old member.
             Datagram::Probe(_, ref message) if message.from != from => {}
-            Datagram::Probe(probe, message) => self.probed(from, probe, *message, now),
-            Datagram::Answer(probe, message) => self.answered(probe, *message, now),
-            Datagram::ProbeFor(probe, target) => self.probe_for(from, probe, target, now),
+            Datagram::Probe(probe, message) => self.receive_probe(from, probe, *message, now),
+            Datagram::Answer(probe, message) => self.receive_answer(probe, *message, now),
+            Datagram::ProbeFor(probe, target) => self.relay_probe(from, probe, target, now),
             Datagram::Pull(span) => {
                 let page = self.table.page(span);
                 self.send(from, Datagram::Page(page));
             }
             Datagram::Page(page) => {
                 if self
-                    .pulling
+                    .pending_pull
                     .take_if(|pending| pending.target == from)
                     .is_some()
                 {
                     self.handle_table_event(TableEvent::Pulled(from, page), now);
                 }
             }
-            Datagram::Fact(entry) => self.learn(vec![entry], now),
+            Datagram::Fact(entry) => self.receive_facts(vec![entry], now),
             Datagram::Strength(strength, reply) => self.receive_strength(from, strength, reply),
             Datagram::AskCandidates => self.send_candidates(from),
             Datagram::Candidates(candidates) => self.receive_candidates(from, candidates, now),
         }
     }
 
-    fn probed(&mut self, from: MemberId, probe: ProbeId, mut message: Message, now: Time) {
-        self.learn(std::mem::take(&mut message.attachment.facts), now);
+    fn receive_probe(&mut self, from: MemberId, probe: ProbeId, mut message: Message, now: Time) {
+        self.receive_facts(std::mem::take(&mut message.attachment.facts), now);
         for action in self.table.handle(TableEvent::Probed(message), now) {
             match action {
                 TableAction::Reply(reply) => {
@@ -315,14 +318,14 @@
 
     /// Processes the answer to a probe, or forwards it if the probe was relayed. A late answer
     /// still carries valid changes.
-    fn answered(&mut self, probe: ProbeId, mut message: Message, now: Time) {
+    fn receive_answer(&mut self, probe: ProbeId, mut message: Message, now: Time) {
         if let Some(relay) = self.relays.remove(&probe) {
             if relay.target == message.from {
                 self.send(relay.asker, Datagram::Answer(relay.probe, message.into()));
             }
             return;
         }
-        self.learn(std::mem::take(&mut message.attachment.facts), now);
+        self.receive_facts(std::mem::take(&mut message.attachment.facts), now);
         let pending = self.pending.get(&probe);
         let event = match pending.is_some_and(|pending| pending.target == message.from) {
             true => {
@@ -334,22 +337,22 @@
         self.handle_table_event(event, now);
     }
 
-    fn probe_for(&mut self, asker: MemberId, probe: ProbeId, target: MemberId, now: Time) {
+    fn relay_probe(&mut self, asker: MemberId, probe: ProbeId, target: MemberId, now: Time) {
         let relay = Relay {
             asker,
             probe,
             target,
-            until: now + PAGE_TIMEOUT,
+            until: now + REQUEST_TIMEOUT,
         };
-        let number = self.next_relay;
+        let relay_id = self.next_relay;
         self.next_relay -= 1;
-        self.relays.insert(number, relay);
+        self.relays.insert(relay_id, relay);
         let message = self.table.message(target);
         let message = self.attach(message, now);
-        self.send(target, Datagram::Probe(number, message.into()));
+        self.send(target, Datagram::Probe(relay_id, message.into()));
     }
 
-    fn found(&mut self, key: fact::Key, life: Duration, now: Time) {
+    fn record_fact(&mut self, key: fact::Key, life: Duration, now: Time) {
         let Some(entry) = self.facts.learn(key, 0, life, now) else {
             return;
         };
@@ -363,7 +366,7 @@
         self.actions.push(Action::Learned(entry));
     }
 
-    fn learn(&mut self, entries: Vec<fact::Entry>, now: Time) {
+    fn receive_facts(&mut self, entries: Vec<fact::Entry>, now: Time) {
         let learned = self.facts.receive(entries, now);
         self.actions
             .extend(learned.into_iter().map(Action::Learned));
@@ -388,7 +391,7 @@
                 message,
                 timeout,
             } => {
-                self.ask(probe, to, now + timeout);
+                self.track_probe(probe, to, now + timeout);
                 let message = self.attach(message, now);
                 self.send(to, Datagram::Probe(probe, message.into()));
             }
@@ -398,20 +401,20 @@
                 helpers,
                 timeout,
             } => {
-                self.ask(probe, target, now + timeout);
+                self.track_probe(probe, target, now + timeout);
                 for helper in helpers {
                     self.send(helper, Datagram::ProbeFor(probe, target));
                 }
             }
             TableAction::Pull(from, span) => {
-                self.pulling = Some(Pending {
+                self.pending_pull = Some(Pending {
                     target: from,
-                    until: now + PAGE_TIMEOUT,
+                    until: now + REQUEST_TIMEOUT,
                 });
                 self.send(from, Datagram::Pull(span));
             }
             TableAction::Log(line) => self.actions.push(Action::Log(line)),
-            // Replies are sent in `probed`. The others need no action: after a pause, a host learns
+            // Replies are sent in `receive_probe`. The others need no action: after a pause, a host learns
             // of changes from the store, and hosts are not registered anywhere.
             TableAction::Reply(_)
             | TableAction::Changed(..)
@@ -420,7 +423,7 @@
         }
     }
 
-    fn ask(&mut self, probe: ProbeId, target: MemberId, until: Time) {
+    fn track_probe(&mut self, probe: ProbeId, target: MemberId, until: Time) {
         self.pending.insert(probe, Pending { target, until });
     }
 
@@ -428,7 +431,7 @@
         self.actions.push(Action::Send(to, datagram));
     }
 
-    fn update_count(&mut self) {
+    fn update_known_hosts(&mut self) {
         let known = self.table.known();
         if known != self.known_hosts {
             self.known_hosts = known;
--- a/crates/decision/src/gateway/members/remote.rs
+++ b/crates/decision/src/gateway/members/remote.rs
@@ -29,8 +29,8 @@
 pub(super) struct Discovery {
     /// Requests sent since the last answer.
     tries: u32,
-    /// Offset of the next host to ask; advances with every request.
-    next_index: usize,
+    /// Offset of the next host in the list; advances with every request.
+    offset: usize,
     /// Host that was last asked, and when.
     pending: Option<(MemberId, Time)>,
     /// Time of the next request.
@@ -49,7 +49,7 @@
         for data_centre in data_centres {
             let new = Discovery {
                 tries: 0,
-                next_index: 0,
+                offset: 0,
                 pending: None,
                 next: now,
             };
@@ -80,18 +80,18 @@
     /// Asks one host of a data centre. Hosts start at different offsets and advance with each
     /// request, so a host with an outdated table is not asked repeatedly.
     fn ask_candidates_in(&mut self, data_centre: &DataCentreId, hosts: &[MemberId], now: Time) {
-        let begin = placement::score(data_centre, self.table.own()) as usize;
+        let start = placement::score(data_centre, self.table.own()) as usize;
         let Some(discovery) = self.discoveries.get_mut(data_centre) else {
             return;
         };
-        let index = begin
-            .wrapping_add(discovery.next_index)
+        let index = start
+            .wrapping_add(discovery.offset)
             .checked_rem(hosts.len());
         let to = index.map(|index| hosts[index]);
         discovery.pending = to.map(|to| (to, now));
         discovery.next = now + RETRY_DELAY * 2_u32.pow(discovery.tries.min(MAX_RETRY_DOUBLINGS));
         discovery.tries += 1;
-        discovery.next_index = discovery.next_index.wrapping_add(1);
+        discovery.offset = discovery.offset.wrapping_add(1);
         if let Some(to) = to {
             self.send(to, Datagram::AskCandidates);
         }
@@ -101,9 +101,12 @@
     /// all are alike. The selection depends on the sender.
     pub(super) fn send_candidates(&mut self, to: MemberId) {
         let strong: BTreeSet<MemberId> = self.strong().collect();
-        let is_named = |host: &MemberId| strong.is_empty() || strong.contains(host);
-        let named = self.strengths.iter().filter(|(host, _)| is_named(host));
-        let mut candidates: Vec<Candidate> = named
+        let is_advertised = |host: &MemberId| strong.is_empty() || strong.contains(host);
+        let advertised = self
+            .strengths
+            .iter()
+            .filter(|(host, _)| is_advertised(host));
+        let mut candidates: Vec<Candidate> = advertised
             .map(|(&host, &strength)| Candidate { host, strength })
             .collect();
         let key = to.to_string();
--- a/crates/decision/src/gateway/members/strength.rs
+++ b/crates/decision/src/gateway/members/strength.rs
@@ -34,7 +34,8 @@
         self.choose_readers();
     }
 
-    /// Returns the hosts of this data centre that fan out for others.
+    /// Returns the hosts of this data centre that fan out for others: those with at least
+    /// [`MIN_STRENGTH_RATIO`] times the strength of the weakest.
     pub(super) fn strong(&self) -> impl Iterator<Item = MemberId> {
         let weakest = self
             .strengths
--- a/crates/decision/src/gateway/registry.rs
+++ b/crates/decision/src/gateway/registry.rs
@@ -150,7 +150,7 @@
     is_listed: bool,
     /// End of the grace period, in which missing entries are kept.
     grace_until: Time,
-    lost: bool,
+    is_lost: bool,
 }
 
 impl Registry {
@@ -172,11 +172,11 @@
                 false
             }
             Event::StoreLost => {
-                self.lost = true;
+                self.is_lost = true;
                 false
             }
             Event::StoreRegained => {
-                if std::mem::take(&mut self.lost) {
+                if std::mem::take(&mut self.is_lost) {
                     self.grace_until = now + RECOVERY_GRACE;
                 }
                 false
@@ -193,18 +193,18 @@
 
     /// Returns whether the store is unreachable.
     pub fn is_lost(&self) -> bool {
-        self.lost
+        self.is_lost
     }
 
     /// Returns when [`Event::Tick`] is due.
     pub fn next_wake(&self) -> Option<Time> {
         let unconfirmed = self.unconfirmed.values().min().copied();
         let reappeared = self.reappeared.values().map(|(_, at)| *at).min();
-        let emptied = self.evacuations.next_wake();
+        let evacuations = self.evacuations.next_wake();
         unconfirmed
             .into_iter()
             .chain(reappeared)
-            .chain(emptied)
+            .chain(evacuations)
             .min()
     }
 
@@ -221,10 +221,10 @@
     pub fn usable(&self) -> Usable<'_> {
         let mut usable = Usable::new();
         for entry in self.entries.values() {
-            let other = usable.entry(entry.address).or_insert(entry);
-            let is_later = |one: &Entry| (one.order.started_at, one.revision);
-            if is_later(other) < is_later(entry) {
-                *other = entry;
+            let latest = usable.entry(entry.address).or_insert(entry);
+            let recency = |entry: &Entry| (entry.order.started_at, entry.revision);
+            if recency(latest) < recency(entry) {
+                *latest = entry;
             }
         }
         usable.retain(|_, entry| self.is_usable(entry));
@@ -363,10 +363,10 @@
 
     fn tick(&mut self, now: Time) -> bool {
         self.tombstones.retain(|_, (_, until)| *until > now);
-        let over = self.unconfirmed.iter().filter(|(_, until)| **until <= now);
-        let over: Vec<InstanceId> = over.map(|(instance, _)| instance.clone()).collect();
+        let expired = self.unconfirmed.iter().filter(|(_, until)| **until <= now);
+        let expired: Vec<InstanceId> = expired.map(|(instance, _)| instance.clone()).collect();
         let mut changed = self.evacuations.tick(now);
-        for instance in over {
+        for instance in expired {
             changed |= self.remove(&instance, now);
         }
         changed | self.accept_reappeared(now)
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -185,7 +185,7 @@
 const MIN_REMOTE_SHARDS: usize = 4;
 
 /// Returns, by data centre, the shards of a set that have servers there and none in `own`. Omits
-/// data centres with fewer than [`MIN_REMOTE_SHARDS`] of them.
+/// data centres with fewer than `MIN_REMOTE_SHARDS` of them.
 pub fn remote_shards(
     shards: &Shards,
     usable: &Usable<'_>,
@@ -203,8 +203,8 @@
         let missing = held.difference(&here);
         (data_centre, missing.copied().collect::<Vec<usize>>())
     });
-    let enough = remote.filter(|(_, missing)| missing.len() >= MIN_REMOTE_SHARDS);
-    enough
+    let eligible = remote.filter(|(_, missing)| missing.len() >= MIN_REMOTE_SHARDS);
+    eligible
         .map(|(data_centre, missing)| {
             let keys = missing.into_iter().map(shard).collect();
             (data_centre.clone(), keys)
@@ -214,11 +214,13 @@
 
 /// Returns whether some route leads to a larger set that shares a service with this one.
 pub fn is_in_larger_set(shards: &Shards, table: &Table) -> bool {
-    let larger = |other: &&Shards| {
-        let shares = other.iter().any(|service| shards.contains(service));
-        shares && other.len() > shards.len()
+    let is_larger = |other: &&Shards| {
+        let overlaps = other.iter().any(|service| shards.contains(service));
+        overlaps && other.len() > shards.len()
     };
-    table.routes().any(|route| route.sets().iter().any(larger))
+    table
+        .routes()
+        .any(|route| route.sets().iter().any(is_larger))
 }
 
 /// Returns the index of each service in a set. Every change to the servers matches all of them
--- a/crates/decision/tests/evacuation.rs
+++ b/crates/decision/tests/evacuation.rs
@@ -226,7 +226,7 @@
             }
         }
         self.revision = store.changes.len();
-        let known: BTreeSet<&str> = self.known.emptied().map(|one| &**one).collect();
+        let known: BTreeSet<&str> = self.known.evacuated().map(|one| &**one).collect();
         let stored = store.emptied(self.revision);
         (known != stored).then(|| format!("{known:?} in place of {stored:?}"))
     }
