--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -344,7 +344,7 @@
         }
         let route = Arc::new(route);
         home.handle.tell(Event::Route(route.clone()));
-        home.handle.tell(Event::Far(far));
+        home.handle.tell(Event::RemoteServers(far));
         Home { route, ..home }
     }
 
@@ -398,7 +398,7 @@
             },
             // Every host has a small part of a server's requests.
             policy: Policy {
-                proof: CrashSignal::ConnectFailed,
+                crash_signal: CrashSignal::ConnectFailed,
                 ..Policy::default()
             },
             seed: settings.seed,
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -1,15 +1,16 @@
-//! Connections to the backend servers of one route.
+//! Connection pool for the backend servers of one route.
 //!
-//! A new connection costs milliseconds and a server takes few, so they are opened ahead of need: as
-//! many as were lately in use at once and one to spare, within this home's share of the server's
-//! limit, and never more than a few at the same time. They are closed one by one, long after the
-//! need has gone.
+//! Opening a connection takes milliseconds and servers accept few, so connections are opened ahead
+//! of demand: as many as were recently in use concurrently, plus spare ones, within this home's
+//! share of the server's limit. Only a few are opened at a time, and idle ones are closed one by
+//! one long after demand has dropped.
 //!
-//! Invariant: no server has more connections open or being opened than the share, except those in
-//! use when the share shrank, which are closed as soon as they are idle.
+//! Invariant: the number of connections to a server, open or opening, never exceeds the share. The
+//! only exception are connections in use when the share shrinks, which are closed when they become
+//! idle.
 
 mod connection;
-mod line;
+mod server_pool;
 mod silence;
 
 pub use silence::Health;
@@ -18,66 +19,67 @@
 use crate::attempt::ConnectionId;
 use crate::placement::{self, Division, Homes};
 use connection::{Connection, State};
-use line::{Line, Share};
 use monsoonring_configuration::document::{Capacity, Route};
 use monsoonring_configuration::id::BackendServerId;
 use rustc_hash::FxHashMap;
+use server_pool::{Limits, ServerPool};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Age up to which an idle connection counts as verified by its last use.
-const FRESH: Duration = Duration::from_secs(1);
+const MAX_VERIFIED_AGE: Duration = Duration::from_secs(1);
 
-/// Something that the home does for the pool.
+/// A command for the driver of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Open a connection; answered by [`Pool::opened`] or [`Pool::closed`].
+    /// Open a connection; the result is reported with [`Pool::opened`], [`Pool::closed`] or
+    /// [`Pool::rejected`].
     Open(ConnectionId, BackendServerId),
-    /// Close a connection; the pool has forgotten it already.
+    /// Close a connection, which the pool has already removed.
     Close(ConnectionId),
 }
 
-fn share(division: &Division, capacity: Capacity) -> Share {
-    Share {
-        most: division.connections(capacity.connections),
+fn limits(division: &Division, capacity: Capacity) -> Limits {
+    Limits {
+        max: division.connections(capacity.connections),
         spare: division.spare,
-        floor: division.min_idle,
-        held_for: division.idle_time(capacity.connections),
+        min_idle: division.min_idle,
+        idle_time: division.idle_time(capacity.connections),
     }
 }
 
-/// The end of a connection.
+/// A connection that has ended or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnect {
-    /// The server at its other end.
+    /// Server of the connection.
     pub server: BackendServerId,
-    /// Whether the server counts as unreachable from now on; to be told to
+    /// Whether the server has just become unreachable; must be passed to
     /// [`Fleet::set_reachable`](super::Fleet::set_reachable).
     pub became_unreachable: bool,
 }
 
 /// Connections to the backend servers of one route.
 pub struct Pool {
-    lines: FxHashMap<BackendServerId, Line>,
+    server_pools: FxHashMap<BackendServerId, ServerPool>,
     connections: FxHashMap<ConnectionId, Connection>,
-    next: ConnectionId,
-    share: Share,
+    next_id: ConnectionId,
+    limits: Limits,
     capacity: Capacity,
     division: Division,
-    /// Servers in other data centres: nothing is kept ready there without need.
+    /// Servers in other data centres, for which no idle connections are kept without demand.
     far: BTreeSet<BackendServerId>,
-    /// What tells this home from the others when it is decided who keeps connections ready.
+    /// Identity of this home, used to select the servers for which it keeps idle connections.
     identity: u64,
-    /// Servers that something has happened to since the last [`Pool::reconcile`].
+    /// Servers with events since the last [`Pool::reconcile`].
     changed: BTreeSet<BackendServerId>,
     closing: Vec<ConnectionId>,
-    /// Time at which time alone may have given some line something to do; never too late.
+    /// Lower bound of the next time at which a timer of some server expires.
     due: Option<Time>,
 }
 
 impl Pool {
-    /// Makes the empty pool of a route at a home that takes its part of the `division`; connection
-    /// ids count from `first`.
+    /// Creates an empty pool for a route, at a home with the given share of each server; connection
+    /// ids start at `first`.
     pub fn new(
         route: &Route,
         division: impl Into<Division>,
@@ -86,10 +88,10 @@
     ) -> Self {
         let division = division.into();
         let mut pool = Self {
-            lines: FxHashMap::default(),
+            server_pools: FxHashMap::default(),
             connections: FxHashMap::default(),
-            next: first,
-            share: share(&division, route.capacity),
+            next_id: first,
+            limits: limits(&division, route.capacity),
             identity: 0,
             capacity: route.capacity,
             division,
@@ -98,82 +100,82 @@
             closing: Vec::new(),
             due: None,
         };
-        pool.adopt(route, now);
+        pool.apply_route(route, now);
         pool
     }
 
-    /// Takes over a new configuration. Connections to removed servers are closed when idle.
+    /// Applies a new configuration. Connections to removed servers are closed once idle.
     pub fn reconfigure(&mut self, route: &Route, now: Time) {
         self.capacity = route.capacity;
-        self.adopt(route, now);
-        self.divide();
+        self.apply_route(route, now);
+        self.update_limits();
     }
 
-    /// Takes over the homes of the route.
+    /// Sets the homes of the route, which determine this home's share.
     pub fn set_homes(&mut self, homes: impl Into<Homes>, _now: Time) {
         self.division = self.division.with_homes(homes);
-        self.divide();
+        self.update_limits();
     }
 
-    fn divide(&mut self) {
-        self.share = share(&self.division, self.capacity);
-        self.changed.extend(self.lines.keys());
+    fn update_limits(&mut self) {
+        self.limits = limits(&self.division, self.capacity);
+        self.changed.extend(self.server_pools.keys());
     }
 
-    /// Takes over what tells this home from others.
+    /// Sets the identity of this home; it must differ between homes.
     pub fn set_identity(&mut self, identity: u64) {
         self.identity = identity;
     }
 
-    /// Takes over which servers are in other data centres.
+    /// Sets which servers are in other data centres.
     pub fn set_far(&mut self, far: BTreeSet<BackendServerId>) {
         self.far = far;
-        self.changed.extend(self.lines.keys());
+        self.changed.extend(self.server_pools.keys());
     }
 
-    /// Returns how the servers are divided among the homes.
+    /// Returns how server capacity is divided among the homes.
     pub fn division(&self) -> Division {
         self.division
     }
 
-    /// Takes over whether a server is leaving: no connection is opened, idle ones are closed.
+    /// Sets whether a server is leaving. No connections are opened to one that is, and idle ones
+    /// are closed.
     pub fn set_leaving(&mut self, server: BackendServerId, leaving: bool, _now: Time) {
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.leaving = leaving;
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.leaving = leaving;
             self.changed.insert(server);
         }
     }
 
-    /// Takes an idle connection to `server`. Where there is none the miss counts as demand.
+    /// Takes an idle connection to `server`. A miss counts as demand.
     pub fn acquire(&mut self, server: BackendServerId, now: Time) -> Option<ConnectionId> {
         self.take(server, Time::ZERO, now)
     }
 
-    /// Takes an idle connection that was opened or used a moment ago, fit for a non-idempotent
-    /// request. Where there is none the miss counts as demand for a new one.
+    /// Takes an idle connection that was opened or used recently, for a non-idempotent request. A
+    /// miss counts as demand.
     ///
-    /// A connection that was idle for long may have been forgotten by something between the two
-    /// ends. A request put on it gets no answer, and one that must not be sent twice could then
-    /// only end as unknown.
+    /// A middlebox may have dropped a connection that was idle for long. A request sent on it gets
+    /// no reply, and one that must not be repeated would end with an unknown outcome.
     pub fn acquire_fresh(&mut self, server: BackendServerId, now: Time) -> Option<ConnectionId> {
-        let fresh = self.take(server, now.saturating_sub(FRESH), now);
+        let fresh = self.take(server, now.saturating_sub(MAX_VERIFIED_AGE), now);
         if fresh.is_none() {
-            self.replace_stale(server, now);
+            self.evict_stale(server, now);
         }
         fresh
     }
 
-    /// Returns what is to be opened and closed now.
+    /// Returns the connections to open and close.
     ///
-    /// It is asked after each event: only servers to which something happened are looked at, and
-    /// all of them only when time has given some of them something to do.
+    /// Called after each event: it visits only servers with events since the last call, or whose
+    /// timers have expired.
     pub fn reconcile(&mut self, now: Time) -> Vec<Command> {
-        self.take_due(now);
+        self.collect_due(now);
         let mut opens = Vec::new();
         for server in std::mem::take(&mut self.changed) {
             self.close_excess(server, now);
             self.open_missing(server, now, &mut opens);
-            self.settle(server);
+            self.schedule(server);
         }
         let closes = std::mem::take(&mut self.closing);
         closes
@@ -183,67 +185,72 @@
             .collect()
     }
 
-    fn take_due(&mut self, now: Time) {
+    fn collect_due(&mut self, now: Time) {
         if self.due.is_none_or(|due| due > now) {
             return;
         }
-        let due = self.lines.iter().filter(|(_, line)| line.is_due(now));
+        let due = self
+            .server_pools
+            .iter()
+            .filter(|(_, server_pool)| server_pool.is_due(now));
         self.changed.extend(due.map(|(server, _)| *server));
-        let later = self.lines.values().filter(|line| !line.is_due(now));
-        self.due = later.filter_map(Line::wake).min();
+        let later = self
+            .server_pools
+            .values()
+            .filter(|server_pool| !server_pool.is_due(now));
+        self.due = later.filter_map(ServerPool::next_wake).min();
     }
 
-    /// Notes when a server is to be looked at again, or forgets it if it has gone for good.
-    fn settle(&mut self, server: BackendServerId) {
-        let Some(line) = self.lines.get(&server) else {
+    /// Schedules the next visit of a server, or removes a server that is no longer needed.
+    fn schedule(&mut self, server: BackendServerId) {
+        let Some(server_pool) = self.server_pools.get(&server) else {
             return;
         };
-        if line.is_over() {
-            self.lines.remove(&server);
+        if server_pool.is_finished() {
+            self.server_pools.remove(&server);
             return;
         }
-        self.due = self.due.into_iter().chain(line.wake()).min();
+        self.due = self.due.into_iter().chain(server_pool.next_wake()).min();
     }
 
-    /// Records that a connection is ready. Returns its server.
+    /// Records that a connection is open. Returns its server.
     pub fn opened(&mut self, id: ConnectionId, now: Time) -> Option<BackendServerId> {
         let connection = self.connections.get_mut(&id)?;
         if connection.state != State::Opening {
             return None;
         }
         connection.state = State::Idle;
-        connection.proven = now;
+        connection.verified_at = now;
         let server = connection.server;
-        let line = self.lines.get_mut(&server)?;
-        line.opened(id, now);
+        let server_pool = self.server_pools.get_mut(&server)?;
+        server_pool.opened(id, now);
         self.changed.insert(server);
         Some(server)
     }
 
-    /// Records that a connection could not be made or has ended by itself, under an attempt
-    /// (`Failure::Lost`) or idle.
+    /// Records that a connection could not be opened, or was lost while idle or during an attempt.
     pub fn closed(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
-        let line = self.lines.get_mut(&server)?;
-        let was_reachable = line.reachable;
-        line.closed(id, &connection, now);
+        let server_pool = self.server_pools.get_mut(&server)?;
+        let was_reachable = server_pool.reachable;
+        server_pool.closed(id, &connection, now);
         self.changed.insert(server);
         Some(Disconnect {
             server,
-            became_unreachable: was_reachable && !line.reachable,
+            became_unreachable: was_reachable && !server_pool.reachable,
         })
     }
 
-    /// Another start is at the address of a server: the idle connections lead to one that is gone and
-    /// are closed, those in use are when they are given back.
+    /// Records that a new process runs at the address of a server. Idle connections to the old
+    /// process are closed; busy ones are closed when they are released.
     pub fn replaced(&mut self, server: BackendServerId, now: Time) {
         let mut idle = Vec::new();
         for (id, connection) in &mut self.connections {
-            let is_there = connection.server == server;
+            let is_same_server = connection.server == server;
             match connection.state {
-                State::Idle if is_there => idle.push(*id),
-                State::Busy(_) if is_there => connection.retired = true,
+                State::Idle if is_same_server => idle.push(*id),
+                State::Busy(_) if is_same_server => connection.retired = true,
                 _ => {}
             }
         }
@@ -251,13 +258,13 @@
         for id in idle {
             self.discard(id, now);
         }
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.replaced(now);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.replaced(now);
             self.changed.insert(server);
         }
     }
 
-    /// Gives back a connection on which an attempt was answered.
+    /// Returns a connection to the pool after a reply on it.
     pub fn release(&mut self, id: ConnectionId, now: Time) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -270,15 +277,15 @@
             return;
         };
         connection.state = State::Idle;
-        connection.proven = now;
+        connection.verified_at = now;
         let server = connection.server;
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.released(id, sent, now);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.released(id, sent, now);
         }
         self.changed.insert(server);
     }
 
-    /// Gives back a connection that was taken and on which nothing was sent.
+    /// Returns a connection to the pool on which nothing was sent.
     pub fn put_back(&mut self, id: ConnectionId, _now: Time) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -287,117 +294,133 @@
             return;
         }
         connection.state = State::Idle;
-        if let Some(line) = self.lines.get_mut(&connection.server) {
-            line.put_back(id);
+        if let Some(server_pool) = self.server_pools.get_mut(&connection.server) {
+            server_pool.put_back(id);
         }
         self.changed.insert(connection.server);
     }
 
-    /// Gives up a connection that can't be used again; [`Self::reconcile`] returns its `Close`.
+    /// Discards a connection that can't be reused; [`Self::reconcile`] returns its `Close`.
     pub fn discard(&mut self, id: ConnectionId, _now: Time) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        if let Some(line) = self.lines.get_mut(&connection.server) {
-            line.remove(id, &connection);
+        if let Some(server_pool) = self.server_pools.get_mut(&connection.server) {
+            server_pool.remove(id, &connection);
         }
         self.changed.insert(connection.server);
         self.closing.push(id);
     }
 
-    /// Records that a server ended a new connection at once because it has too many. It counts as
-    /// unreachable for a while if there is no other connection to it.
+    /// Records that a server closed a new connection immediately because of its connection limit.
+    /// The server becomes unreachable for a while if there are no other connections to it.
     pub fn rejected(&mut self, id: ConnectionId, now: Time) -> Option<Disconnect> {
         let connection = self.connections.remove(&id)?;
         let server = connection.server;
-        let line = self.lines.get_mut(&server)?;
-        let was_reachable = line.reachable;
-        line.rejected(id, &connection, now);
+        let server_pool = self.server_pools.get_mut(&server)?;
+        let was_reachable = server_pool.reachable;
+        server_pool.rejected(id, &connection, now);
         self.changed.insert(server);
         Some(Disconnect {
             server,
-            became_unreachable: was_reachable && !line.reachable,
+            became_unreachable: was_reachable && !server_pool.reachable,
         })
     }
 
-    /// Takes in that a server refused a connection because its limit is reached: no more are
-    /// opened for a while.
+    /// Records that a server refused a request because of its connection limit: opening connections
+    /// is paused.
     pub fn connection_limit_reached(&mut self, server: BackendServerId, now: Time) {
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.connection_limit_reached(now);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.connection_limit_reached(now);
             self.changed.insert(server);
         }
     }
 
-    /// Tells whether a server can be reached.
+    /// Returns whether a server can be reached.
     pub fn is_reachable(&self, server: BackendServerId) -> bool {
-        self.lines.get(&server).is_some_and(|line| line.reachable)
+        self.server_pools
+            .get(&server)
+            .is_some_and(|server_pool| server_pool.reachable)
     }
 
-    /// Returns how many connections to `server` are open or being opened.
+    /// Returns the number of connections to `server` that are open or opening.
     pub fn connections(&self, server: BackendServerId) -> usize {
-        self.lines.get(&server).map_or(0, Line::len)
+        self.server_pools.get(&server).map_or(0, ServerPool::len)
     }
 
-    /// Returns how many connections to `server` are idle and ready.
+    /// Returns the number of idle connections to `server`.
     pub fn idle(&self, server: BackendServerId) -> usize {
-        self.lines.get(&server).map_or(0, |line| line.idle.len())
+        self.server_pools
+            .get(&server)
+            .map_or(0, |server_pool| server_pool.idle.len())
     }
 
-    /// Returns the time at which [`Self::reconcile`] has something to do, if nothing else happens.
+    /// Returns the next time at which [`Self::reconcile`] has work to do without further events.
     pub fn next_wake(&self) -> Option<Time> {
         self.due
     }
 
-    fn adopt(&mut self, route: &Route, now: Time) {
-        self.lines
+    fn apply_route(&mut self, route: &Route, now: Time) {
+        self.server_pools
             .values_mut()
-            .for_each(|line| line.configured = false);
+            .for_each(|server_pool| server_pool.configured = false);
         let servers = route.groups.iter().flat_map(|group| &group.backend_servers);
         for server in servers {
-            let line = self.lines.entry(*server).or_insert_with(|| Line::new(now));
-            line.configured = true;
+            let server_pool = self
+                .server_pools
+                .entry(*server)
+                .or_insert_with(|| ServerPool::new(now));
+            server_pool.configured = true;
         }
-        self.changed.extend(self.lines.keys());
+        self.changed.extend(self.server_pools.keys());
     }
 
-    /// Takes the idle connection that was used last, if it was proven at or after `since`.
-    fn take(&mut self, server: BackendServerId, since: Time, now: Time) -> Option<ConnectionId> {
-        let line = self.lines.get_mut(&server)?;
+    /// Takes the most recently used idle connection, if it was verified at or after
+    /// `verified_since`.
+    fn take(
+        &mut self,
+        server: BackendServerId,
+        verified_since: Time,
+        now: Time,
+    ) -> Option<ConnectionId> {
+        let server_pool = self.server_pools.get_mut(&server)?;
         self.changed.insert(server);
-        let last = line.idle.last().copied();
+        let last = server_pool.idle.last().copied();
         let connection = last.and_then(|id| self.connections.get_mut(&id));
-        let Some(connection) = connection.filter(|connection| connection.proven >= since) else {
-            line.missed(now);
+        let Some(connection) =
+            connection.filter(|connection| connection.verified_at >= verified_since)
+        else {
+            server_pool.missed(now);
             return None;
         };
         connection.state = State::Busy(now);
-        line.idle.pop();
-        line.taken(now);
+        server_pool.idle.pop();
+        server_pool.acquired(now);
         last
     }
 
-    /// Returns what a server may have of this home.
+    /// Returns the connection limits for a server.
     ///
-    /// A connection is kept ready without need where one is in use all the time, which is at the servers
-    /// nearby. Where every host kept one at every server, 89 hosts asked for more than the 76 that a
-    /// server takes, and it ended 203,276 connections in a calm minute.
-    fn share_of(&self, server: BackendServerId) -> Share {
-        let kept = self.division.idle_share(self.capacity.connections);
-        let is_drawn = kept >= 1.0 || placement::uniform_hash(self.identity, server) < kept;
-        let is_kept = is_drawn && !self.far.contains(&server);
-        Share {
-            floor: if is_kept { self.share.floor } else { 0 },
-            ..self.share
+    /// A minimum of idle connections is kept only at nearby servers, and with many homes only at a
+    /// selected part of them. If every home kept one at every server, their number could exceed the
+    /// servers' connection limits.
+    fn limits_for(&self, server: BackendServerId) -> Limits {
+        let idle_share = self.division.idle_share(self.capacity.connections);
+        let is_selected =
+            idle_share >= 1.0 || placement::uniform_hash(self.identity, server) < idle_share;
+        let keeps_idle = is_selected && !self.far.contains(&server);
+        Limits {
+            min_idle: if keeps_idle { self.limits.min_idle } else { 0 },
+            ..self.limits
         }
     }
 
-    /// Makes place for a verified connection where idle ones stand in its way.
-    fn replace_stale(&mut self, server: BackendServerId, now: Time) {
-        let share = self.share_of(server);
-        let oldest = self.lines.get(&server).and_then(|line| {
-            let none_comes = line.opening == 0 && line.missing(share, now) == 0;
-            line.idle.first().copied().filter(|_| none_comes)
+    /// Closes an idle connection that is not verified, if it prevents a new one from being opened.
+    fn evict_stale(&mut self, server: BackendServerId, now: Time) {
+        let limits = self.limits_for(server);
+        let oldest = self.server_pools.get(&server).and_then(|server_pool| {
+            let none_opening = server_pool.opening == 0 && server_pool.to_open(limits, now) == 0;
+            server_pool.idle.first().copied().filter(|_| none_opening)
         });
         if let Some(id) = oldest {
             self.discard(id, now);
@@ -405,12 +428,12 @@
     }
 
     fn close_excess(&mut self, server: BackendServerId, now: Time) {
-        let share = self.share_of(server);
-        if let Some(line) = self.lines.get_mut(&server) {
-            line.elapse(share, now);
+        let limits = self.limits_for(server);
+        if let Some(server_pool) = self.server_pools.get_mut(&server) {
+            server_pool.advance(limits, now);
         }
-        while let Some(line) = self.lines.get_mut(&server) {
-            let Some(id) = line.excess(share) else {
+        while let Some(server_pool) = self.server_pools.get_mut(&server) {
+            let Some(id) = server_pool.excess_idle(limits) else {
                 return;
             };
             self.discard(id, now);
@@ -418,14 +441,14 @@
     }
 
     fn open_missing(&mut self, server: BackendServerId, now: Time, opens: &mut Vec<Command>) {
-        let share = self.share_of(server);
-        let Some(line) = self.lines.get_mut(&server) else {
+        let limits = self.limits_for(server);
+        let Some(server_pool) = self.server_pools.get_mut(&server) else {
             return;
         };
-        for _ in 0..line.missing(share, now) {
-            let id = self.next;
-            self.next += 1;
-            line.opening += 1;
+        for _ in 0..server_pool.to_open(limits, now) {
+            let id = self.next_id;
+            self.next_id += 1;
+            server_pool.opening += 1;
             self.connections
                 .insert(id, Connection::opening(server, now));
             opens.push(Command::Open(id, server));
--- a/crates/decision/src/gateway/helper.rs
+++ b/crates/decision/src/gateway/helper.rs
@@ -16,7 +16,7 @@
 
 use crate::Time;
 use crate::member::MemberId;
-use crate::query::coverage::Set;
+use crate::query::coverage::KeySet;
 use monsoonring_configuration::id::DataCentreId;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -73,7 +73,7 @@
     /// The host that searches it.
     pub host: MemberId,
     /// The keys to search.
-    pub keys: Set,
+    pub keys: KeySet,
 }
 
 /// How a search that was handed to a helper ended.
@@ -204,7 +204,7 @@
     /// search: one in the data centre with the most keys.
     pub fn delegate(
         &mut self,
-        keys: &BTreeMap<DataCentreId, Set>,
+        keys: &BTreeMap<DataCentreId, KeySet>,
         now: Time,
     ) -> Option<Delegation> {
         if self.delegation_paused.is_some_and(|until| until > now) {
@@ -222,7 +222,8 @@
             let is_eligible = helper.is_ready(now) && is_near_enough(data_centre);
             is_eligible.then_some((host, helper, keys))
         });
-        let order = |(_, a, a_keys): &(_, &Helper, &Set), (_, b, b_keys): &(_, &Helper, &Set)| {
+        let order = |(_, a, a_keys): &(_, &Helper, &KeySet),
+                     (_, b, b_keys): &(_, &Helper, &KeySet)| {
             let by_size = b_keys.len().cmp(&a_keys.len());
             by_size.then_with(|| a.compare(b))
         };
@@ -244,7 +245,7 @@
     }
 
     /// Returns the maximum round trip to a data centre that a part is delegated to.
-    fn max_round_trip(&self, keys: &BTreeMap<DataCentreId, Set>) -> Duration {
+    fn max_round_trip(&self, keys: &BTreeMap<DataCentreId, KeySet>) -> Duration {
         let eligible = self.round_trips.iter();
         let eligible = eligible.filter(|(data_centre, _)| keys.contains_key(*data_centre));
         let shortest = eligible.map(|(_, time)| *time).min().unwrap_or_default();
--- a/crates/decision/src/gateway/shards.rs
+++ b/crates/decision/src/gateway/shards.rs
@@ -9,7 +9,7 @@
 use super::{InstanceId, ServiceId, Shards};
 use crate::Time;
 use crate::backend::ColdLimit;
-use crate::query::coverage::Set;
+use crate::query::coverage::KeySet;
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::{Capacity, Group, Hedge, Kind, Retry, Route};
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
@@ -190,7 +190,7 @@
     shards: &Shards,
     usable: &Usable<'_>,
     own: &DataCentreId,
-) -> BTreeMap<DataCentreId, Set> {
+) -> BTreeMap<DataCentreId, KeySet> {
     let indexes = indexes(shards);
     let mut held: BTreeMap<&DataCentreId, BTreeSet<usize>> = BTreeMap::new();
     for entry in usable.values() {
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -19,12 +19,12 @@
 use crate::outcome::{Outcome, Reason};
 use crate::placement::Allocation;
 use crate::policy::Policy;
-use crate::query::attempt::Unrun;
+use crate::query::attempt::NotRunProof;
 use crate::query::coverage;
 use crate::query::execution::Execution;
 use crate::query::pin::Pin;
-use crate::query::run::{Run, Waiter};
-use crate::why::Why;
+use crate::query::search::{Search, Waiter};
+use crate::rationale::Rationale;
 use crate::{Fingerprint, RequestId, Time};
 use monsoonring_configuration::document::{Kind, Route};
 use monsoonring_configuration::id::{BackendServerId, IndexVersion};
@@ -53,7 +53,7 @@
     pub(super) budgets: RouteBudgets,
     pub(super) pin: Pin,
     pub(super) placement: Placement,
-    pub(super) runs: BTreeMap<RequestId, Run<C>>,
+    pub(super) runs: BTreeMap<RequestId, Search<C>>,
     pub(super) executions: BTreeMap<RequestId, Execution<C>>,
     pub(super) flights: flight::Table,
     /// By group: what waits for room at one of its servers.
@@ -112,7 +112,7 @@
             pool: Pool::new(&route, division, FIRST_CONNECTION, now),
             gate: Gate::new(&route),
             shortage: Overload::default(),
-            suspects: Detector::with_crash_signal(policy.proof),
+            suspects: Detector::with_crash_signal(policy.crash_signal),
             budgets: RouteBudgets::new(&route, &division),
             pin: Pin::default(),
             placement: Placement::new(&route),
@@ -147,9 +147,9 @@
     ///
     /// What came due before is handled first: a process that was paused finds that a deadline has
     /// passed before it finds the reply that waited.
-    pub fn on(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
+    pub fn handle(&mut self, event: Event<C>, now: Time) -> Vec<Action<C>> {
         self.fire(now);
-        self.handle(event, now);
+        self.apply(event, now);
         self.conclude(now)
     }
 
@@ -185,11 +185,11 @@
     }
 
     /// Returns the room that the route's backend servers have for this home.
-    pub fn room(&self, now: Time) -> GroupLoad {
+    pub fn busiest_group(&self, now: Time) -> GroupLoad {
         self.fleet.busiest_group(now)
     }
 
-    fn handle(&mut self, event: Event<C>, now: Time) {
+    fn apply(&mut self, event: Event<C>, now: Time) {
         match event {
             Event::Request(request) => self.arrived(request, now),
             Event::Abandoned(id) => self.abandoned(id, now),
@@ -205,7 +205,7 @@
             Event::Failed(attempt, failure) => self.failed(attempt, &failure, now),
             Event::Route(route) => self.reroute(route, now),
             Event::Replaced(servers) => self.replaced(&servers, now),
-            Event::Far(far) => self.set_far(far),
+            Event::RemoteServers(far) => self.set_far(far),
             Event::Cold(cold) => self.set_cold(&cold, now),
             Event::Homes(homes) => {
                 self.fleet.set_homes(homes, now);
@@ -237,7 +237,7 @@
             return;
         }
         if let Some((reason, retry_after)) = self.refusal(&request, now) {
-            let outcome = Unrun::arrived().outcome(reason, retry_after);
+            let outcome = NotRunProof::on_arrival().into_outcome(reason, retry_after);
             let is_overload = reason == Reason::Overload;
             let why = match is_overload {
                 true => format!("{reason} {}", self.refused_by(&request, now)),
@@ -487,7 +487,7 @@
         request: Option<RequestId>,
         what: &'static str,
         backend_server: Option<BackendServerId>,
-        why: impl Into<Why>,
+        why: impl Into<Rationale>,
     ) {
         self.actions.push(Action::Log(Decision {
             request,
