--- a/crates/decision/src/gateway/members/strength.rs
+++ b/crates/decision/src/gateway/members/strength.rs
@@ -1,4 +1,4 @@
-//! How strong the hosts of the own data centre are, and what each may take for it.
+//! Strengths of the hosts in this data centre, and the host counts derived from them.
 
 use super::{Action, Datagram, Members, Reply};
 use crate::Time;
@@ -8,14 +8,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time after which a host is asked again how strong it is, which doubles, and how often it is asked.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-const ASKED_AT_MOST: u32 = 6;
+/// Delay before a host is asked again for its strength, which doubles with each request, and the
+/// maximum number of requests.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+const MAX_TRIES: u32 = 6;
 
 impl Members {
-    /// Tells the homes what there is to divide by.
-    pub(super) fn divide(&mut self) {
-        let known = self.counted;
+    /// Updates the host counts and publishes them if they changed.
+    pub(super) fn publish_hosts(&mut self) {
+        let known = self.known_hosts;
         let is_near = |change: &&Change| change.data_centre == self.data_centre;
         let near = self.table.iter().filter(is_near).count();
         self.near = near;
@@ -26,24 +27,28 @@
             role: self.role(),
             rank: self.rank(),
         };
-        if hosts != self.told {
-            self.told = hosts;
+        if hosts != self.published {
+            self.published = hosts;
             self.actions.push(Action::Hosts(hosts));
         }
         self.choose_readers();
     }
 
-    /// Returns the hosts nearby that fan out for others.
+    /// Returns the hosts of this data centre that fan out for others: those with at least
+    /// [`MIN_STRENGTH_RATIO`] times the strength of the weakest.
     pub(super) fn strong(&self) -> impl Iterator<Item = MemberId> {
         let weakest = self
             .strengths
             .values()
             .copied()
-            .filter(|one| *one > 0)
+            .filter(|strength| *strength > 0)
             .min();
-        let bound = weakest.unwrap_or(0).saturating_mul(MIN_STRENGTH_RATIO);
-        let is_strong = move |strength: &Centicores| bound > 0 && *strength >= bound;
-        let strong = self.strengths.iter().filter(move |(_, one)| is_strong(one));
+        let threshold = weakest.unwrap_or(0).saturating_mul(MIN_STRENGTH_RATIO);
+        let is_strong = move |strength: &Centicores| threshold > 0 && *strength >= threshold;
+        let strong = self
+            .strengths
+            .iter()
+            .filter(move |(_, strength)| is_strong(strength));
         strong.map(|(host, _)| *host)
     }
 
@@ -56,7 +61,7 @@
         }
     }
 
-    /// Returns the place of this host among those nearby that do the same.
+    /// Returns the index of this host among those in this data centre that have the same role.
     fn rank(&self) -> usize {
         let own = self.table.own();
         let strong: BTreeSet<MemberId> = self.strong().collect();
@@ -67,33 +72,33 @@
         before.filter(is_alike).count()
     }
 
-    /// Takes in how strong a host nearby is, and answers.
-    pub(super) fn strength(&mut self, from: MemberId, strength: Centicores, reply: Reply) {
+    /// Records the strength of a host and replies if requested.
+    pub(super) fn receive_strength(&mut self, from: MemberId, strength: Centicores, reply: Reply) {
         if reply == Reply::Wanted {
             self.send_strength(from, Reply::Unwanted);
         }
         self.actions.push(Action::Strength(from, strength));
         if self.strengths.insert(from, strength) != Some(strength) {
-            self.divide();
+            self.publish_hosts();
         }
     }
 
-    /// Forgets how strong hosts were that died or left. Hosts whose strong ones are gone for good would otherwise
-    /// go on taking the small part of those that others fan out for.
+    /// Removes the strengths of hosts that died or left. Otherwise, after the strong hosts are
+    /// gone, the remaining ones would keep the small shares of hosts that hand their searches over.
     pub(super) fn forget_strengths(&mut self) {
         let own = self.table.own();
         let serving = self.table.members().into_iter().map(|member| member.id);
         let serving: BTreeSet<MemberId> = serving.chain([own]).collect();
         let before = self.strengths.len();
         self.strengths.retain(|id, _| serving.contains(id));
-        self.asked_strength.retain(|id, _| serving.contains(id));
+        self.strength_requests.retain(|id, _| serving.contains(id));
         if self.strengths.len() != before {
-            self.divide();
+            self.publish_hosts();
         }
     }
 
-    /// Asks the hosts nearby of which it is not known how strong they are. A datagram may be lost, and one
-    /// that does not say was never told.
+    /// Requests unknown strengths of hosts in this data centre. Requests are limited, as a host
+    /// without a configured strength never answers.
     pub(super) fn ask_strengths(&mut self, now: Time) {
         let own = self.table.own();
         let is_near =
@@ -102,9 +107,9 @@
         let near = near.map(|member| member.id);
         let unknown: Vec<MemberId> = near.filter(|id| !self.strengths.contains_key(id)).collect();
         for id in unknown {
-            let (tries, next) = self.asked_strength.entry(id).or_default();
-            if *tries < ASKED_AT_MOST && *next <= now {
-                *next = now + ASK_AGAIN * 2_u32.pow(*tries);
+            let (tries, next) = self.strength_requests.entry(id).or_default();
+            if *tries < MAX_TRIES && *next <= now {
+                *next = now + RETRY_DELAY * 2_u32.pow(*tries);
                 *tries += 1;
                 self.send_strength(id, Reply::Wanted);
             }
--- a/crates/decision/src/home/delegation.rs
+++ b/crates/decision/src/home/delegation.rs
@@ -19,7 +19,7 @@
     /// Merges another home's reply for the delegated keys.
     pub(super) fn delegated_reply(&mut self, id: RequestId, reply: Reply<C::Value>, now: Time) {
         self.with_search(id, now, |home, search| {
-            search.fanout.send();
+            search.fanout.record_send();
             let minimum = home.route.minimum_index_version;
             let covered: KeySet = reply.ranges.iter().copied().collect();
             let delegated = search.take_delegated();
@@ -53,7 +53,7 @@
                     }
                 }
                 Progress::MaybeStarted => {
-                    search.fanout.send();
+                    search.fanout.record_send();
                     home.give_up_delegated(search, &delegated, "no reply");
                 }
             }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -193,7 +193,7 @@
         match flight.owner {
             Owner::Part(request, _) => {
                 let search = self.searches.get_mut(&request)?;
-                search.fanout.send();
+                search.fanout.record_send();
                 Some(search.request.clone())
             }
             Owner::Execution(request) => self.mark_execution_sent(request),
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -295,8 +295,9 @@
     fn candidates(&self, part: &Part) -> SmallVec<[BackendServerId; 4]> {
         let group = self.route.groups.get(part.group);
         let servers = group.into_iter().flat_map(|group| &group.backend_servers);
-        let capable = servers
-            .filter(|server| !part.unable.contains(server) && !self.is_below_min_version(**server));
+        let capable = servers.filter(|server| {
+            !part.excluded.contains(server) && !self.is_below_min_version(**server)
+        });
         capable.copied().collect()
     }
 
