--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -1,15 +1,14 @@
-//! What hosts tell each other where every one of them is a home: who there is, and which requests
-//! crash backend servers.
+//! Communication between hosts: membership, crash reports, strengths and helpers.
 //!
-//! The number of hosts decides what each may take of the servers' connections and of the extra
-//! attempts. Assumed too low, 21 hosts with a share for 9 had 3,801 connections of a day ended by
-//! servers that had too many, and no room for the routes that few ask for. Assumed too high, each
-//! takes less than it could. A request that crashes servers is found by the host that loses two of
-//! them to it; without a word to the others it would take two more at each of them.
+//! The number of hosts determines each host's share of the servers' connections and of the retry
+//! and hedge budgets. If it is assumed too low, servers reject connections; if too high, capacity
+//! is left unused. A request that crashes servers is detected by the host that loses two of them to
+//! it; without a report to the others, each would lose two more.
 //!
-//! Everything goes in datagrams: a lost one is a probe that failed, and no connection can fall silent
-//! between two hosts. [`member::Table`] and [`fact::Table`] decide what is believed; this keeps the
-//! questions that are open and translates between their actions and datagrams.
+//! All messages are datagrams. A lost one is equivalent to a failed probe, and there are no
+//! connections that could fail silently. [`member::Table`] and [`fact::Table`] hold the membership
+//! and the facts; this module tracks pending requests and converts their actions to datagrams and
+//! back.
 
 mod readers;
 mod remote;
@@ -30,92 +29,92 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bound of the changes in one datagram, in bytes: with the facts and the sender it stays under the
-/// 1,472 bytes that an Ethernet frame carries.
-const MESSAGE_BYTES: usize = 800;
+/// Maximum size of the changes in a datagram, in bytes. With facts and sender the datagram stays
+/// below the 1,472 bytes of UDP payload in an Ethernet frame.
+const MAX_CHANGE_BYTES: usize = 800;
 
-/// Bound of the facts in one datagram, in bytes.
-const FACT_BYTES: usize = 300;
+/// Maximum size of the facts in a datagram, in bytes.
+const MAX_FACT_BYTES: usize = 300;
 
-/// Bound of a page of the table, in bytes; one bucket goes in any case.
-const PAGE_BYTES: usize = 1_200;
+/// Maximum size of a page of the table, in bytes; a page holds at least one bucket.
+const MAX_PAGE_BYTES: usize = 1_200;
 
-/// Time for which a host that died or left is counted. It may come back in seconds, and until then
-/// the others must not take its part: two sides of a partition would take the whole twice.
-const COUNTED_FOR: Duration = Duration::from_secs(10 * 60);
+/// Time for which a dead or departed host still counts. It may return within seconds, and the two
+/// sides of a partition must not each use the full connection limit.
+const TOMBSTONE_LIFE: Duration = Duration::from_secs(10 * 60);
 
-/// Time that a page may take.
-const PAGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a page request, and of a relayed probe.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Hosts that are told at once what crashes servers. A caller that asks again is at the next host
-/// within milliseconds; beyond these it goes with the probes, within seconds.
-const TOLD_AT_ONCE: usize = 64;
+/// Maximum number of hosts that a new fact is sent to immediately, as a caller retries at another
+/// host within milliseconds. The other hosts receive it with probes, within seconds.
+const MAX_IMMEDIATE_RECIPIENTS: usize = 64;
 
-/// What one host sends to another.
+/// A message between hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// A probe.
     Probe(ProbeId, Box<Message>),
-    /// The answer to the probe of that number.
+    /// The answer to a probe.
     Answer(ProbeId, Box<Message>),
-    /// A request that the receiver probe somebody in the sender's place.
+    /// Asks the receiver to probe another host for the sender.
     ProbeFor(ProbeId, MemberId),
-    /// A request for a page of the table.
+    /// Requests a page of the membership table.
     Pull(BucketRange),
-    /// The page that was requested.
+    /// The requested page.
     Page(Page),
-    /// Something found out just now.
+    /// A fact that the sender has just learned.
     Fact(fact::Entry),
-    /// How strong the sender is.
+    /// The strength of the sender.
     Strength(Centicores, Reply),
-    /// A question who fans out for others in the receiver's data centre.
+    /// Requests the hosts in the receiver's data centre that fan out for others.
     AskCandidates,
-    /// Who fans out for others in the sender's data centre.
+    /// The hosts in the sender's data centre that fan out for others.
     Candidates(Vec<Candidate>),
 }
 
-/// Whether the sender waits for a reply.
+/// Whether the sender expects a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It does.
+    /// A reply is expected.
     Wanted,
-    /// It does not.
+    /// No reply is expected.
     Unwanted,
 }
 
-/// Something that happened.
+/// An input of [`Members::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passes; to be fed several times a second.
+    /// Time has passed; due several times per second.
     Tick,
-    /// A datagram came from this address.
+    /// A datagram arrived from this address.
     Received(MemberId, Datagram),
-    /// A home here found something out, to be held for that long.
+    /// A home on this host found a fact, valid for this time.
     Found(fact::Key, Duration),
-    /// Parts of searches may go to these other data centres from now on.
+    /// Searches may be delegated to these data centres.
     RemoteDataCentres(BTreeSet<DataCentreId>),
 }
 
-/// Something to be done.
+/// An output of [`Members::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send(MemberId, Datagram),
-    /// A fact that was not known here before; for the homes.
+    /// Pass a new fact to the homes.
     Learned(fact::Entry),
-    /// A host in the same data centre has this strength.
+    /// Record the strength of a host in the same data centre.
     Strength(MemberId, Centicores),
-    /// These hosts of another data centre may fan out for this one.
+    /// Replace the hosts of another data centre that fan out for others.
     Remote(Remote),
-    /// The hosts to divide by changed.
+    /// Apply new numbers of hosts, which determine this host's shares.
     Hosts(Homes),
-    /// Who reads the store changed.
+    /// Replace the readers of the store.
     Readers(Readers),
-    /// Write a line to the log.
+    /// Write a log line.
     Log(LogLine),
 }
 
-/// A probe in somebody's place.
+/// A probe on behalf of another host.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
     asker: MemberId,
@@ -124,47 +123,48 @@
     until: Time,
 }
 
-/// An own probe that is not answered yet.
+/// A probe or page request that awaits its answer.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Pending {
     target: MemberId,
     until: Time,
 }
 
-/// One host's part.
+/// State of one host.
 ///
-/// Invariant: the numbers told last are never below those assumed, nor below the hosts known.
+/// Invariant: the published host counts are never below the assumed counts or the number of known
+/// hosts.
 #[derive(Debug)]
 pub struct Members {
     table: member::Table,
     facts: fact::Table,
     assumed: Homes,
-    told: Homes,
-    /// Hosts known when they were last counted.
-    counted: usize,
+    published: Homes,
+    /// Number of known hosts when the counts were last updated.
+    known_hosts: usize,
     data_centre: DataCentreId,
-    /// By host in the same data centre, this one too.
+    /// Strengths of the hosts in this data centre, including this one.
     strengths: BTreeMap<MemberId, Centicores>,
-    /// Hosts that were asked for theirs: how often, and when they are asked again.
-    asked_strength: BTreeMap<MemberId, (u32, Time)>,
-    /// Data centres whose hosts parts of searches may go to.
-    sought: BTreeMap<DataCentreId, remote::Search>,
-    /// Hosts known in the same data centre, this one too.
+    /// Requests for unknown strengths: number sent, and time of the next.
+    strength_requests: BTreeMap<MemberId, (u32, Time)>,
+    /// Discovery of helpers, by remote data centre.
+    discoveries: BTreeMap<DataCentreId, remote::Discovery>,
+    /// Number of known hosts in this data centre, including this one.
     near: usize,
-    /// Members that served when it was last looked who of them is strong.
+    /// Number of serving members at the last update of the strengths.
     serving: usize,
-    /// Who reads the store, as told last.
+    /// The readers as published last.
     readers: Readers,
-    asked: BTreeMap<ProbeId, Asked>,
-    /// Probes in the place of others, by numbers that the table does not use.
+    pending: BTreeMap<ProbeId, Pending>,
+    /// Relayed probes, by IDs that count down and so don't collide with the table's own.
     relays: BTreeMap<ProbeId, Relay>,
     next_relay: ProbeId,
-    pulling: Option<Asked>,
+    pending_pull: Option<Pending>,
     actions: Vec<Action>,
 }
 
 impl Members {
-    /// Makes the part of a host that knows the `seeds` and reckons with `assumed` hosts at least.
+    /// Creates the state of a host that knows the `seeds` and assumes at least `assumed` hosts.
     pub fn new(
         own: placement::Member,
         start: Incarnation,
@@ -175,9 +175,9 @@
         rng: ChaCha8Rng,
     ) -> Self {
         let settings = Settings {
-            tombstone_life: COUNTED_FOR,
-            message_bytes: MESSAGE_BYTES,
-            page_bytes: PAGE_BYTES,
+            tombstone_life: TOMBSTONE_LIFE,
+            message_bytes: MAX_CHANGE_BYTES,
+            page_bytes: MAX_PAGE_BYTES,
             ..Settings::default()
         };
         let data_centre = own.data_centre.clone();
@@ -189,55 +189,58 @@
             table,
             facts: fact::Table::default(),
             assumed,
-            told: assumed,
-            counted: 0,
+            published: assumed,
+            known_hosts: 0,
             data_centre,
             strengths: BTreeMap::from([(own_id, strength)]),
-            asked_strength: BTreeMap::new(),
-            sought: BTreeMap::new(),
+            strength_requests: BTreeMap::new(),
+            discoveries: BTreeMap::new(),
             near: 0,
             serving: 0,
             readers: Readers {
                 is_reader: true,
                 others: Vec::new(),
             },
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             relays: BTreeMap::new(),
             next_relay: ProbeId::MAX,
-            pulling: None,
+            pending_pull: None,
             actions: Vec::new(),
         }
     }
 
-    /// Takes in what happened and returns what is to be done.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: Time) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Received(from, datagram) => self.received(from, datagram, now),
-            Event::Found(key, life) => self.found(key, life, now),
-            Event::RemoteDataCentres(data_centres) => self.seek(&data_centres, now),
+            Event::Received(from, datagram) => self.receive(from, datagram, now),
+            Event::Found(key, life) => self.record_fact(key, life, now),
+            Event::RemoteDataCentres(data_centres) => {
+                self.set_remote_data_centres(&data_centres, now)
+            }
         }
-        self.count();
+        self.update_known_hosts();
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the hosts to divide by: those known, the lately dead among them, and never
-    /// fewer than assumed, as a host that starts or is cut off knows few.
+    /// Returns the host counts that determine this host's shares. They include recently dead hosts
+    /// and are never below the assumed counts, as a host that starts or is partitioned knows few
+    /// others.
     pub fn hosts(&self) -> Homes {
-        self.told
+        self.published
     }
 
-    /// Returns the members that serve, this one included.
+    /// Returns the number of serving members, including this one.
     pub fn serving(&self) -> usize {
         self.table.serving()
     }
 
-    /// Returns all that is known of members, the lately dead among them.
+    /// Returns the state of all members, including recently dead ones.
     pub fn changes(&self) -> Vec<Change> {
         self.table.iter().cloned().collect()
     }
 
-    /// Returns all facts that hold.
+    /// Returns all valid facts.
     pub fn facts(&self, now: Time) -> Vec<fact::Entry> {
         self.facts.iter(now).collect()
     }
@@ -245,19 +248,22 @@
     fn tick(&mut self, now: Time) {
         self.facts.expire(now);
         self.relays.retain(|_, relay| relay.until > now);
-        let late: Vec<ProbeId> = (self.asked.iter())
-            .filter(|(_, asked)| asked.until <= now)
+        let expired: Vec<ProbeId> = (self.pending.iter())
+            .filter(|(_, pending)| pending.until <= now)
             .map(|(probe, _)| *probe)
             .collect();
-        for probe in late {
-            self.asked.remove(&probe);
-            self.table(TableEvent::Failed(probe), now);
+        for probe in expired {
+            self.pending.remove(&probe);
+            self.handle_table_event(TableEvent::Failed(probe), now);
         }
-        if let Some(pulling) = self.pulling.filter(|pulling| pulling.until <= now) {
-            self.pulling = None;
-            self.table(TableEvent::PullFailed(pulling.target), now);
+        if let Some(pending_pull) = self
+            .pending_pull
+            .filter(|pending_pull| pending_pull.until <= now)
+        {
+            self.pending_pull = None;
+            self.handle_table_event(TableEvent::PullFailed(pending_pull.target), now);
         }
-        self.table(TableEvent::Tick, now);
+        self.handle_table_event(TableEvent::Tick, now);
         if self.table.serving() != self.serving {
             self.serving = self.table.serving();
             self.forget_strengths();
@@ -269,109 +275,115 @@
         self.ask_candidates(now);
     }
 
-    fn received(&mut self, from: MemberId, datagram: Datagram, now: Time) {
+    fn receive(&mut self, from: MemberId, datagram: Datagram, now: Time) {
         match datagram {
-            // Who speaks in another's name is not heard: a copy of an old message from a host that
-            // has another address now would bring the old one back.
+            // Ignores messages with a wrong sender: a delayed message from a host that has since
+            // changed its address would revive the old member.
             Datagram::Probe(_, ref message) if message.from != from => {}
-            Datagram::Probe(probe, message) => self.probed(from, probe, *message, now),
-            Datagram::Answer(probe, message) => self.answered(probe, *message, now),
-            Datagram::ProbeFor(probe, target) => self.probe_for(from, probe, target, now),
+            Datagram::Probe(probe, message) => self.receive_probe(from, probe, *message, now),
+            Datagram::Answer(probe, message) => self.receive_answer(probe, *message, now),
+            Datagram::ProbeFor(probe, target) => self.relay_probe(from, probe, target, now),
             Datagram::Pull(span) => {
                 let page = self.table.page(span);
                 self.send(from, Datagram::Page(page));
             }
             Datagram::Page(page) => {
-                if self.pulling.take_if(|asked| asked.target == from).is_some() {
-                    self.table(TableEvent::Pulled(from, page), now);
+                if self
+                    .pending_pull
+                    .take_if(|pending| pending.target == from)
+                    .is_some()
+                {
+                    self.handle_table_event(TableEvent::Pulled(from, page), now);
                 }
             }
-            Datagram::Fact(entry) => self.learn(vec![entry], now),
-            Datagram::Strength(strength, reply) => self.strength(from, strength, reply),
-            Datagram::AskCandidates => self.tell_candidates(from),
-            Datagram::Candidates(candidates) => self.candidates(from, candidates, now),
+            Datagram::Fact(entry) => self.receive_facts(vec![entry], now),
+            Datagram::Strength(strength, reply) => self.receive_strength(from, strength, reply),
+            Datagram::AskCandidates => self.send_candidates(from),
+            Datagram::Candidates(candidates) => self.receive_candidates(from, candidates, now),
         }
     }
 
-    fn probed(&mut self, from: MemberId, probe: ProbeId, mut message: Message, now: Time) {
-        self.learn(std::mem::take(&mut message.attachment.facts), now);
+    fn receive_probe(&mut self, from: MemberId, probe: ProbeId, mut message: Message, now: Time) {
+        self.receive_facts(std::mem::take(&mut message.attachment.facts), now);
         for action in self.table.handle(TableEvent::Probed(message), now) {
             match action {
                 TableAction::Reply(reply) => {
                     let reply = self.attach(reply, now);
                     self.send(from, Datagram::Answer(probe, reply.into()));
                 }
-                other => self.carry_out(other, now),
+                other => self.execute(other, now),
             }
         }
     }
 
-    /// Takes an answer, or passes it on to whom it is for. One that came too late is news all the
-    /// same.
-    fn answered(&mut self, probe: ProbeId, mut message: Message, now: Time) {
+    /// Processes the answer to a probe, or forwards it if the probe was relayed. A late answer
+    /// still carries valid changes.
+    fn receive_answer(&mut self, probe: ProbeId, mut message: Message, now: Time) {
         if let Some(relay) = self.relays.remove(&probe) {
             if relay.target == message.from {
                 self.send(relay.asker, Datagram::Answer(relay.probe, message.into()));
             }
             return;
         }
-        self.learn(std::mem::take(&mut message.attachment.facts), now);
-        let asked = self.asked.get(&probe);
-        let event = match asked.is_some_and(|asked| asked.target == message.from) {
+        self.receive_facts(std::mem::take(&mut message.attachment.facts), now);
+        let pending = self.pending.get(&probe);
+        let event = match pending.is_some_and(|pending| pending.target == message.from) {
             true => {
-                self.asked.remove(&probe);
+                self.pending.remove(&probe);
                 TableEvent::Acked(probe, message)
             }
             false => TableEvent::Overheard(message),
         };
-        self.table(event, now);
+        self.handle_table_event(event, now);
     }
 
-    fn probe_for(&mut self, asker: MemberId, probe: ProbeId, target: MemberId, now: Time) {
+    fn relay_probe(&mut self, asker: MemberId, probe: ProbeId, target: MemberId, now: Time) {
         let relay = Relay {
             asker,
             probe,
             target,
-            until: now + PAGE_TIMEOUT,
+            until: now + REQUEST_TIMEOUT,
         };
-        let number = self.next_relay;
+        let relay_id = self.next_relay;
         self.next_relay -= 1;
-        self.relays.insert(number, relay);
+        self.relays.insert(relay_id, relay);
         let message = self.table.message(target);
         let message = self.attach(message, now);
-        self.send(target, Datagram::Probe(number, message.into()));
+        self.send(target, Datagram::Probe(relay_id, message.into()));
     }
 
-    fn found(&mut self, key: fact::Key, life: Duration, now: Time) {
+    fn record_fact(&mut self, key: fact::Key, life: Duration, now: Time) {
         let Some(entry) = self.facts.learn(key, 0, life, now) else {
             return;
         };
         let others = self.table.members().into_iter().map(|member| member.id);
         let own = self.table.own();
-        let others = others.filter(|id| *id != own).take(TOLD_AT_ONCE);
-        let told = others.map(|other| Action::Send(other, Datagram::Fact(entry.clone())));
-        self.actions.extend(told);
+        let others = others
+            .filter(|id| *id != own)
+            .take(MAX_IMMEDIATE_RECIPIENTS);
+        let sends = others.map(|other| Action::Send(other, Datagram::Fact(entry.clone())));
+        self.actions.extend(sends);
         self.actions.push(Action::Learned(entry));
     }
 
-    fn learn(&mut self, entries: Vec<fact::Entry>, now: Time) {
+    fn receive_facts(&mut self, entries: Vec<fact::Entry>, now: Time) {
         let learned = self.facts.receive(entries, now);
         self.actions
             .extend(learned.into_iter().map(Action::Learned));
     }
 
     fn attach(&mut self, mut message: Message, now: Time) -> Message {
-        message.attachment.facts = self.facts.pick(FACT_BYTES, now);
+        message.attachment.facts = self.facts.pick(MAX_FACT_BYTES, now);
         message
     }
 
-    fn table(&mut self, event: TableEvent, now: Time) {
+    fn handle_table_event(&mut self, event: TableEvent, now: Time) {
         for action in self.table.handle(event, now) {
-            self.carry_out(action, now);
+            self.execute(action, now);
         }
     }
 
-    fn carry_out(&mut self, action: TableAction, now: Time) {
+    fn execute(&mut self, action: TableAction, now: Time) {
         match action {
             TableAction::Probe {
                 probe,
@@ -379,7 +391,7 @@
                 message,
                 timeout,
             } => {
-                self.ask(probe, to, now + timeout);
+                self.track_probe(probe, to, now + timeout);
                 let message = self.attach(message, now);
                 self.send(to, Datagram::Probe(probe, message.into()));
             }
@@ -389,21 +401,21 @@
                 helpers,
                 timeout,
             } => {
-                self.ask(probe, target, now + timeout);
+                self.track_probe(probe, target, now + timeout);
                 for helper in helpers {
                     self.send(helper, Datagram::ProbeFor(probe, target));
                 }
             }
             TableAction::Pull(from, span) => {
-                self.pulling = Some(Asked {
+                self.pending_pull = Some(Pending {
                     target: from,
-                    until: now + PAGE_TIMEOUT,
+                    until: now + REQUEST_TIMEOUT,
                 });
                 self.send(from, Datagram::Pull(span));
             }
             TableAction::Log(line) => self.actions.push(Action::Log(line)),
-            // Answers go out where the probe is known; nobody waits for the rest here: a host that
-            // was paused learns from the store what changed meanwhile, and no list names hosts.
+            // Replies are sent in `receive_probe`. The others need no action: after a pause, a host learns
+            // of changes from the store, and hosts are not registered anywhere.
             TableAction::Reply(_)
             | TableAction::Changed(..)
             | TableAction::Paused(_)
@@ -411,20 +423,20 @@
         }
     }
 
-    fn ask(&mut self, probe: ProbeId, target: MemberId, until: Time) {
-        self.asked.insert(probe, Asked { target, until });
+    fn track_probe(&mut self, probe: ProbeId, target: MemberId, until: Time) {
+        self.pending.insert(probe, Pending { target, until });
     }
 
     fn send(&mut self, to: MemberId, datagram: Datagram) {
         self.actions.push(Action::Send(to, datagram));
     }
 
-    fn count(&mut self) {
+    fn update_known_hosts(&mut self) {
         let known = self.table.known();
-        if known != self.counted {
-            self.counted = known;
+        if known != self.known_hosts {
+            self.known_hosts = known;
             self.facts.set_members(known);
-            self.divide();
+            self.publish_hosts();
         }
     }
 }
--- a/crates/decision/tests/idempotency.rs
+++ b/crates/decision/tests/idempotency.rs
@@ -15,7 +15,7 @@
 
 const LIMITS: Limits = Limits {
     lifetime: Duration::from_secs(10),
-    slack: Duration::from_secs(5),
+    retention: Duration::from_secs(5),
     keys: 2,
     inherited: 3,
     bytes: 8,
@@ -254,14 +254,14 @@
     heir.tick(at(40));
     assert_eq!(heir.inherit(handover, at(40)), Ok(receipt));
     let decision = heir.begin(&key, &request(2), at(41));
-    assert_eq!(decision, Decision::PassTo(fence(1)));
+    assert_eq!(decision, Decision::ForwardTo(fence(1)));
 }
 
 #[test]
 fn inherit_for_another_incarnation_is_refused() {
     let handover = ledger(1).hand_over(fence(2), at(0)).expect("the first");
     let refused = ledger(3).inherit(handover, at(0)).expect_err("not for it");
-    insta::assert_snapshot!(refused, @"take over from 127.0.0.1:7000/1: left to 127.0.0.1:7000/2");
+    insta::assert_snapshot!(refused, @"take over from 127.0.0.1:7000/1: the successor is 127.0.0.1:7000/2");
 }
 
 #[test]
