--- a/crates/daemon/src/gateway/content.rs
+++ b/crates/daemon/src/gateway/content.rs
@@ -11,13 +11,13 @@
 pub struct Opaque;
 
 impl Content for Opaque {
-    type Query = Arc<Forward>;
-    type Value = Whole;
+    type Query = Arc<ServerRequest>;
+    type Value = ServerResponse;
 }
 
 /// A request to be forwarded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Forward {
+pub struct ServerRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query, to the byte.
@@ -32,7 +32,7 @@
 
 /// The whole answer of a backend server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Whole {
+pub struct ServerResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers, without those that concern one connection.
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -4,11 +4,11 @@
 //! of shards that the configuration names gets a home, and the home of one that it does not name
 //! any more ends when its last request has: until then those requests keep their snapshot.
 
-use super::News;
+use super::Update;
 use super::content::Opaque;
 use super::members;
 use super::relay::Relay;
-use super::state::{Elsewhere, Instances, State, View};
+use super::state::{Instances, RemoteShards, State, View};
 use crate::backend::Codec;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
@@ -34,17 +34,17 @@
 use tokio::time::sleep_until;
 
 /// Longest time between two looks at what time alone may have changed.
-const IDLE: Duration = Duration::from_secs(60);
+const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Time after the start from which on a host knows those that started with it: they find each other within a second.
-const SETTLED: Duration = Duration::from_secs(3);
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// What the control task is started with.
 pub(super) struct Settings<K> {
     pub(super) codec: Box<dyn Fn(Instances) -> K + Send>,
     pub(super) division: Division,
     /// Extra attempts that owners allow for each first one.
-    pub(super) extra: f64,
+    pub(super) extra_attempts: f64,
     pub(super) data_centre: DataCentreId,
     pub(super) seed: u64,
     pub(super) clock: Clock,
@@ -55,37 +55,37 @@
     /// Who hands searches to other hosts.
     pub(super) relay: Arc<Relay>,
     /// Told which other data centres parts of searches may go to.
-    pub(super) seek: watch::Sender<BTreeSet<DataCentreId>>,
+    pub(super) remote_tx: watch::Sender<BTreeSet<DataCentreId>>,
     /// Where homes tell what the other hosts have to know.
     pub(super) facts: Facts,
 }
 
 /// Where news come from.
 pub(super) struct Sources {
-    /// Of the outside.
-    pub(super) outside: mpsc::UnboundedReceiver<News>,
+    /// Of the adapter.
+    pub(super) adapter: mpsc::UnboundedReceiver<Update>,
     /// Of the other hosts.
-    pub(super) hosts: mpsc::UnboundedReceiver<members::News>,
+    pub(super) hosts: mpsc::UnboundedReceiver<members::Update>,
     /// Operators who ask.
-    pub(super) asked: mpsc::UnboundedReceiver<oneshot::Sender<Shown>>,
+    pub(super) status_requests: mpsc::UnboundedReceiver<oneshot::Sender<Status>>,
 }
 
 /// What operators see of configuration and registry.
-pub(super) struct Shown {
+pub(super) struct Status {
     /// Version of the configuration in force, and how long it has been.
     pub(super) version: Option<u64>,
     /// See `version`.
     pub(super) age: Option<Duration>,
     /// Whether their source can't be reached.
-    pub(super) is_lost: bool,
+    pub(super) is_store_lost: bool,
     /// Entries of backend servers.
     pub(super) registered: usize,
     /// Those of them that are missing and not yet taken as gone.
-    pub(super) doubted: usize,
+    pub(super) missing: usize,
     /// Servers that get new work.
     pub(super) usable: usize,
-    /// Data centres that operators have emptied.
-    pub(super) emptied: BTreeSet<DataCentreId>,
+    /// Data centres that operators have evacuated.
+    pub(super) evacuated: BTreeSet<DataCentreId>,
 }
 
 /// One home, and what it was told last.
@@ -106,11 +106,11 @@
     homes: HashMap<Shards, Home>,
     /// Requests that crash servers, and until when they are refused; for homes that begin.
     crashing: BTreeMap<Fingerprint, Time>,
-    /// The data centres that were emptied when that was last written to the log.
-    emptied: BTreeSet<DataCentreId>,
+    /// The data centres that were evacuated when that was last written to the log.
+    evacuated: BTreeSet<DataCentreId>,
 }
 
-/// Takes news until nobody tells of the outside any more.
+/// Takes news until nobody tells of the adapter any more.
 pub(super) async fn run<K: Codec<Content = Opaque>>(
     settings: Settings<K>,
     state: Arc<State>,
@@ -124,52 +124,55 @@
         adopted: Time::ZERO,
         homes: HashMap::new(),
         crashing: BTreeMap::new(),
-        emptied: BTreeSet::new(),
+        evacuated: BTreeSet::new(),
     };
     loop {
         let clock = controller.settings.clock;
         let wake = controller.registry.next_wake();
-        let wake = wake.map_or_else(|| Instant::now() + IDLE, |at| clock.instant(at));
+        let wake = wake.map_or_else(
+            || Instant::now() + MAX_WAKE_INTERVAL,
+            |at| clock.instant(at),
+        );
         let first = tokio::select! {
-            first = sources.outside.recv() => match first {
+            first = sources.adapter.recv() => match first {
                 Some(first) => first,
                 None => return,
             },
-            Some(sender) = sources.asked.recv() => {
-                // Who asked may have gone.
-                let _ = sender.send(controller.shown());
+            Some(sender) = sources.status_requests.recv() => {
+                // Who status_requests may have gone.
+                let _ = sender.send(controller.status());
                 continue;
             }
-            Some(news) = sources.hosts.recv() => {
-                controller.heard(&news);
+            Some(update) = sources.hosts.recv() => {
+                controller.handle_member_update(&update);
                 continue;
             }
-            () = sleep_until(wake.into()) => News::Registry(registry::Event::Tick),
+            () = sleep_until(wake.into()) => Update::Registry(registry::Event::Tick),
         };
-        let mut changed = controller.take(first);
+        let mut changed = controller.apply_update(first);
         // What came meanwhile is taken in before the homes are told: servers come in batches.
-        while let Ok(next) = sources.outside.try_recv() {
-            changed |= controller.take(next);
+        while let Ok(next) = sources.adapter.try_recv() {
+            changed |= controller.apply_update(next);
         }
         if changed {
-            controller.apply();
+            controller.update_homes();
         }
     }
 }
 
 impl<K: Codec<Content = Opaque>> Controller<K> {
     /// Takes in one piece of news. Returns whether the homes have to hear of it.
-    fn take(&mut self, news: News) -> bool {
-        match news {
-            News::Configuration(table) => self.configure(table),
-            News::Registry(event) => {
-                let about = about(&event);
+    fn apply_update(&mut self, update: Update) -> bool {
+        match update {
+            Update::Configuration(table) => self.configure(table),
+            Update::Registry(event) => {
+                let description = describe_event(&event);
                 let changed = self.registry.handle(event, self.settings.clock.now());
-                self.note_emptied();
+                self.log_evacuations();
                 if changed {
-                    let (entries, doubted) = self.registry.counts();
-                    info!(self.settings.log, "backend servers"; "what" => about,
-                        "registered" => entries, "doubted" => doubted,
+                    let (entries, missing) = self.registry.counts();
+                    info!(self.settings.log, "backend servers"; "what" => description,
+                        "registered" => entries, "doubted" => missing,
                         "ready" => self.registry.ready());
                 }
                 changed
@@ -177,42 +180,42 @@
         }
     }
 
-    /// Writes to the log which data centres were emptied or given back, as this host knows it from now on.
-    fn note_emptied(&mut self) {
-        let emptied = self.registry.evacuations().evacuated();
-        let emptied: BTreeSet<DataCentreId> = emptied.cloned().collect();
-        for data_centre in emptied.difference(&self.emptied) {
+    /// Writes to the log which data centres were evacuated or given back, as this host knows it from now on.
+    fn log_evacuations(&mut self) {
+        let evacuated = self.registry.evacuations().evacuated();
+        let evacuated: BTreeSet<DataCentreId> = evacuated.cloned().collect();
+        for data_centre in evacuated.difference(&self.evacuated) {
             info!(self.settings.log, "data centre"; "what" => "emptied: its backend servers get no new work",
                 "data_centre" => &**data_centre);
         }
-        for data_centre in self.emptied.difference(&emptied) {
+        for data_centre in self.evacuated.difference(&evacuated) {
             info!(self.settings.log, "data centre"; "what" => "given back", "data_centre" => &**data_centre);
         }
-        self.emptied = emptied;
+        self.evacuated = evacuated;
     }
 
-    fn shown(&self) -> Shown {
-        let (registered, doubted) = self.registry.counts();
+    fn status(&self) -> Status {
+        let (registered, missing) = self.registry.counts();
         let age = self.settings.clock.now().saturating_sub(self.adopted);
-        Shown {
+        Status {
             version: self.table.as_ref().map(|table| table.version),
             age: self.table.as_ref().map(|_| age),
-            is_lost: self.registry.is_lost(),
+            is_store_lost: self.registry.is_lost(),
             registered,
-            doubted,
+            missing,
             usable: self.registry.usable().len(),
-            emptied: self.emptied.clone(),
+            evacuated: self.evacuated.clone(),
         }
     }
 
     /// Takes in what the other hosts say, and tells the homes.
-    fn heard(&mut self, news: &members::News) {
-        let event = match news {
-            &members::News::Hosts(hosts) => {
+    fn handle_member_update(&mut self, update: &members::Update) {
+        let event = match update {
+            &members::Update::Hosts(hosts) => {
                 self.settings.division = self.settings.division.with_homes(hosts);
                 Event::Homes(hosts)
             }
-            &members::News::Fact(fact::Entry {
+            &members::Update::Fact(fact::Entry {
                 key: fact::Key::Suspect(fingerprint),
                 life,
                 ..
@@ -223,20 +226,20 @@
                 self.crashing.insert(fingerprint, until);
                 Event::Suspect { fingerprint, until }
             }
-            members::News::Remote(remote) => {
-                self.settings.relay.told_remote(remote.clone());
+            members::Update::Remote(remote) => {
+                self.settings.relay.set_remote(remote.clone());
                 return;
             }
-            members::News::Readers(readers) => {
+            members::Update::Readers(readers) => {
                 self.settings.readers.send_replace(readers.clone());
                 return;
             }
-            &members::News::Strength(host, strength) => {
-                self.settings.relay.told(host, strength);
+            &members::Update::Strength(host, strength) => {
+                self.settings.relay.set_strength(host, strength);
                 return;
             }
             // Servers that leave say so where they are registered.
-            members::News::Fact(_) => return,
+            members::Update::Fact(_) => return,
         };
         for home in self.homes.values() {
             home.handle.tell(event.clone());
@@ -245,24 +248,24 @@
 
     /// Returns where the shards of each set are that have no server in this data centre, and has hosts looked for
     /// there.
-    fn elsewhere(&self, usable: &Usable<'_>) -> HashMap<Shards, Elsewhere> {
+    fn remote_shards(&self, usable: &Usable<'_>) -> HashMap<Shards, RemoteShards> {
         let own = &self.settings.data_centre;
         let sets = self.homes.keys();
-        let elsewhere: HashMap<Shards, Elsewhere> = sets
+        let remote_shards: HashMap<Shards, RemoteShards> = sets
             .map(|set| (set.clone(), shards::remote_shards(set, usable, own)))
             .collect();
-        let sought = elsewhere.values().flat_map(BTreeMap::keys).cloned();
-        let sought: BTreeSet<DataCentreId> = sought.collect();
-        self.settings.seek.send_if_modified(|known| {
-            let is_new = *known != sought;
-            *known = sought;
+        let data_centres = remote_shards.values().flat_map(BTreeMap::keys).cloned();
+        let data_centres: BTreeSet<DataCentreId> = data_centres.collect();
+        self.settings.remote_tx.send_if_modified(|known| {
+            let is_new = *known != data_centres;
+            *known = data_centres;
             is_new
         });
-        elsewhere
+        remote_shards
     }
 
     /// Tells a home that begins which requests crash servers.
-    fn brief(&self, home: &Home) {
+    fn send_crashing(&self, home: &Home) {
         for (&fingerprint, &until) in &self.crashing {
             home.handle.tell(Event::Suspect { fingerprint, until });
         }
@@ -270,16 +273,16 @@
 
     /// Puts a version in force unless a newer one, or the same, is.
     fn configure(&mut self, table: Table) -> bool {
-        let old = self.table.as_ref().map(|table| table.version);
-        if old.is_some_and(|old| table.version <= old) {
-            if old > Some(table.version) {
+        let in_force = self.table.as_ref().map(|table| table.version);
+        if in_force.is_some_and(|in_force| table.version <= in_force) {
+            if in_force > Some(table.version) {
                 warn!(self.settings.log, "configuration"; "what" => "older one ignored",
-                    "version" => table.version, "in_force" => old);
+                    "version" => table.version, "in_force" => in_force);
             }
             return false;
         }
         info!(self.settings.log, "configuration"; "what" => "in force",
-            "version" => table.version, "before" => old, "routes" => table.routes().count());
+            "version" => table.version, "before" => in_force, "routes" => table.routes().count());
         let revision = table.version;
         self.settings.metrics.control.set_revision(revision);
         self.table = Some(Arc::new(table));
@@ -288,7 +291,7 @@
     }
 
     /// Brings the homes in step, and requests to them.
-    fn apply(&mut self) {
+    fn update_homes(&mut self) {
         let Some(table) = self.table.clone().filter(|_| self.registry.is_known()) else {
             return;
         };
@@ -299,7 +302,7 @@
                 if self.homes.contains_key(set) {
                     continue;
                 }
-                let home = self.follow(set, &table, &usable, old.remove(set));
+                let home = self.update_home(set, &table, &usable, old.remove(set));
                 self.homes.insert(set.clone(), home);
             }
         }
@@ -307,26 +310,32 @@
             info!(self.settings.log, "shards"; "what" => "not in use any more",
                 "set" => shards::name(set));
         }
-        let elsewhere = Arc::new(self.elsewhere(&usable));
+        let remote_shards = Arc::new(self.remote_shards(&usable));
         let handles = self.homes.iter();
         let handles = handles.map(|(set, home)| (set.clone(), home.handle.clone()));
-        self.state.put(View {
+        self.state.set_view(View {
             table,
             homes: Arc::new(handles.collect()),
-            elsewhere,
+            remote_shards,
         });
     }
 
     /// Starts the home of a set, or tells it what changed.
-    fn follow(&self, set: &Shards, table: &Table, usable: &Usable<'_>, home: Option<Home>) -> Home {
-        let route = shards::route(set, table, usable, self.settings.extra);
+    fn update_home(
+        &self,
+        set: &Shards,
+        table: &Table,
+        usable: &Usable<'_>,
+        home: Option<Home>,
+    ) -> Home {
+        let route = shards::route(set, table, usable, self.settings.extra_attempts);
         let expected = shards::expected(set, usable);
-        let far = shards::remote_servers(set, usable, &self.settings.data_centre);
-        let cold = self.cold(set, table, usable);
+        let remote_servers = shards::remote_servers(set, usable, &self.settings.data_centre);
+        let cold = self.cold_limits(set, table, usable);
         let Some(home) = home else {
-            let home = self.begin(set, table, route, expected, far);
+            let home = self.start_home(set, table, route, expected, remote_servers);
             home.handle.tell(Event::Cold(cold.clone()));
-            self.brief(&home);
+            self.send_crashing(&home);
             let home = Home { cold, ..home };
             return home;
         };
@@ -344,13 +353,13 @@
         }
         let route = Arc::new(route);
         home.handle.tell(Event::Route(route.clone()));
-        home.handle.tell(Event::RemoteServers(far));
+        home.handle.tell(Event::RemoteServers(remote_servers));
         Home { route, ..home }
     }
 
     /// Returns which servers of a set are cold, with what they bear. A host that starts does not know yet among how
     /// many that is divided, so it sends them nothing.
-    fn cold(
+    fn cold_limits(
         &self,
         set: &Shards,
         table: &Table,
@@ -358,7 +367,7 @@
     ) -> BTreeMap<BackendServerId, ColdLimit> {
         let now = self.settings.clock.now();
         let mut cold = shards::cold(set, table, &self.registry, usable, now);
-        if now < SETTLED {
+        if now < DISCOVERY_TIME {
             cold.values_mut().for_each(|cold| cold.max_rate = 0.0);
         }
         cold
@@ -374,7 +383,7 @@
         }
     }
 
-    fn begin(
+    fn start_home(
         &self,
         set: &Shards,
         table: &Table,
@@ -419,7 +428,7 @@
 }
 
 /// Says what was learned of the backend servers, with the one that it is about.
-fn about(event: &registry::Event) -> String {
+fn describe_event(event: &registry::Event) -> String {
     match event {
         registry::Event::Listed(entries) => format!("{} listed", entries.len()),
         registry::Event::Written(entry) => format!(
--- a/crates/daemon/src/gateway/describe.rs
+++ b/crates/daemon/src/gateway/describe.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Where a task is asked for what it knows.
-pub(super) type Asking<T> = mpsc::UnboundedSender<oneshot::Sender<T>>;
+pub(super) type StatusSender<T> = mpsc::UnboundedSender<oneshot::Sender<T>>;
 
 /// Asks the tasks of a gateway for what they know.
 #[derive(Clone)]
@@ -20,15 +20,15 @@
     pub(super) own: SocketAddr,
     pub(super) data_centre: DataCentreId,
     pub(super) state: Arc<State>,
-    pub(super) control: Asking<control::Shown>,
-    pub(super) members: Asking<members::Shown>,
+    pub(super) control: StatusSender<control::Status>,
+    pub(super) members: StatusSender<members::Status>,
 }
 
 impl Describe {
     /// Describes the gateway; `not_ready_because` is what the balancer is told.
     pub(super) async fn describe(&self, not_ready_because: Option<&str>) -> Value {
-        let control = ask(&self.control).await;
-        let members = ask(&self.members).await;
+        let control = request_status(&self.control).await;
+        let members = request_status(&self.members).await;
         json!({
             "address": self.own,
             "data_centre": &*self.data_centre,
@@ -67,28 +67,28 @@
 }
 
 /// Asks a task; `None` where it has ended.
-async fn ask<T>(asking: &Asking<T>) -> Option<T> {
-    let (sender, receiver) = oneshot::channel();
-    asking.send(sender).ok()?;
+async fn request_status<T>(sender: &StatusSender<T>) -> Option<T> {
+    let (reply, receiver) = oneshot::channel();
+    sender.send(reply).ok()?;
     receiver.await.ok()
 }
 
-fn configuration(shown: Option<&control::Shown>) -> Value {
-    let version = shown.and_then(|shown| shown.version);
+fn configuration(status: Option<&control::Status>) -> Value {
+    let version = status.and_then(|status| status.version);
     json!({
         "revision": version,
         "digest": version.map(|version| version.to_string()),
         "conflicts": 0,
-        "age_ms": shown.and_then(|shown| shown.age).map(|age| age.as_millis()),
-        "source": shown.map(|shown| if shown.is_lost { "store, lost" } else { "store" }),
+        "age_ms": status.and_then(|status| status.age).map(|age| age.as_millis()),
+        "source": status.map(|status| if status.is_store_lost { "store, lost" } else { "store" }),
     })
 }
 
-fn registry(shown: &control::Shown) -> Value {
+fn registry(status: &control::Status) -> Value {
     json!({
-        "registered": shown.registered,
-        "doubted": shown.doubted,
-        "usable": shown.usable,
-        "emptied_data_centres": shown.emptied.iter().map(|one| &**one).collect::<Vec<&str>>(),
+        "registered": status.registered,
+        "doubted": status.missing,
+        "usable": status.usable,
+        "emptied_data_centres": status.evacuated.iter().map(|name| &**name).collect::<Vec<&str>>(),
     })
 }
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -1,11 +1,11 @@
 //! A client's request from its head to its answer.
 
-mod handing;
+mod offload;
 
-use super::content::{Forward, Opaque, Whole};
-use super::relay::{self, Only, Relay};
+use super::content::{Opaque, ServerRequest, ServerResponse};
+use super::relay::{self, OnlyKeys, Relay};
 use super::state::State;
-use super::{Ask, Ingress};
+use super::{Ingress, RequestInfo};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::metrics::label::Ended;
@@ -32,22 +32,22 @@
 
 /// When to come back to a host that has no configuration yet: about the time that it takes to read
 /// one.
-const NO_CONFIGURATION: Duration = Duration::from_millis(300);
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// When to come back where nothing was learned of when it would help.
-const COME_BACK: Duration = Duration::from_millis(200);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Time that a request's body may take where no deadline is given.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How a home says that a request ended.
-type Ending = Outcome<<Opaque as Content>::Value>;
+type HomeOutcome = Outcome<<Opaque as Content>::Value>;
 
 /// A response, and what the log says of how it came about.
 struct Reply {
     response: Response<Full<Bytes>>,
-    ended: Ended,
-    why: String,
+    outcome: Ended,
+    reason: String,
 }
 
 /// Forwards clients' requests.
@@ -58,24 +58,24 @@
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
     /// What is done with searches that another host could fan out.
-    pub(super) passing: Passing,
+    pub(super) origin: Origin,
     /// The hosts that could.
     pub(super) relay: Arc<Relay>,
     /// How long answers take on their way to callers of this host.
-    pub(super) on_the_way: Duration,
+    pub(super) delivery_margin: Duration,
 }
 
 /// How long an answer takes on its way to the caller of another host, which handed the search on.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OnTheWay(pub(super) Duration);
+pub(super) struct DeliveryMargin(pub(super) Duration);
 
 /// What is done with a search that another host could fan out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Passing {
+pub(super) enum Origin {
     /// It is handed to one, if there is one.
-    On,
+    Client,
     /// It was handed to this host, which answers or declines.
-    Back,
+    Peer,
 }
 
 impl<I: Ingress> Handler for Front<I> {
@@ -97,112 +97,120 @@
     ) -> Response<Full<Bytes>> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
-        let ask = match self.ingress.ask(&head) {
-            Ok(ask) => ask,
-            Err(why) => return self.malformed(why),
+        let info = match self.ingress.parse(&head) {
+            Ok(info) => info,
+            Err(reason) => return self.malformed(reason),
         };
         if standing == Standing::Excess {
-            return self.not_run(&ask, "too many connections", COME_BACK);
+            return self.not_run(&info, "too many connections", DEFAULT_RETRY_AFTER);
         }
         let Some(view) = self.state.view() else {
-            return self.not_run(&ask, "no configuration yet", NO_CONFIGURATION);
+            return self.not_run(&info, "no configuration yet", UNCONFIGURED_RETRY_AFTER);
         };
-        let Some(route) = view.table.find(&ask.host, head.uri.path()).cloned() else {
-            return self.unknown(&ask, &view.table, head.uri.path());
+        let Some(route) = view.table.find(&info.host, head.uri.path()).cloned() else {
+            return self.no_route(&info, &view.table, head.uri.path());
         };
-        let body = match self.read(body, &view.table, &ask).await {
+        let body = match self.read_body(body, &view.table, &info).await {
             Ok(body) => body,
-            Err(status) => return self.unread(&ask, &route, status),
+            Err(status) => return self.body_not_read(&info, &route, status),
         };
-        let asking = Asking {
-            ask: &ask,
+        let context = Context {
+            info: &info,
             route: &route,
             version: view.table.version,
             arrived,
         };
-        if let Some(response) = self.pass_on(&head, &body, &asking).await {
+        if let Some(response) = self.offload(&head, &body, &context).await {
             return response;
         }
         let shards = self.state.splits.next(&route);
         let Some(home) = shards.as_ref().and_then(|shards| view.homes.get(shards)) else {
-            return self.not_run(&ask, "route without a service", COME_BACK);
+            return self.not_run(&info, "route without a service", DEFAULT_RETRY_AFTER);
         };
         let id: RequestId = rand::rng().random();
-        let told = head.extensions.get::<OnTheWay>();
-        let on_the_way = told.map_or(self.on_the_way, |told| told.0);
-        let only = head.extensions.get::<Only>().map(|only| only.0.clone());
-        let elsewhere = match only {
+        let peer_margin = head.extensions.get::<DeliveryMargin>();
+        let delivery_margin = peer_margin.map_or(self.delivery_margin, |peer_margin| peer_margin.0);
+        let only_keys = head
+            .extensions
+            .get::<OnlyKeys>()
+            .map(|only_keys| only_keys.0.clone());
+        let remote_shards = match only_keys {
             Some(_) => None,
-            None => shards.as_ref().and_then(|set| view.elsewhere.get(set)),
+            None => shards.as_ref().and_then(|set| view.remote_shards.get(set)),
         };
-        let sharing = elsewhere.and_then(|elsewhere| self.relay.share(elsewhere));
-        let sharing = sharing.map(|sharing| (sharing, head.clone(), body.clone()));
-        let forward = Forward {
+        let delegation = remote_shards.and_then(|remote_shards| self.relay.delegate(remote_shards));
+        let delegation = delegation.map(|delegation| (delegation, head.clone(), body.clone()));
+        let forward = ServerRequest {
             is_merged: matches!(route.target, Target::FanOut(_)),
-            ..self.ingress.forward(head, &ask, body)
+            ..self.ingress.forward(head, &info, body)
         };
-        let asked = event::Request {
+        let home_request = event::Request {
             scope: Scope {
-                only: only.clone(),
-                delegated: (sharing.as_ref())
-                    .map(|(sharing, ..)| sharing.keys().clone())
+                only: only_keys.clone(),
+                delegated: (delegation.as_ref())
+                    .map(|(delegation, ..)| delegation.keys().clone())
                     .unwrap_or_default(),
             },
-            ..self.asked(id, &asking, forward, on_the_way, only.as_ref())
+            ..self.home_request(id, &context, forward, delivery_margin, only_keys.as_ref())
         };
-        let mut line = Line {
+        let mut line = LogLine {
             log: &self.log,
             metrics: &self.metrics,
             id,
-            asking: &asking,
-            ended: false,
+            context: &context,
+            written: false,
         };
-        let outcome = match sharing {
-            None => home.run(asked).await,
-            Some((sharing, head, body)) => {
-                let part = self.ask_part(sharing, head, body, &asking, on_the_way);
-                handing::run_beside(home, asked, part).await
+        let outcome = match delegation {
+            None => home.run(home_request).await,
+            Some((delegation, head, body)) => {
+                let part = self.delegate(delegation, head, body, &context, delivery_margin);
+                offload::run_with_part(home, home_request, part).await
             }
         };
-        let reply = match (&self.passing, &outcome) {
-            (Passing::Back, Outcome::NotRun { reason, .. }) if is_own(*reason) => Reply {
-                response: relay::declined("not able to"),
-                ended: Ended::NotRun,
-                why: format!("declined: {reason}"),
+        let reply = match (&self.origin, &outcome) {
+            (Origin::Peer, Outcome::NotRun { reason, .. }) if is_host_specific(*reason) => Reply {
+                response: relay::decline("not able to"),
+                outcome: Ended::NotRun,
+                reason: format!("declined: {reason}"),
             },
-            _ => self.reply(outcome, &route, only.as_ref()),
+            _ => self.reply(outcome, &route, only_keys.as_ref()),
         };
         let status = reply.response.status().as_u16();
-        line.write(reply.ended, Some(status), &reply.why);
+        line.write(reply.outcome, Some(status), &reply.reason);
         reply.response
     }
 }
 
 /// Tells whether a search was not run for a reason that another host may not have.
-fn is_own(reason: Reason) -> bool {
+fn is_host_specific(reason: Reason) -> bool {
     matches!(reason, Reason::Unavailable | Reason::Stopping)
 }
 
 /// A request on its way to an answer.
-struct Asking<'a> {
-    ask: &'a Ask,
+struct Context<'a> {
+    info: &'a RequestInfo,
     route: &'a Route,
     version: u64,
     arrived: Instant,
 }
 
-impl Asking<'_> {
+impl Context<'_> {
     /// Returns the time from its arrival within which the request is to be answered.
-    fn patience(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         let timeout = self.route.timeout;
-        self.ask.patience.unwrap_or(timeout).min(timeout)
+        self.info.timeout.unwrap_or(timeout).min(timeout)
     }
 }
 
 impl<I: Ingress> Front<I> {
     /// Reads a body whole, within the limits in force.
-    async fn read(&self, body: Incoming, table: &Table, ask: &Ask) -> Result<Bytes, StatusCode> {
-        let limit = ask.patience.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
+    async fn read_body(
+        &self,
+        body: Incoming,
+        table: &Table,
+        info: &RequestInfo,
+    ) -> Result<Bytes, StatusCode> {
+        let limit = info.timeout.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
         let whole = Limited::new(body, table.limits.body_bytes).collect();
         match timeout(limit, whole).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -212,194 +220,214 @@
         }
     }
 
-    fn asked(
+    fn home_request(
         &self,
         id: RequestId,
-        asking: &Asking<'_>,
-        forward: Forward,
-        on_the_way: Duration,
-        only: Option<&KeySet>,
+        context: &Context<'_>,
+        forward: ServerRequest,
+        delivery_margin: Duration,
+        only_keys: Option<&KeySet>,
     ) -> event::Request<Opaque> {
-        let route = asking.route;
-        let terms = route.terms(on_the_way);
-        let terms = match (&route.target, only) {
-            (Target::FanOut(gather), Some(only)) => {
-                terms.for_groups(only.len(), gather.shards.len())
+        let route = context.route;
+        let params = route.terms(delivery_margin);
+        let params = match (&route.target, only_keys) {
+            (Target::FanOut(fan_out), Some(only_keys)) => {
+                params.for_groups(only_keys.len(), fan_out.shards.len())
             }
-            _ => terms,
+            _ => params,
         };
         event::Request {
             id,
             caller: route.host.clone().into(),
             class: route.class(),
-            deadline: self.clock.time(asking.arrived + asking.patience()),
+            deadline: self.clock.time(context.arrived + context.timeout()),
             fingerprint: fingerprint(&forward),
             body: Arc::new(forward),
             execute_key: None,
-            params: Some(terms),
+            params: Some(params),
             scope: Scope::default(),
         }
     }
 
     /// Writes how a request ended.
-    fn reply(&self, outcome: Ending, route: &Route, only: Option<&KeySet>) -> Reply {
+    fn reply(&self, outcome: HomeOutcome, route: &Route, only_keys: Option<&KeySet>) -> Reply {
         match outcome {
-            Outcome::Answered(answer) => self.answered(answer, route, only),
+            Outcome::Answered(answer) => self.answered(answer, route, only_keys),
             Outcome::Executed(whole) => Reply {
-                why: format!("status {}", whole.status.as_u16()),
-                response: self.ingress.whole(whole),
-                ended: Ended::Complete,
+                reason: format!("status {}", whole.status.as_u16()),
+                response: self.ingress.single(whole),
+                outcome: Ended::Complete,
             },
             Outcome::NotRun {
                 reason,
                 retry_after,
             } => Reply {
-                response: self.come_back(retry_after.unwrap_or(COME_BACK)),
-                ended: Ended::NotRun,
-                why: reason.to_string(),
+                response: self.retry_later(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
+                outcome: Ended::NotRun,
+                reason: reason.to_string(),
             },
             Outcome::Failed { reason, .. } => Reply {
-                response: plain(failed(reason)),
-                ended: Ended::Failed,
-                why: reason.to_string(),
+                response: empty_response(failure_status(reason)),
+                outcome: Ended::Failed,
+                reason: reason.to_string(),
             },
             Outcome::Unknown { reason } => Reply {
-                response: plain(failed(reason)),
-                ended: Ended::Unknown,
-                why: reason.to_string(),
+                response: empty_response(failure_status(reason)),
+                outcome: Ended::Unknown,
+                reason: reason.to_string(),
             },
         }
     }
 
-    fn answered(&self, answer: Answer<Whole>, route: &Route, only: Option<&KeySet>) -> Reply {
-        let lacking: KeySet = answer.missing.iter().copied().collect();
-        let missing = lacking.len() as usize;
+    fn answered(
+        &self,
+        answer: Answer<ServerResponse>,
+        route: &Route,
+        only_keys: Option<&KeySet>,
+    ) -> Reply {
+        let missing_keys: KeySet = answer.missing.iter().copied().collect();
+        let missing = missing_keys.len() as usize;
         let version = answer.index_version;
-        let ended = match missing {
+        let outcome = match missing {
             0 => Ended::Complete,
             _ => Ended::Partial,
         };
-        let mut parts: Vec<Whole> = answer.items.into_iter().map(|item| item.value).collect();
-        let (response, why) = match &route.target {
-            Target::FanOut(gather) => {
+        let mut parts: Vec<ServerResponse> =
+            answer.items.into_iter().map(|item| item.value).collect();
+        let (response, reason) = match &route.target {
+            Target::FanOut(fan_out) => {
                 let bodies = parts.iter().map(|part| &part.body[..]);
-                let records = greatest(bodies, self.ingress.record_bytes(), gather.max_records);
-                let asked = only.map_or(gather.shards.len(), |only| only.len() as usize);
+                let records = greatest(bodies, self.ingress.record_bytes(), fan_out.max_records);
+                let asked =
+                    only_keys.map_or(fan_out.shards.len(), |only_keys| only_keys.len() as usize);
                 let held = asked.saturating_sub(missing);
-                let why = format!("{held} parts, {missing} missing, set {version}");
+                let reason = format!("{held} parts, {missing} missing, set {version}");
                 let mut response = self.ingress.merged(&parts, missing, records.into());
-                if let Some(only) = only {
-                    let covered = only.difference(&lacking);
+                if let Some(only_keys) = only_keys {
+                    let covered = only_keys.difference(&missing_keys);
                     relay::set_covered(response.headers_mut(), &covered, version);
                 }
-                (response, why)
+                (response, reason)
             }
             Target::Split(_) => match parts.pop() {
                 Some(whole) => {
-                    let why = format!("status {}", whole.status.as_u16());
-                    (self.ingress.whole(whole), why)
+                    let reason = format!("status {}", whole.status.as_u16());
+                    (self.ingress.single(whole), reason)
                 }
-                None => (plain(StatusCode::BAD_GATEWAY), "no answer".to_owned()),
+                None => (
+                    empty_response(StatusCode::BAD_GATEWAY),
+                    "no answer".to_owned(),
+                ),
             },
         };
         Reply {
             response,
-            ended,
-            why,
+            outcome,
+            reason,
         }
     }
 
-    fn come_back(&self, time: Duration) -> Response<Full<Bytes>> {
-        let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+    fn retry_later(&self, time: Duration) -> Response<Full<Bytes>> {
+        let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
         let value = self.ingress.retry_after(time);
         response.headers_mut().insert(RETRY_AFTER, value);
         response
     }
 
-    fn malformed(&self, why: &'static str) -> Response<Full<Bytes>> {
+    fn malformed(&self, reason: &'static str) -> Response<Full<Bytes>> {
         self.metrics.front.refused(None, None, "malformed");
-        info!(self.log, "request"; "outcome" => "malformed", "why" => why);
-        plain(StatusCode::BAD_REQUEST)
+        info!(self.log, "request"; "outcome" => "malformed", "why" => reason);
+        empty_response(StatusCode::BAD_REQUEST)
     }
 
-    fn not_run(&self, ask: &Ask, why: &'static str, come_back: Duration) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, why);
-        info!(self.log, "request"; "id" => &ask.id, "outcome" => Ended::NotRun.to_string(),
-            "why" => why, "come_back_ms" => come_back.as_millis());
-        self.come_back(come_back)
+    fn not_run(
+        &self,
+        info: &RequestInfo,
+        reason: &'static str,
+        retry_after: Duration,
+    ) -> Response<Full<Bytes>> {
+        self.metrics.front.refused(None, None, reason);
+        info!(self.log, "request"; "id" => &info.id, "outcome" => Ended::NotRun.to_string(),
+            "why" => reason, "come_back_ms" => retry_after.as_millis());
+        self.retry_later(retry_after)
     }
 
-    fn unknown(&self, ask: &Ask, table: &Table, path: &str) -> Response<Full<Bytes>> {
+    fn no_route(&self, info: &RequestInfo, table: &Table, path: &str) -> Response<Full<Bytes>> {
         self.metrics.front.refused(None, None, "no route");
-        info!(self.log, "request"; "id" => &ask.id, "outcome" => "no route", "asked_host" => &ask.host,
+        info!(self.log, "request"; "id" => &info.id, "outcome" => "no route", "asked_host" => &info.host,
             "path" => path, "configuration" => table.version);
-        plain(StatusCode::NOT_FOUND)
+        empty_response(StatusCode::NOT_FOUND)
     }
 
-    fn unread(&self, ask: &Ask, route: &Route, status: StatusCode) -> Response<Full<Bytes>> {
+    fn body_not_read(
+        &self,
+        info: &RequestInfo,
+        route: &Route,
+        status: StatusCode,
+    ) -> Response<Full<Bytes>> {
         let front = &self.metrics.front;
         front.refused(Some(&route.name), Some(route.class()), "body not read");
-        info!(self.log, "request"; "id" => &ask.id, "route" => &*route.name,
+        info!(self.log, "request"; "id" => &info.id, "route" => &*route.name,
             "outcome" => "body not read", "status" => status.as_u16());
-        plain(status)
+        empty_response(status)
     }
 }
 
 /// The line of a request that went to a home. One whose client leaves is dropped in the midst of it,
 /// and says so here: without a line that holds both ids nobody could find the decisions on it.
-struct Line<'a> {
+struct LogLine<'a> {
     log: &'a Logger,
     metrics: &'a Metrics,
     id: RequestId,
-    asking: &'a Asking<'a>,
-    ended: bool,
+    context: &'a Context<'a>,
+    written: bool,
 }
 
-impl Line<'_> {
-    fn write(&mut self, ended: Ended, status: Option<u16>, why: &str) {
-        self.ended = true;
-        let Asking {
-            ask,
+impl LogLine<'_> {
+    fn write(&mut self, outcome: Ended, status: Option<u16>, reason: &str) {
+        self.written = true;
+        let Context {
+            info,
             route,
             version,
             arrived,
-        } = self.asking;
+        } = self.context;
         let took = arrived.elapsed();
         let front = &self.metrics.front;
-        front.ended(Some(&route.name), Some(route.class()), ended, took);
-        info!(self.log, "request"; "id" => &ask.id,
+        front.ended(Some(&route.name), Some(route.class()), outcome, took);
+        info!(self.log, "request"; "id" => &info.id,
             "request" => format!("{:032x}", self.id),
             "route" => &*route.name, "configuration" => version,
-            "patience_ms" => ask.patience.map(|patience| patience.as_millis()),
-            "took_us" => took.as_micros(), "outcome" => ended.to_string(),
-            "status" => status, "why" => why);
+            "patience_ms" => info.timeout.map(|timeout| timeout.as_millis()),
+            "took_us" => took.as_micros(), "outcome" => outcome.to_string(),
+            "status" => status, "why" => reason);
     }
 }
 
-impl Drop for Line<'_> {
+impl Drop for LogLine<'_> {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.written {
             self.write(Ended::Abandoned, None, "the client left");
         }
     }
 }
 
 /// The status of a request that may have run.
-fn failed(reason: Reason) -> StatusCode {
+fn failure_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::Deadline => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     }
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
 /// Hash of what a request asks, the same whoever sends it and however often.
-fn fingerprint(forward: &Forward) -> Fingerprint {
+fn fingerprint(forward: &ServerRequest) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(forward.method.as_str().as_bytes());
     hash.update(&[0]);
--- a/crates/daemon/src/gateway/members/mod.rs
+++ b/crates/daemon/src/gateway/members/mod.rs
@@ -30,14 +30,14 @@
 
 /// Time between two ticks: less than the shortest time that the members count in, and few wake-ups,
 /// which cost processor time.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Something that the homes here have to hear.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum News {
+pub(super) enum Update {
     /// The hosts that share the backend servers.
     Hosts(Homes),
-    /// A fact that was not known here before.
+    /// A fact that was not previous here before.
     Fact(fact::Entry),
     /// A host in the same data centre has this strength.
     Strength(MemberId, Centicores),
@@ -48,10 +48,10 @@
 }
 
 /// What operators see of the hosts.
-pub(super) struct Shown {
+pub(super) struct Status {
     /// Number of hosts that share the backend servers.
     pub(super) hosts: usize,
-    /// What is known of each.
+    /// What is previous of each.
     pub(super) changes: Vec<Change>,
     /// What hosts told each other and still holds.
     pub(super) facts: Vec<fact::Entry>,
@@ -65,23 +65,23 @@
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
     /// What homes here found out.
-    pub(super) found: mpsc::UnboundedReceiver<Fact>,
+    pub(super) local_facts: mpsc::UnboundedReceiver<Fact>,
     /// Operators who ask.
-    pub(super) asked: mpsc::UnboundedReceiver<oneshot::Sender<Shown>>,
+    pub(super) status_requests: mpsc::UnboundedReceiver<oneshot::Sender<Status>>,
     /// Other data centres that parts of searches may go to.
-    pub(super) sought: watch::Receiver<BTreeSet<DataCentreId>>,
-    /// Where news for the homes go.
-    pub(super) news: mpsc::UnboundedSender<News>,
+    pub(super) remote_rx: watch::Receiver<BTreeSet<DataCentreId>>,
+    /// Where updates for the homes go.
+    pub(super) updates: mpsc::UnboundedSender<Update>,
     /// By data centre: the hosts that were named there last.
     pub(super) candidates: BTreeMap<DataCentreId, Vec<Candidate>>,
 }
 
-/// Speaks with the other hosts until nobody takes the news any more.
+/// Speaks with the other hosts until nobody takes the updates any more.
 pub(super) async fn run(mut task: Task) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut buffer = vec![0; datagram::MAX_BYTES];
-    while !task.news.is_closed() {
+    while !task.updates.is_closed() {
         let event = tokio::select! {
             _ = ticks.tick() => Some(Event::Tick),
             received = task.socket.recv_from(&mut buffer) => match received {
@@ -92,13 +92,13 @@
                     None
                 }
             },
-            Some(fact) = task.found.recv() => found(&fact),
-            Ok(()) = task.sought.changed() => {
-                Some(Event::RemoteDataCentres(task.sought.borrow_and_update().clone()))
+            Some(fact) = task.local_facts.recv() => fact_event(&fact),
+            Ok(()) = task.remote_rx.changed() => {
+                Some(Event::RemoteDataCentres(task.remote_rx.borrow_and_update().clone()))
             }
-            Some(sender) = task.asked.recv() => {
-                // Who asked may have gone.
-                let _ = sender.send(task.shown());
+            Some(reply) = task.status_requests.recv() => {
+                // Who status_requests may have gone.
+                let _ = reply.send(task.status());
                 None
             }
         };
@@ -109,7 +109,7 @@
 }
 
 /// Returns what the members have to hear of a fact. That a server leaves they hear from the store.
-fn found(fact: &Fact) -> Option<Event> {
+fn fact_event(fact: &Fact) -> Option<Event> {
     match fact {
         &Fact::Suspect(fingerprint, life) => {
             Some(Event::Found(fact::Key::Suspect(fingerprint), life))
@@ -119,8 +119,8 @@
 }
 
 impl Task {
-    fn shown(&self) -> Shown {
-        Shown {
+    fn status(&self) -> Status {
+        Status {
             hosts: self.members.hosts().all,
             changes: self.members.changes(),
             facts: self.members.facts(self.clock.now()),
@@ -143,24 +143,24 @@
         for action in self.members.handle(event, now) {
             match action {
                 Action::Send(to, datagram) => self.send(to, &datagram),
-                Action::Learned(entry) => self.learned(entry),
+                Action::Learned(entry) => self.record_fact(entry),
                 Action::Strength(host, strength) => {
                     info!(self.log, "hosts"; "what" => "strength", "member" => %host,
                         "hundredths_of_a_core" => strength);
-                    self.tell(News::Strength(host, strength));
+                    self.publish(Update::Strength(host, strength));
                 }
-                Action::Remote(remote) => self.remote(remote),
+                Action::Remote(remote) => self.record_remote(remote),
                 Action::Hosts(hosts) => {
                     info!(self.log, "hosts"; "what" => "counted", "hosts" => hosts.all,
                         "near" => hosts.near, "strong" => hosts.strong,
                         "role" => format!("{:?}", hosts.role),
                         "serving" => self.members.serving());
-                    self.tell(News::Hosts(hosts));
+                    self.publish(Update::Hosts(hosts));
                 }
                 Action::Readers(readers) => {
                     info!(self.log, "hosts"; "what" => "readers of the store",
                         "is_reader" => readers.is_reader, "others" => format!("{:?}", readers.others));
-                    self.tell(News::Readers(readers));
+                    self.publish(Update::Readers(readers));
                 }
                 Action::Log(line) => {
                     info!(self.log, "member"; "what" => line.what, "member" => %line.member,
@@ -182,29 +182,29 @@
     }
 
     /// Tells of hosts in another data centre, and writes them to the log where they are others than before.
-    fn remote(&mut self, remote: Remote) {
+    fn record_remote(&mut self, remote: Remote) {
         let candidates = remote.candidates.clone();
-        let known = self
+        let previous = self
             .candidates
             .insert(remote.data_centre.clone(), candidates);
-        if known.as_ref() != Some(&remote.candidates) {
+        if previous.as_ref() != Some(&remote.candidates) {
             info!(self.log, "hosts"; "what" => "candidates elsewhere",
                 "data_centre" => &*remote.data_centre,
                 "candidates" => format!("{:?}", remote.candidates),
                 "round_trip_us" => remote.round_trip.as_micros());
         }
-        self.tell(News::Remote(remote));
+        self.publish(Update::Remote(remote));
     }
 
-    fn learned(&self, entry: fact::Entry) {
+    fn record_fact(&self, entry: fact::Entry) {
         self.metrics.control.fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
-        self.tell(News::Fact(entry));
+        self.publish(Update::Fact(entry));
     }
 
-    fn tell(&self, news: News) {
+    fn publish(&self, update: Update) {
         // Without a receiver the process is ending.
-        let _ = self.news.send(news);
+        let _ = self.updates.send(update);
     }
 }
--- a/crates/daemon/src/gateway/members/tests.rs
+++ b/crates/daemon/src/gateway/members/tests.rs
@@ -1,6 +1,6 @@
 //! Hosts that speak over real sockets.
 
-use super::{News, Task, run};
+use super::{Task, Update, run};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::route::Fact;
@@ -19,13 +19,13 @@
 use tokio::time::timeout;
 
 /// Ends a test that hangs; no test waits for this to pass.
-const HANGS: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A host, and what it says to its homes.
 struct Host {
     address: SocketAddr,
-    found: mpsc::UnboundedSender<Fact>,
-    news: mpsc::UnboundedReceiver<News>,
+    facts: mpsc::UnboundedSender<Fact>,
+    updates: mpsc::UnboundedReceiver<Update>,
 }
 
 impl Host {
@@ -38,42 +38,44 @@
         };
         let clock = Clock::start();
         let rng = ChaCha8Rng::seed_from_u64(u64::from(address.port()));
-        let (found, heard) = mpsc::unbounded_channel();
-        let (sender, news) = mpsc::unbounded_channel();
+        let (facts, fact_receiver) = mpsc::unbounded_channel();
+        let (sender, updates) = mpsc::unbounded_channel();
         tokio::spawn(run(Task {
             members: Members::new(own, 1, seeds, 0, 1.into(), clock.now(), rng),
             socket,
             clock,
             log: Logger::root(Discard, o!()),
             metrics: Arc::new(Metrics::default()),
-            found: heard,
-            asked: mpsc::unbounded_channel().1,
-            sought: watch::channel(BTreeSet::new()).1,
-            news: sender,
+            local_facts: fact_receiver,
+            status_requests: mpsc::unbounded_channel().1,
+            remote_rx: watch::channel(BTreeSet::new()).1,
+            updates: sender,
             candidates: BTreeMap::new(),
         }));
         Self {
             address,
-            found,
-            news,
+            facts,
+            updates,
         }
     }
 
-    async fn until(&mut self, wanted: impl Fn(&News) -> bool) -> News {
+    async fn wait_for(&mut self, matches: impl Fn(&Update) -> bool) -> Update {
         let waiting = async {
-            while let Some(news) = self.news.recv().await {
-                if wanted(&news) {
-                    return news;
+            while let Some(update) = self.updates.recv().await {
+                if matches(&update) {
+                    return update;
                 }
             }
             unreachable!("the host goes on");
         };
-        timeout(HANGS, waiting).await.expect("the news come")
+        timeout(TEST_TIMEOUT, waiting)
+            .await
+            .expect("the updates come")
     }
 
-    /// Waits until so many hosts are counted that do the same. Returns this one's place among them.
-    async fn until_counted(&mut self, hosts: usize) -> usize {
-        let counted = |homes: &Homes| {
+    /// Waits until so many hosts are is_expected that do the same. Returns this one's place among them.
+    async fn wait_for_host_count(&mut self, hosts: usize) -> usize {
+        let is_expected = |homes: &Homes| {
             let rank = homes.rank;
             let expected = Homes {
                 rank,
@@ -81,9 +83,10 @@
             };
             *homes == expected
         };
-        let wanted = |news: &News| matches!(news, News::Hosts(homes) if counted(homes));
-        match self.until(wanted).await {
-            News::Hosts(homes) => homes.rank,
+        let has_count =
+            |update: &Update| matches!(update, Update::Hosts(homes) if is_expected(homes));
+        match self.wait_for(has_count).await {
+            Update::Hosts(homes) => homes.rank,
             _ => unreachable!("it was waited for"),
         }
     }
@@ -96,14 +99,15 @@
     let mut third = Host::start(&[first.address]).await;
     let mut ranks = BTreeSet::new();
     for host in [&mut first, &mut second, &mut third] {
-        ranks.insert(host.until_counted(3).await);
+        ranks.insert(host.wait_for_host_count(3).await);
     }
     assert_eq!(ranks, BTreeSet::from([0, 1, 2]), "each has its own place");
     let fact = Fact::Suspect(7, Duration::from_secs(60));
-    second.found.send(fact).expect("the host goes on");
-    let known = |news: &News| matches!(news, News::Fact(entry) if entry.key == Key::Suspect(7));
-    first.until(known).await;
-    third.until(known).await;
+    second.facts.send(fact).expect("the host goes on");
+    let known =
+        |update: &Update| matches!(update, Update::Fact(entry) if entry.key == Key::Suspect(7));
+    first.wait_for(known).await;
+    third.wait_for(known).await;
 }
 
 // Symptom: one stray datagram ends the talk between hosts.
@@ -120,5 +124,5 @@
             .expect("it is sent");
     }
     let _second = Host::start(&[first.address]).await;
-    first.until_counted(2).await;
+    first.wait_for_host_count(2).await;
 }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! The daemon as a gateway: requests are forwarded to backend servers and nobody here reads them.
 //!
 //! The same homes decide as for the product's own interface. What differs is around them: routes
-//! and backend servers come as [`News`] from whoever watches them, every host is a home of every
+//! and backend servers come as [`Update`] from whoever watches them, every host is a home of every
 //! set of shards, and the outside's names and formats are behind [`Ingress`] and
 //! [`Codec`](crate::backend::Codec). Who implements those three knows the outside and decides
 //! nothing; who calls them decides and does not know it.
@@ -18,9 +18,9 @@
 mod split;
 mod state;
 
-pub use content::{Forward, Opaque, Whole};
+pub use content::{Opaque, ServerRequest, ServerResponse};
 pub use mirror::Mirror;
-pub use run::{Addresses, Error, Outside, Result, Settings, run};
+pub use run::{Adapter, Addresses, Error, Result, Settings, run};
 pub use state::Instances;
 
 use bytes::Bytes;
@@ -33,7 +33,7 @@
 
 /// Something that was learned of the outside.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Update {
     /// A version of the configuration.
     Configuration(Table),
     /// Something about the backend servers or about the way to what lists them.
@@ -42,13 +42,13 @@
 
 /// What a client asks, as far as forwarding needs to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The host that it names, perhaps with a port.
     pub host: String,
     /// The id that it gave its request, for the log.
     pub id: String,
     /// How long it will wait; `None` where it did not say.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// How clients speak.
@@ -58,20 +58,25 @@
     /// # Errors
     ///
     /// What is wrong with it.
-    fn ask(&self, head: &request::Parts) -> std::result::Result<Ask, &'static str>;
+    fn parse(&self, head: &request::Parts) -> std::result::Result<RequestInfo, &'static str>;
 
     /// Makes the request that goes to backend servers of a client's head and body.
-    fn forward(&self, head: request::Parts, ask: &Ask, body: Bytes) -> Forward;
+    fn forward(&self, head: request::Parts, info: &RequestInfo, body: Bytes) -> ServerRequest;
 
     /// Writes into the headers of a request, to be handed to another host, how long the client will still
     /// wait.
-    fn set_patience(&self, headers: &mut HeaderMap, patience: Duration);
+    fn set_timeout(&self, headers: &mut HeaderMap, timeout: Duration);
 
     /// Writes the one answer of a backend server.
-    fn whole(&self, answer: Whole) -> Response<Full<Bytes>>;
+    fn single(&self, answer: ServerResponse) -> Response<Full<Bytes>>;
 
     /// Writes the merged answer of several; `missing` shards are not in it.
-    fn merged(&self, parts: &[Whole], missing: usize, records: Bytes) -> Response<Full<Bytes>>;
+    fn merged(
+        &self,
+        parts: &[ServerResponse],
+        missing: usize,
+        records: Bytes,
+    ) -> Response<Full<Bytes>>;
 
     /// Returns the size of one record of an answer that is merged, in bytes.
     fn record_bytes(&self) -> usize;
--- a/crates/daemon/src/gateway/ready.rs
+++ b/crates/daemon/src/gateway/ready.rs
@@ -38,13 +38,13 @@
         match request.uri().path() {
             METRICS_PATH => operator::metrics(&self.metrics),
             STATE_PATH => {
-                let (status, why) = self.ready();
-                let reason = (!status.is_success()).then_some(why);
+                let (status, reason) = self.ready();
+                let reason = (!status.is_success()).then_some(reason);
                 operator::json(&self.describe.describe(reason).await)
             }
             path if path == self.path => {
-                let (status, why) = self.ready();
-                operator::text(status, why)
+                let (status, reason) = self.ready();
+                operator::text(status, reason)
             }
             _ => operator::text(StatusCode::NOT_FOUND, "there is nothing at this path"),
         }
--- a/crates/daemon/src/gateway/relay/share.rs
+++ b/crates/daemon/src/gateway/relay/delegation.rs
@@ -1,8 +1,8 @@
 //! Having another host look through a part of a search.
 
-use super::{Chosen, Error, Relay, Result, number};
-use crate::gateway::Whole;
-use crate::gateway::state::Elsewhere;
+use super::{Assignment, Error, Relay, Result, number};
+use crate::gateway::ServerResponse;
+use crate::gateway::state::RemoteShards;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::header::{HeaderName, HeaderValue};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// The keys that the other host is to look through, as ranges: `0-3,7-9` are 0, 1, 2, 7 and 8.
-pub(super) const ONLY: HeaderName = HeaderName::from_static("monsoonring-only");
+pub(super) const ONLY_KEYS: HeaderName = HeaderName::from_static("monsoonring-only");
 
 /// The keys that an answer covers, written alike, and the index version that it is from.
 const COVERED: HeaderName = HeaderName::from_static("monsoonring-covered");
@@ -26,50 +26,53 @@
 
 /// The keys that a search of another host is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Only(pub(in crate::gateway) KeySet);
+pub(in crate::gateway) struct OnlyKeys(pub(in crate::gateway) KeySet);
 
-impl Only {
+impl OnlyKeys {
     /// Takes the keys out of the headers of a search, as they are no backend server's concern.
     pub(super) fn take_out(headers: &mut HeaderMap) -> Option<Self> {
-        let keys = keys(&headers.remove(ONLY)?)?;
+        let keys = parse_keys(&headers.remove(ONLY_KEYS)?)?;
         Some(Self(keys))
     }
 }
 
-/// A part of a search that a host was chosen for.
-pub(in crate::gateway) struct Sharing<'a> {
-    chosen: Chosen<'a>,
+/// A part of a search that a host was assignment for.
+pub(in crate::gateway) struct PendingDelegation<'a> {
+    assignment: Assignment<'a>,
     keys: KeySet,
 }
 
-/// What the other host covers, or whether it may have begun.
-pub(in crate::gateway) type Part = std::result::Result<Reply<Whole>, Progress>;
+/// What the other host covers, or whether it may have progress.
+pub(in crate::gateway) type DelegatedReply = std::result::Result<Reply<ServerResponse>, Progress>;
 
 /// What became of a part.
-pub(in crate::gateway) struct Shared {
+pub(in crate::gateway) struct DelegationResult {
     /// What came.
-    pub(in crate::gateway) reply: Part,
+    pub(in crate::gateway) reply: DelegatedReply,
     /// What went wrong, if something did.
-    pub(in crate::gateway) why: Option<String>,
+    pub(in crate::gateway) reason: Option<String>,
 }
 
 impl Relay {
     /// Chooses who looks through a part of a search; `None` where this host asks all servers itself.
-    pub(in crate::gateway) fn share(&self, elsewhere: &Elsewhere) -> Option<Sharing<'_>> {
-        let Delegation { host, keys } = self.helpers().delegate(elsewhere, self.clock.now())?;
-        let chosen = Chosen {
+    pub(in crate::gateway) fn delegate(
+        &self,
+        remote_shards: &RemoteShards,
+    ) -> Option<PendingDelegation<'_>> {
+        let Delegation { host, keys } = self.helpers().delegate(remote_shards, self.clock.now())?;
+        let assignment = Assignment {
             relay: self,
             host,
-            ended: Outcome::Cancelled,
+            outcome: Outcome::Cancelled,
         };
-        Some(Sharing { chosen, keys })
+        Some(PendingDelegation { assignment, keys })
     }
 }
 
-impl Sharing<'_> {
-    /// Returns who was chosen.
+impl PendingDelegation<'_> {
+    /// Returns who was assignment.
     pub(in crate::gateway) fn host(&self) -> MemberId {
-        self.chosen.host
+        self.assignment.host
     }
 
     /// Returns the keys.
@@ -77,82 +80,86 @@
         &self.keys
     }
 
-    /// Asks for the part. The answer is poor where it lacks more than `tolerable` of the keys.
-    pub(in crate::gateway) async fn ask(
+    /// Asks for the part. The answer is poor where it lacks more than `max_missing` of the keys.
+    pub(in crate::gateway) async fn send(
         mut self,
         head: request::Parts,
         body: Bytes,
         version: u64,
-        tolerable: u64,
-        patience: Duration,
-    ) -> Shared {
+        max_missing: u64,
+        remaining: Duration,
+    ) -> DelegationResult {
         let mut request = Request::from_parts(head, Full::new(body));
-        if let Ok(only) = HeaderValue::from_str(&text(&self.keys)) {
-            request.headers_mut().insert(ONLY, only);
+        if let Ok(only_keys) = HeaderValue::from_str(&format_keys(&self.keys)) {
+            request.headers_mut().insert(ONLY_KEYS, only_keys);
         }
-        let Chosen { relay, host, .. } = self.chosen;
-        let answer = relay.hand(host, request, version, patience).await;
-        let (ended, shared) = self.judge(answer, tolerable).await;
-        self.chosen.ended = ended;
-        shared
+        let Assignment { relay, host, .. } = self.assignment;
+        let answer = relay.send(host, request, version, remaining).await;
+        let (outcome, result) = self.evaluate(answer, max_missing).await;
+        self.assignment.outcome = outcome;
+        result
     }
 
-    async fn judge(
+    async fn evaluate(
         &self,
         answer: Result<Response<Full<Bytes>>>,
-        tolerable: u64,
-    ) -> (Outcome, Shared) {
+        max_missing: u64,
+    ) -> (Outcome, DelegationResult) {
         let response = match answer {
             Ok(response) => response,
-            Err(error) => return (error.ended(), lost(&error)),
+            Err(error) => return (error.outcome(), failed(&error)),
         };
         let status = response.status();
         let covered = self.covered(response.headers());
         let (Some((covered, snapshot)), StatusCode::OK) = (covered, status) else {
-            let begun = match status {
+            let progress = match status {
                 // It says that nothing has run.
                 StatusCode::SERVICE_UNAVAILABLE => Progress::NotStarted,
                 _ => Progress::MaybeStarted,
             };
-            let why = Some(format!("status {}", status.as_u16()));
-            let reply = Err(begun);
-            return (Outcome::Incomplete, Shared { reply, why });
+            let reason = Some(format!("status {}", status.as_u16()));
+            let reply = Err(progress);
+            return (Outcome::Incomplete, DelegationResult { reply, reason });
         };
-        let lacking = self.keys.len() - covered.len();
-        let ended = match lacking > tolerable {
+        let missing = self.keys.len() - covered.len();
+        let outcome = match missing > max_missing {
             true => Outcome::Incomplete,
             false => Outcome::Answered,
         };
-        let reply = reply(response, &covered, snapshot).await;
-        let why = (lacking > 0).then(|| format!("lacks {lacking} of {}", self.keys.len()));
-        (ended, Shared { reply, why })
+        let reply = merged_reply(response, &covered, snapshot).await;
+        let reason = (missing > 0).then(|| format!("lacks {missing} of {}", self.keys.len()));
+        (outcome, DelegationResult { reply, reason })
     }
 
     /// Returns what an answer says that it covers, if that was asked for.
     fn covered(&self, headers: &HeaderMap) -> Option<(KeySet, IndexVersion)> {
-        let covered = keys(headers.get(COVERED)?)?;
-        let is_asked = covered.difference(&self.keys).is_empty();
+        let covered = parse_keys(headers.get(COVERED)?)?;
+        let is_requested = covered.difference(&self.keys).is_empty();
         let snapshot = number(headers, &SNAPSHOT)?;
-        (is_asked && !covered.is_empty()).then_some((covered, snapshot))
+        (is_requested && !covered.is_empty()).then_some((covered, snapshot))
     }
 }
 
-fn lost(error: &Error) -> Shared {
-    let begun = match error.may_have_begun() {
+fn failed(error: &Error) -> DelegationResult {
+    let progress = match error.may_have_started() {
         true => Progress::MaybeStarted,
         false => Progress::NotStarted,
     };
-    Shared {
-        reply: Err(begun),
-        why: Some(error.to_string()),
+    DelegationResult {
+        reply: Err(progress),
+        reason: Some(error.to_string()),
     }
 }
 
 /// Makes a reply of one merged answer, which stands for all keys that it covers.
-async fn reply(response: Response<Full<Bytes>>, covered: &KeySet, snapshot: IndexVersion) -> Part {
+async fn merged_reply(
+    response: Response<Full<Bytes>>,
+    covered: &KeySet,
+    snapshot: IndexVersion,
+) -> DelegatedReply {
     let (head, body) = response.into_parts();
     let Ok(body) = body.collect().await;
-    let value = Whole {
+    let value = ServerResponse {
         status: head.status,
         headers: head.headers,
         body: body.to_bytes(),
@@ -175,13 +182,13 @@
     covered: &KeySet,
     snapshot: IndexVersion,
 ) {
-    if let Ok(covered) = HeaderValue::from_str(&text(covered)) {
+    if let Ok(covered) = HeaderValue::from_str(&format_keys(covered)) {
         headers.insert(COVERED, covered);
         headers.insert(SNAPSHOT, snapshot.into());
     }
 }
 
-fn text(keys: &KeySet) -> String {
+fn format_keys(keys: &KeySet) -> String {
     let ranges = keys.ranges().iter();
     let ranges: Vec<String> = ranges
         .map(|range| format!("{}-{}", range.start, range.end))
@@ -189,7 +196,7 @@
     ranges.join(",")
 }
 
-fn keys(value: &HeaderValue) -> Option<KeySet> {
+fn parse_keys(value: &HeaderValue) -> Option<KeySet> {
     let ranges = value.to_str().ok()?.split(',');
     let ranges = ranges.map(|range| {
         let (start, end) = range.split_once('-')?;
--- a/crates/daemon/src/gateway/relay/helper.rs
+++ b/crates/daemon/src/gateway/relay/helper.rs
@@ -1,8 +1,8 @@
 //! Taking in the searches of other hosts, and their questions for what was read of the store.
 
-use super::{Only, VERSION, declined, take_out};
+use super::{OnlyKeys, VERSION, decline, take_relay_headers};
 use crate::gateway::Ingress;
-use crate::gateway::front::{Front, OnTheWay};
+use crate::gateway::front::{DeliveryMargin, Front};
 use crate::gateway::mirror::Mirror;
 use crate::server::{Handler, Standing};
 use bytes::Bytes;
@@ -14,9 +14,9 @@
 use tokio::sync::Semaphore;
 
 /// Searches of others that a host of one core takes on at once. One takes 2 ms of a core, and up to 300 ms where servers have much
-/// to do, so that this many use up a core. With fewer places searches are declined while servers are short of room, and hosts
+/// to do, so that this many use up a core. With fewer slots searches are decline while servers are short of room, and hosts
 /// that know little of the servers' load fan them out instead of refusing them.
-const TAKEN_BY_A_CORE: f64 = 150.0;
+const SEARCHES_PER_CORE: f64 = 150.0;
 
 /// Answers the searches of other hosts.
 pub(in crate::gateway) struct Helper<I> {
@@ -24,7 +24,7 @@
     /// What this host read of the store, for those that ask.
     mirror: Arc<Mirror>,
     /// Places for them.
-    places: Semaphore,
+    slots: Semaphore,
 }
 
 impl<I> Helper<I> {
@@ -33,11 +33,11 @@
         strength: Centicores,
         mirror: Arc<Mirror>,
     ) -> Self {
-        let places = f64::from(strength) / 100.0 * TAKEN_BY_A_CORE;
+        let slots = f64::from(strength) / 100.0 * SEARCHES_PER_CORE;
         Self {
             front,
             mirror,
-            places: Semaphore::new(places as usize),
+            slots: Semaphore::new(slots as usize),
         }
     }
 }
@@ -56,19 +56,19 @@
                 return response;
             }
         }
-        let Ok(_place) = self.places.try_acquire() else {
-            return declined("full house");
+        let Ok(_slot) = self.slots.try_acquire() else {
+            return decline("full house");
         };
-        let (asked, on_the_way) = take_out(request.headers_mut());
-        if let Some(only) = Only::take_out(request.headers_mut()) {
-            request.extensions_mut().insert(only);
+        let (version, delivery_margin) = take_relay_headers(request.headers_mut());
+        if let Some(only_keys) = OnlyKeys::take_out(request.headers_mut()) {
+            request.extensions_mut().insert(only_keys);
         }
-        if let Some(time) = on_the_way {
-            request.extensions_mut().insert(OnTheWay(time));
+        if let Some(time) = delivery_margin {
+            request.extensions_mut().insert(DeliveryMargin(time));
         }
         let own = self.front.state.view().map(|view| view.table.version);
-        if own.is_none() || asked != own {
-            let mut response = declined("another configuration");
+        if own.is_none() || version != own {
+            let mut response = decline("another configuration");
             if let Some(own) = own {
                 response.headers_mut().insert(VERSION, own.into());
             }
--- a/crates/daemon/src/gateway/relay/tests.rs
+++ b/crates/daemon/src/gateway/relay/tests.rs
@@ -1,6 +1,6 @@
 //! What a host that handed a search on may still do itself.
 
-use super::{Error, Link, Relay};
+use super::{Connection, Error, Relay};
 use crate::clock::Clock;
 use bytes::Bytes;
 use hyper::Request;
@@ -61,20 +61,20 @@
 }
 
 /// Returns a connection to another host that takes a request and then fails.
-async fn link(error: ErrorKind) -> Link {
+async fn connection(error: ErrorKind) -> Connection {
     let stream = Failing {
         error,
         written: false,
         reader: None,
     };
-    let opened = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, driver) = opened.expect("it takes all that is written");
+    let result = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, driver) = result.expect("it takes all that is written");
     let driver = tokio::spawn(async move {
         let _ = driver.await;
     });
     // Until it is driven it is not ready.
     tokio::task::yield_now().await;
-    Link {
+    Connection {
         sender,
         _driver: AbortOnDropHandle::new(driver),
     }
@@ -88,32 +88,32 @@
 #[test_case(ErrorKind::TimedOut; "timed_out")]
 #[test_case(ErrorKind::ConnectionReset; "reset")]
 #[tokio::test]
-async fn ask_connection_ends_after_the_search_has_left(error: ErrorKind) {
+async fn search_connection_fails_after_the_request_was_sent(error: ErrorKind) {
     let host = SocketAddr::from(([127, 0, 0, 1], 9));
     let relay = Relay::new(12, Clock::start(), Arc::new(Notify::new()));
-    relay.told(host, 50);
-    relay.keep(host, link(error).await);
+    relay.set_strength(host, 50);
+    relay.release(host, connection(error).await);
     let request = Request::get("/map/1").body(()).expect("it is proper");
     let ((head, ()), body) = (request.into_parts(), Bytes::new());
-    let asked = relay.ask(&head, &body, 7, Duration::from_secs(5));
-    let (_, answer) = asked.await.expect("there is one to ask");
+    let search = relay.search(&head, &body, 7, Duration::from_secs(5));
+    let (_, answer) = search.await.expect("there is one to ask");
     let error = answer.expect_err("there is no answer");
-    assert!(error.may_have_begun(), "{error}");
+    assert!(error.may_have_started(), "{error}");
 }
 
 // The other way about: where nothing was sent the search is still this host's.
 #[tokio::test]
-async fn ask_nobody_listens_leaves_the_search_here() {
+async fn search_connection_refused_may_run_on_this_host() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let host = listener.local_addr().expect("it is bound");
     drop(listener);
     let relay = Relay::new(12, Clock::start(), Arc::new(Notify::new()));
-    relay.told(host, 50);
+    relay.set_strength(host, 50);
     let request = Request::get("/map/1").body(()).expect("it is proper");
     let ((head, ()), body) = (request.into_parts(), Bytes::new());
-    let asked = relay.ask(&head, &body, 7, Duration::from_secs(5));
-    let (_, answer) = asked.await.expect("there is one to ask");
+    let search = relay.search(&head, &body, 7, Duration::from_secs(5));
+    let (_, answer) = search.await.expect("there is one to ask");
     let error = answer.expect_err("nobody listens");
     assert!(matches!(error, Error::Connect { .. }), "{error}");
-    assert!(!error.may_have_begun());
+    assert!(!error.may_have_started());
 }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -2,11 +2,11 @@
 
 use super::content::Opaque;
 use super::describe::Describe;
-use super::front::Passing;
+use super::front::Origin;
 use super::mirror::Mirror;
 use super::relay::{Helper, Relay};
 use super::state::{Instances, State};
-use super::{Ingress, News, control, front, members, ready};
+use super::{Ingress, Update, control, front, members, ready};
 use crate::backend::Codec;
 use crate::clock::{Clock, start_number};
 use crate::metrics::label::Side;
@@ -75,7 +75,7 @@
     /// What hosts share, and the number of hosts that is assumed before more are known.
     pub division: Division,
     /// Extra attempts that the owners of backend servers allow for each first one.
-    pub extra: f64,
+    pub extra_attempts: f64,
     /// Processor time of this host, in hundredths of a core; 0 where it is not known.
     pub strength: Centicores,
     /// Hosts to ask for the others, at the addresses for hosts.
@@ -83,7 +83,7 @@
     /// Time between "not ready" and the end of accepting in a planned stop.
     pub drain_wait: Duration,
     /// Longest time that a planned stop takes.
-    pub stop_bound: Duration,
+    pub stop_timeout: Duration,
 }
 
 impl Settings {
@@ -109,20 +109,20 @@
     }
 }
 
-/// The outside, as its adapter implements it.
-pub struct Outside<I, K> {
+/// The adapter, as its adapter implements it.
+pub struct Adapter<I, K> {
     /// How clients speak.
     pub ingress: I,
     /// How backend servers speak, for one set of shards.
     pub codec: Box<dyn Fn(Instances) -> K + Send>,
     /// What is learned of configuration and backend servers.
-    pub news: mpsc::UnboundedReceiver<News>,
+    pub updates: mpsc::UnboundedReceiver<Update>,
     /// Told who reads the store.
     pub readers: watch::Sender<Readers>,
     /// What this host reads of the store itself.
     pub mirror: Arc<Mirror>,
     /// Told when another host has a newer configuration.
-    pub behind: Arc<Notify>,
+    pub outdated: Arc<Notify>,
 }
 
 /// Serves until a signal to stop, and stops. Returns whether nothing was cut off.
@@ -132,12 +132,12 @@
 /// An address or the signals can't be listened on.
 pub async fn run<I: Ingress, K: Codec<Content = Opaque>>(
     settings: Settings,
-    outside: Outside<I, K>,
+    adapter: Adapter<I, K>,
     telemetry: Telemetry,
 ) -> Result<bool> {
     let mut signals = pin!(signals().context(Snafu)?);
     let listeners = Listeners::bind(&settings.addresses).await?;
-    let gateway = Gateway::start(&settings, outside, &telemetry, listeners);
+    let gateway = Gateway::start(&settings, adapter, &telemetry, listeners);
     info!(telemetry.log, "start"; "clients" => %settings.addresses.front,
         "ready" => %settings.addresses.ready, "metrics" => %settings.addresses.metrics);
     signals.next().await;
@@ -185,7 +185,7 @@
 impl Gateway {
     fn start<I: Ingress, K: Codec<Content = Opaque>>(
         settings: &Settings,
-        outside: Outside<I, K>,
+        adapter: Adapter<I, K>,
         telemetry: &Telemetry,
         listeners: Listeners,
     ) -> Self {
@@ -194,31 +194,31 @@
         let state = Arc::new(State::default());
         let clock = Clock::start();
         let Telemetry { log, metrics } = telemetry;
-        let (facts, found) = mpsc::unbounded_channel();
-        let (heard, hosts) = mpsc::unbounded_channel();
-        let (seek, sought) = watch::channel(BTreeSet::new());
-        let (ask_members, members_asked) = mpsc::unbounded_channel();
-        let (ask_control, control_asked) = mpsc::unbounded_channel();
+        let (facts, local_facts) = mpsc::unbounded_channel();
+        let (member_updates, hosts) = mpsc::unbounded_channel();
+        let (remote_tx, remote_rx) = watch::channel(BTreeSet::new());
+        let (member_status, member_status_requests) = mpsc::unbounded_channel();
+        let (control_status, control_status_requests) = mpsc::unbounded_channel();
         tokio::spawn(members::run(members::Task {
             members: settings.members(clock),
             socket: listeners.hosts,
             clock,
             log: log.clone(),
             metrics: metrics.clone(),
-            found,
-            asked: members_asked,
-            sought,
-            news: heard,
+            local_facts,
+            status_requests: member_status_requests,
+            remote_rx,
+            updates: member_updates,
             candidates: BTreeMap::new(),
         }));
-        let relay = Arc::new(Relay::new(settings.strength, clock, outside.behind));
+        let relay = Arc::new(Relay::new(settings.strength, clock, adapter.outdated));
         let controller = control::Settings {
             relay: relay.clone(),
-            seek,
-            readers: outside.readers,
-            codec: outside.codec,
+            remote_tx,
+            readers: adapter.readers,
+            codec: adapter.codec,
             division: settings.division,
-            extra: settings.extra,
+            extra_attempts: settings.extra_attempts,
             data_centre: settings.data_centre.clone(),
             seed: rand::rng().random(),
             clock,
@@ -227,31 +227,31 @@
             facts,
         };
         let sources = control::Sources {
-            outside: outside.news,
+            adapter: adapter.updates,
             hosts,
-            asked: control_asked,
+            status_requests: control_status_requests,
         };
         tokio::spawn(control::run(controller, state.clone(), sources));
-        let ingress = Arc::new(outside.ingress);
-        let front = |passing| front::Front {
+        let ingress = Arc::new(adapter.ingress);
+        let front = |origin| front::Front {
             ingress: ingress.clone(),
             state: state.clone(),
             clock,
             log: log.clone(),
             metrics: metrics.clone(),
-            passing,
+            origin,
             relay: relay.clone(),
-            on_the_way: delivery::margin(settings.strength),
+            delivery_margin: delivery::margin(settings.strength),
         };
         let searches = Server {
-            handler: Helper::new(front(Passing::Back), settings.strength, outside.mirror),
+            handler: Helper::new(front(Origin::Peer), settings.strength, adapter.mirror),
             limits: settings.limits.clone(),
             stop: watch.clone(),
             gauge: metrics.open_connections(Side::Peer),
             log: log.clone(),
         };
         let clients = Server {
-            handler: front(Passing::On),
+            handler: front(Origin::Client),
             limits: settings.limits.clone(),
             stop: watch.clone(),
             gauge: metrics.open_connections(Side::Caller),
@@ -261,8 +261,8 @@
             own: settings.addresses.hosts,
             data_centre: settings.data_centre.clone(),
             state: state.clone(),
-            control: ask_control,
-            members: ask_members,
+            control: control_status,
+            members: member_status,
         };
         let operators = || Server {
             handler: ready::Front {
@@ -303,7 +303,7 @@
             self.clients.wait().await;
             self.searches.wait().await;
         };
-        let finished = tokio::time::timeout(settings.stop_bound, finish).await;
+        let finished = tokio::time::timeout(settings.stop_timeout, finish).await;
         if finished.is_err() {
             warn!(log, "stop"; "what" => "cut short");
         }
--- a/crates/daemon/src/gateway/split.rs
+++ b/crates/daemon/src/gateway/split.rs
@@ -15,7 +15,7 @@
     /// Returns where the next request of a route goes, `None` where the route leads nowhere.
     pub(super) fn next(&self, route: &Route) -> Option<Shards> {
         let parts = match &route.target {
-            Target::FanOut(gather) => return Some(gather.shards.clone()),
+            Target::FanOut(fan_out) => return Some(fan_out.shards.clone()),
             Target::Split(parts) => parts,
         };
         if let [only] = &parts[..] {
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -21,7 +21,7 @@
     /// of that shard is there any more. The home may learn that a moment later, and sending would
     /// reach a server of another service, or of another shard, whose part would be taken for this
     /// one's.
-    pub fn at(&self, server: BackendServerId, ranges: &[Range]) -> Option<InstanceId> {
+    pub fn expected_at(&self, server: BackendServerId, ranges: &[Range]) -> Option<InstanceId> {
         let instances = self.0.read().unwrap_or_else(PoisonError::into_inner);
         let expected = instances.get(&server)?;
         let is_shard = ranges.iter().all(|range| *range == expected.keys);
@@ -41,7 +41,7 @@
 }
 
 /// Shards by the data centre where they have servers.
-pub(super) type Elsewhere = BTreeMap<DataCentreId, KeySet>;
+pub(super) type RemoteShards = BTreeMap<DataCentreId, KeySet>;
 
 /// What is in force.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     pub(super) table: Arc<Table>,
     pub(super) homes: Arc<HashMap<Shards, route::Handle<Opaque>>>,
     /// By set of shards: the shards without a server in this data centre, by where they have some.
-    pub(super) elsewhere: Arc<HashMap<Shards, Elsewhere>>,
+    pub(super) remote_shards: Arc<HashMap<Shards, RemoteShards>>,
 }
 
 /// What requests find.
@@ -67,7 +67,7 @@
         view.clone()
     }
 
-    pub(super) fn put(&self, view: View) {
+    pub(super) fn set_view(&self, view: View) {
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = Some(view);
     }
 }
