--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -1,9 +1,9 @@
 //! The control task.
 
-use super::document::Read;
+use super::document::LoadedDocument;
 use super::handle::{Handle, Input};
+use super::pause::Detector;
 use super::probe::{self, Driver};
-use super::pulse::Pulse;
 use super::view::View;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
@@ -59,11 +59,11 @@
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
     /// Where facts go that this daemon has not known before.
-    pub(crate) news: mpsc::UnboundedSender<News>,
+    pub(crate) news: mpsc::UnboundedSender<NewFact>,
 }
 
 /// A fact that this daemon has not known before.
-pub(crate) struct News {
+pub(crate) struct NewFact {
     pub(crate) entry: fact::Entry,
     /// Whether it was found here.
     pub(crate) own: bool,
@@ -73,9 +73,12 @@
 pub(crate) fn spawn(settings: Settings) -> Handle {
     let (inputs, queue) = mpsc::unbounded_channel();
     let (view, receiver) = watch::channel(View::default());
-    let pulse = Arc::new(Pulse::new(settings.clock, settings.members.pause_threshold));
-    let handle = Handle::new(inputs, receiver, pulse.clone());
-    let controller = Controller::new(settings, handle.clone(), view, pulse);
+    let pause_detector = Arc::new(Detector::new(
+        settings.clock,
+        settings.members.pause_threshold,
+    ));
+    let handle = Handle::new(inputs, receiver, pause_detector.clone());
+    let controller = Controller::new(settings, handle.clone(), view, pause_detector);
     tokio::spawn(controller.run(queue));
     handle
 }
@@ -86,18 +89,18 @@
     clock: Clock,
     log: Logger,
     metrics: Arc<Metrics>,
-    news: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedSender<NewFact>,
     table: Table,
     holder: Holder,
     facts: fact::Table,
     driver: Driver,
     list: platform::List,
     view: watch::Sender<View>,
-    pulse: Arc<Pulse>,
+    pause_detector: Arc<Detector>,
     /// The document that the holder is deciding on.
-    read: Option<Read>,
+    read: Option<LoadedDocument>,
     /// The document in force.
-    in_force: Option<(Read, Arc<Configuration>)>,
+    in_force: Option<(LoadedDocument, Arc<Configuration>)>,
     members: Arc<[Member]>,
     suspects: Arc<BTreeSet<MemberId>>,
     reader: bool,
@@ -112,7 +115,7 @@
         settings: Settings,
         handle: Handle,
         view: watch::Sender<View>,
-        pulse: Arc<Pulse>,
+        pause_detector: Arc<Detector>,
     ) -> Self {
         let now = settings.clock.now();
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
@@ -138,7 +141,7 @@
             driver,
             list: settings.list,
             view,
-            pulse,
+            pause_detector,
             read: None,
             in_force: None,
             members: Arc::default(),
@@ -196,7 +199,7 @@
                 .list(&self.list, &self.view.borrow(), &self.seeds);
         }
         self.publish();
-        self.pulse.beat();
+        self.pause_detector.record_tick();
     }
 
     fn input(&mut self, input: Input) {
@@ -222,14 +225,14 @@
             }
             Input::Member(event) => self.member_event(event),
             Input::Configuration(event) => self.configuration(event),
-            Input::Read(peer, read) => self.read(peer, *read),
-            Input::Listed(leaving) => {
+            Input::Document(peer, read) => self.read(peer, *read),
+            Input::LeavingServers(leaving) => {
                 for server in leaving {
                     self.learn(fact::Key::Leaving(server), 0, LEAVING_LIFE);
                 }
             }
-            Input::Heard(entry, from) => self.heard(vec![entry], from),
-            Input::Fact(key, version, life) => self.learn(key, version, life),
+            Input::RemoteFact(entry, from) => self.heard(vec![entry], from),
+            Input::LocalFact(key, version, life) => self.learn(key, version, life),
         }
         self.publish();
     }
@@ -268,7 +271,7 @@
             self.metrics.control.fact(&entry.key, "heard");
             info!(self.log, "fact"; "what" => "heard", "fact" => format!("{:?}", entry.key),
                 "from" => %from, "life_ms" => entry.life.as_millis());
-            let _ = self.news.send(News { entry, own: false });
+            let _ = self.news.send(NewFact { entry, own: false });
         }
     }
 
@@ -291,7 +294,7 @@
         self.metrics.control.fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
-        let _ = self.news.send(News { entry, own: true });
+        let _ = self.news.send(NewFact { entry, own: true });
         self.member(member::Event::Burst, None);
     }
 
@@ -333,7 +336,7 @@
             member::Action::Paused(gap) => {
                 self.metrics.control.pauses.inc();
                 warn!(self.log, "member"; "what" => "paused", "gap_ms" => gap.as_millis());
-                self.pulse.paused();
+                self.pause_detector.record_pause();
                 self.configuration(configuration::Event::Paused);
             }
             member::Action::Leaving => {
@@ -375,7 +378,7 @@
     }
 
     /// Takes a document that the service or a peer gave.
-    fn read(&mut self, peer: Option<MemberId>, read: Read) {
+    fn read(&mut self, peer: Option<MemberId>, read: LoadedDocument) {
         let (version, faults) = (read.version, read.faults());
         self.read = Some(read);
         self.configuration(match peer {
--- a/crates/daemon/src/control/document.rs
+++ b/crates/daemon/src/control/document.rs
@@ -39,7 +39,7 @@
 
 /// A document with the sections that it was read from.
 #[derive(Clone, Debug)]
-pub(crate) struct Read {
+pub(crate) struct LoadedDocument {
     /// Its identity.
     pub(crate) version: Version,
     /// The document, or the faults found in it.
@@ -48,10 +48,10 @@
     pub(crate) sections: Arc<[Section]>,
 }
 
-impl Read {
+impl LoadedDocument {
     /// Checks a text that the service gave with a revision.
-    pub(crate) fn text(revision: Revision, bytes: &[u8]) -> Self {
-        let (digest, document, sections) = match cut(bytes) {
+    pub(crate) fn from_text(revision: Revision, bytes: &[u8]) -> Self {
+        let (digest, document, sections) = match parse(bytes) {
             Ok((document, sections)) => (digest(&sections), Ok(document), sections),
             // A faulty text has no sections. Its own digest tells it from the next one.
             Err(faults) => (section::Digest::of(bytes).half(), Err(faults), Vec::new()),
@@ -70,7 +70,7 @@
     ///
     /// Fails if the sections are not those of the version. Sections that are, but are no valid
     /// document for this build, are no error: they are faults of that version.
-    pub(crate) fn parts(
+    pub(crate) fn from_parts(
         version: Version,
         parts: Vec<section::transfer::Part>,
         held: &[Section],
@@ -81,7 +81,7 @@
         ensure!(expected == found, DigestSnafu { expected, found });
         Ok(Self {
             version,
-            document: section::assemble(&index, &sections).map_err(|error| named(&error)),
+            document: section::assemble(&index, &sections).map_err(|error| describe(&error)),
             sections: sections.into(),
         })
     }
@@ -101,9 +101,9 @@
     }
 }
 
-fn cut(bytes: &[u8]) -> Result<(Document, Vec<Section>), Vec<String>> {
-    let document = check::parse(bytes).map_err(|error| listed(&error))?;
-    let sections = section::split(&document).map_err(|error| named(&error))?;
+fn parse(bytes: &[u8]) -> Result<(Document, Vec<Section>), Vec<String>> {
+    let document = check::parse(bytes).map_err(|error| messages(&error))?;
+    let sections = section::split(&document).map_err(|error| describe(&error))?;
     Ok((document, sections))
 }
 
@@ -111,13 +111,13 @@
     Index::of(sections).digest().half()
 }
 
-fn listed(error: &check::Error) -> Vec<String> {
+fn messages(error: &check::Error) -> Vec<String> {
     error.faults.iter().map(ToString::to_string).collect()
 }
 
-fn named(error: &section::Error) -> Vec<String> {
+fn describe(error: &section::Error) -> Vec<String> {
     match error {
-        section::Error::Invalid { source } => listed(source),
+        section::Error::Invalid { source } => messages(source),
         error => vec![error.to_string()],
     }
 }
--- a/crates/daemon/src/control/handle.rs
+++ b/crates/daemon/src/control/handle.rs
@@ -1,7 +1,7 @@
 //! The other end of the control task's queue.
 
-use super::document::Read;
-use super::pulse::Pulse;
+use super::document::LoadedDocument;
+use super::pause::Detector;
 use super::view::View;
 use monsoonring_configuration::id::{BackendServerId, Incarnation};
 use monsoonring_configuration::section::Section;
@@ -35,13 +35,13 @@
     /// Something happened to the configuration.
     Configuration(ConfigurationEvent),
     /// A document was read; at a peer, if one is named.
-    Read(Option<MemberId>, Box<Read>),
+    Document(Option<MemberId>, Box<LoadedDocument>),
     /// The host list says that these backend servers are leaving.
-    Listed(Vec<BackendServerId>),
+    LeavingServers(Vec<BackendServerId>),
     /// Another home found something out just now.
-    Heard(fact::Entry, MemberId),
+    RemoteFact(fact::Entry, MemberId),
     /// This daemon found something out: key, version and life.
-    Fact(fact::Key, u64, Duration),
+    LocalFact(fact::Key, u64, Duration),
 }
 
 /// Gives the control task its work, and shows its view.
@@ -49,25 +49,25 @@
 pub(crate) struct Handle {
     inputs: mpsc::UnboundedSender<Input>,
     view: watch::Receiver<View>,
-    pulse: Arc<Pulse>,
+    pause_detector: Arc<Detector>,
 }
 
 impl Handle {
     pub(crate) fn new(
         inputs: mpsc::UnboundedSender<Input>,
         view: watch::Receiver<View>,
-        pulse: Arc<Pulse>,
+        pause_detector: Arc<Detector>,
     ) -> Self {
         Self {
             inputs,
             view,
-            pulse,
+            pause_detector,
         }
     }
 
     /// Returns why no new work may be taken, if that is so.
     pub(crate) fn ready(&self) -> Result<(), &'static str> {
-        self.pulse.ready()?;
+        self.pause_detector.ready()?;
         self.view.borrow().ready()
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Tells the control task something. A task that has ended does not need it any more.
-    pub(crate) fn tell(&self, input: Input) {
+    pub(crate) fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
@@ -133,18 +133,18 @@
 
     /// Tells the members that this daemon stops.
     pub(crate) fn leave(&self, successor: Option<MemberId>) {
-        self.tell(Input::Member(MemberEvent::Leave { successor }));
+        self.send(Input::Member(MemberEvent::Leave { successor }));
     }
 
     /// Tells the members that a backend server is leaving.
-    pub(crate) fn leaving(
+    pub(crate) fn announce_leaving(
         &self,
         server: BackendServerId,
         start: Option<Incarnation>,
         life: Duration,
     ) {
         let key = fact::Key::Leaving(server);
-        self.tell(Input::Fact(key, start.unwrap_or_default(), life));
+        self.send(Input::LocalFact(key, start.unwrap_or_default(), life));
     }
 
     async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -9,10 +9,10 @@
 mod controller;
 mod document;
 mod handle;
+mod pause;
 mod probe;
-mod pulse;
 mod view;
 
-pub(crate) use controller::{LEAVING_LIFE, News, Settings, spawn};
+pub(crate) use controller::{LEAVING_LIFE, NewFact, Settings, spawn};
 pub(crate) use handle::{Handle, Input};
 pub(crate) use view::View;
--- a/crates/daemon/src/control/pulse.rs
+++ b/crates/daemon/src/control/pause.rs
@@ -16,49 +16,49 @@
 use std::time::Duration;
 
 /// Time in which a process that goes on reads what waited in its sockets.
-const BACKLOG: Duration = Duration::from_millis(500);
+const RESUME_DELAY: Duration = Duration::from_millis(500);
 
 /// The last tick of the control task, and the end of the rest after a pause.
 #[derive(Debug)]
-pub(crate) struct Pulse {
+pub(crate) struct Detector {
     clock: Clock,
     /// Gap between two ticks above which the process counts as having been paused.
-    pause: Duration,
+    threshold: Duration,
     /// Milliseconds since the start.
-    last: AtomicU64,
-    rest_until: AtomicU64,
+    last_tick: AtomicU64,
+    refuse_until: AtomicU64,
 }
 
-impl Pulse {
-    pub(super) fn new(clock: Clock, pause: Duration) -> Self {
+impl Detector {
+    pub(super) fn new(clock: Clock, threshold: Duration) -> Self {
         Self {
             clock,
-            pause,
-            last: AtomicU64::new(milliseconds(clock.now())),
-            rest_until: AtomicU64::new(0),
+            threshold,
+            last_tick: AtomicU64::new(milliseconds(clock.now())),
+            refuse_until: AtomicU64::new(0),
         }
     }
 
     /// Notes a tick, after what follows from it has been published.
-    pub(super) fn beat(&self) {
+    pub(super) fn record_tick(&self) {
         let now = milliseconds(self.clock.now());
-        self.last.store(now, Ordering::Release);
+        self.last_tick.store(now, Ordering::Release);
     }
 
     /// Notes that the process was paused.
-    pub(super) fn paused(&self) {
-        let until = milliseconds(self.clock.now() + BACKLOG);
-        self.rest_until.store(until, Ordering::Release);
+    pub(super) fn record_pause(&self) {
+        let until = milliseconds(self.clock.now() + RESUME_DELAY);
+        self.refuse_until.store(until, Ordering::Release);
     }
 
     /// Returns why no new work may be taken, if that is so.
     pub(super) fn ready(&self) -> Result<(), &'static str> {
         let now = milliseconds(self.clock.now());
-        let last = self.last.load(Ordering::Acquire);
-        if now.saturating_sub(last) > milliseconds(self.pause) {
+        let last_tick = self.last_tick.load(Ordering::Acquire);
+        if now.saturating_sub(last_tick) > milliseconds(self.threshold) {
             return Err("paused");
         }
-        if now < self.rest_until.load(Ordering::Acquire) {
+        if now < self.refuse_until.load(Ordering::Acquire) {
             return Err("resumed a moment ago");
         }
         Ok(())
--- a/crates/daemon/src/control/probe.rs
+++ b/crates/daemon/src/control/probe.rs
@@ -1,6 +1,6 @@
 //! Calls of the control task, each in a task of its own that reports back through the queue.
 
-use super::document::Read;
+use super::document::LoadedDocument;
 use super::handle::{Handle, Input};
 use super::view::View;
 use crate::peer::Pool;
@@ -112,7 +112,7 @@
                 member::Event::Failed(probe)
             }
         };
-        self.handle.tell(Input::Member(event));
+        self.handle.send(Input::Member(event));
     }
 
     pub(super) fn pull(&self, from: MemberId, span: BucketRange) {
@@ -126,7 +126,7 @@
                 Some(page) => member::Event::Pulled(from, page),
                 None => member::Event::PullFailed(from),
             };
-            driver.handle.tell(Input::Member(event));
+            driver.handle.send(Input::Member(event));
         });
     }
 
@@ -140,10 +140,10 @@
         let driver = self.clone();
         tokio::spawn(async move {
             let input = match driver.document(peer, least, &held).await {
-                Some(read) => Input::Read(Some(peer), Box::new(read)),
+                Some(read) => Input::Document(Some(peer), Box::new(read)),
                 None => Input::Configuration(configuration::Event::FetchFailed(peer)),
             };
-            driver.handle.tell(input);
+            driver.handle.send(input);
         });
     }
 
@@ -153,10 +153,15 @@
     /// side by side, or one cut short, would be a configuration that no operator wrote, and this
     /// daemon would hand it on. The second try holds nothing, so that it does not depend on what
     /// went wrong with the first.
-    async fn document(&self, peer: MemberId, least: Version, held: &[Section]) -> Option<Read> {
+    async fn document(
+        &self,
+        peer: MemberId,
+        least: Version,
+        held: &[Section],
+    ) -> Option<LoadedDocument> {
         for held in [held, &[]] {
             let sections = self.sections(peer, least, Base::of(held)).await?;
-            match Read::parts(sections.version, sections.parts, held) {
+            match LoadedDocument::from_parts(sections.version, sections.parts, held) {
                 Ok(read) => return Some(read),
                 Err(error) => {
                     warn!(self.log, "configuration"; "what" => "refused", "from" => %peer,
@@ -194,10 +199,10 @@
     }
 
     fn served(&self, value: platform::Result<Option<platform::Value>>) {
-        self.handle.tell(match value {
+        self.handle.send(match value {
             Ok(Some(value)) => {
-                let read = Read::text(value.revision, &value.bytes);
-                Input::Read(None, Box::new(read))
+                let read = LoadedDocument::from_text(value.revision, &value.bytes);
+                Input::Document(None, Box::new(read))
             }
             Ok(None) => Input::Configuration(configuration::Event::Unchanged),
             Err(_) => Input::Configuration(configuration::Event::ServiceFailed),
@@ -220,7 +225,7 @@
                 .partition(|host| servers.contains(&host.address));
             let leaving = servers.iter().filter(|host| host.state == State::Leaving);
             let leaving = leaving.map(|host| host.address).collect();
-            driver.handle.tell(Input::Listed(leaving));
+            driver.handle.send(Input::LeavingServers(leaving));
             let listed = daemons.iter().map(|host| member::Seed {
                 id: host.address,
                 leaving: host.state == State::Leaving,
@@ -231,7 +236,7 @@
             listed.extend(missing.map(|id| member::Seed { id, leaving: false }));
             driver
                 .handle
-                .tell(Input::Member(member::Event::Listed(listed)));
+                .send(Input::Member(member::Event::Listed(listed)));
         });
     }
 }
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -12,7 +12,7 @@
 use crate::backend::Codec;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::route::{self, Facts, Side};
+use crate::route::{self, Facts, Management};
 use monsoonring_configuration::document;
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
 use monsoonring_decision::backend::ColdLimit;
@@ -239,7 +239,7 @@
             members::News::Fact(_) => return,
         };
         for home in self.homes.values() {
-            home.handle.tell(event.clone());
+            home.handle.send(event.clone());
         }
     }
 
@@ -264,7 +264,7 @@
     /// Tells a home that begins which requests crash servers.
     fn brief(&self, home: &Home) {
         for (&fingerprint, &until) in &self.crashing {
-            home.handle.tell(Event::Suspect { fingerprint, until });
+            home.handle.send(Event::Suspect { fingerprint, until });
         }
     }
 
@@ -325,26 +325,26 @@
         let cold = self.cold(set, table, usable);
         let Some(home) = home else {
             let home = self.begin(set, table, route, expected, far);
-            home.handle.tell(Event::Cold(cold.clone()));
+            home.handle.send(Event::Cold(cold.clone()));
             self.brief(&home);
             let home = Home { cold, ..home };
             return home;
         };
         // First, so that none of them is sent its full load in between.
         if home.cold != cold {
-            home.handle.tell(Event::Cold(cold.clone()));
+            home.handle.send(Event::Cold(cold.clone()));
         }
         let home = Home { cold, ..home };
         let replaced = home.instances.replace(expected);
         if !replaced.is_empty() {
-            home.handle.tell(Event::Replaced(replaced));
+            home.handle.send(Event::Replaced(replaced));
         }
         if *home.route == route {
             return home;
         }
         let route = Arc::new(route);
-        home.handle.tell(Event::Route(route.clone()));
-        home.handle.tell(Event::RemoteServers(far));
+        home.handle.send(Event::Route(route.clone()));
+        home.handle.send(Event::RemoteServers(far));
         Home { route, ..home }
     }
 
@@ -390,9 +390,9 @@
         let route = Arc::new(route);
         let handle = route::spawn(route::Settings {
             codec: (settings.codec)(instances.clone()),
-            side: Side::None,
+            management: Management::None,
             route: route.clone(),
-            part: Allocation {
+            allocation: Allocation {
                 division: self.division(set, table),
                 far,
             },
@@ -407,7 +407,7 @@
             metrics: settings.metrics.clone(),
             facts: settings.facts.clone(),
             // What is decided stands in the log; nobody can ask the process itself.
-            recent: None,
+            history: None,
         });
         Home {
             handle,
--- a/crates/daemon/src/gateway/front/handing.rs
+++ b/crates/daemon/src/gateway/front/handing.rs
@@ -157,7 +157,7 @@
             outcome = &mut run => return outcome,
             reply = &mut part, if is_pending => {
                 is_pending = false;
-                home.tell(match reply {
+                home.send(match reply {
                     Ok(reply) => Event::DelegatedReply(id, reply),
                     Err(begun) => Event::DelegationFailed(id, begun),
                 });
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -4,8 +4,8 @@
 //! out. A run goes on when its caller leaves: its outcome belongs to the key, not to the connection.
 
 use super::Node;
-use super::decided::describe;
-use super::hop::context;
+use super::decision::describe;
+use super::forward::context;
 use super::search::{Choice, unavailable};
 use crate::service::{Call, Execution};
 use futures::stream::{FuturesUnordered, StreamExt};
@@ -35,12 +35,12 @@
 const MAX_HOMES: usize = 3;
 
 /// The ledger, and the sends that wait for a run of another send.
-pub(super) struct Book {
+pub(super) struct SharedLedger {
     ledger: Mutex<Ledger>,
     joined: Mutex<HashMap<RequestId, oneshot::Sender<Outcome>>>,
 }
 
-impl Book {
+impl SharedLedger {
     pub(super) fn new(ledger: Ledger) -> Self {
         Self {
             ledger: Mutex::new(ledger),
@@ -288,7 +288,7 @@
     }
 
     /// Runs a request at this home, for the incarnation that holds its permit.
-    pub(crate) async fn run_passed(&self, call: Call, key: String) -> Result<Outcome, Declined> {
+    pub(crate) async fn run_forwarded(&self, call: Call, key: String) -> Result<Outcome, Declined> {
         self.rested()?;
         let entry = self.routes.get(&call.route.name).ok_or(Declined::NotHome)?;
         let handle = entry.handle.ok_or(Declined::NotHome)?;
--- a/crates/daemon/src/node/hop.rs
+++ b/crates/daemon/src/node/forward.rs
@@ -12,68 +12,68 @@
 ///
 /// Members take seconds to suspect one of them; until then each query that is passed to a home
 /// which hangs would be lost. One lost query here keeps the following ones away.
-const AVOID: Duration = Duration::from_secs(2);
+const AVOID_DURATION: Duration = Duration::from_secs(2);
 
-/// What this daemon has seen of a member while passing requests on.
+/// What this daemon has stats of a member while passing requests on.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct PeerStats {
     outstanding: u32,
     silent_since: Option<Instant>,
     /// When it last answered anything.
-    heard: Option<Instant>,
+    last_answer: Option<Instant>,
 }
 
-/// What this daemon has seen of all members.
+/// What this daemon has stats of all members.
 #[derive(Debug, Default)]
-pub(super) struct Hops {
-    seen: Mutex<HashMap<MemberId, Seen>>,
+pub(super) struct Tracker {
+    stats: Mutex<HashMap<MemberId, PeerStats>>,
 }
 
-impl Hops {
+impl Tracker {
     /// Counts a request as outstanding until the guard is dropped.
     pub(super) fn begin(&self, member: MemberId) -> Guard<'_> {
         self.lock().entry(member).or_default().outstanding += 1;
         Guard {
-            hops: self,
+            tracker: self,
             member,
             answered: None,
         }
     }
 
     /// Returns what placement needs to know of a member.
-    pub(super) fn standing(&self, id: MemberId, near: bool, suspected: bool) -> HomeLoad {
-        let seen = self.lock().get(&id).copied().unwrap_or_default();
-        let silent = seen
+    pub(super) fn load(&self, id: MemberId, near: bool, suspected: bool) -> HomeLoad {
+        let stats = self.lock().get(&id).copied().unwrap_or_default();
+        let silent = stats
             .silent_since
-            .is_some_and(|since| since.elapsed() < AVOID);
+            .is_some_and(|since| since.elapsed() < AVOID_DURATION);
         HomeLoad {
             id,
             near,
             suspect: suspected || silent,
-            outstanding: seen.outstanding,
+            outstanding: stats.outstanding,
         }
     }
 
     /// Tells whether a member has answered nothing since a point in time.
     pub(super) fn is_silent(&self, member: MemberId, since: Instant) -> bool {
-        let heard = self.lock().get(&member).and_then(|seen| seen.heard);
-        heard.is_none_or(|heard| heard < since)
+        let last_answer = self.lock().get(&member).and_then(|stats| stats.last_answer);
+        last_answer.is_none_or(|last_answer| last_answer < since)
     }
 
     /// Forgets members that are gone.
     pub(super) fn retain(&self, keep: impl Fn(&MemberId) -> bool) {
         self.lock()
-            .retain(|id, seen| keep(id) || seen.outstanding > 0);
+            .retain(|id, stats| keep(id) || stats.outstanding > 0);
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<MemberId, Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<MemberId, PeerStats>> {
+        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// A request on its way to a member.
 pub(super) struct Guard<'a> {
-    hops: &'a Hops,
+    tracker: &'a Tracker,
     member: MemberId,
     answered: Option<bool>,
 }
@@ -87,17 +87,17 @@
 
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
-        let mut seen = self.hops.lock();
-        let Some(seen) = seen.get_mut(&self.member) else {
+        let mut stats = self.tracker.lock();
+        let Some(stats) = stats.get_mut(&self.member) else {
             return;
         };
-        seen.outstanding = seen.outstanding.saturating_sub(1);
+        stats.outstanding = stats.outstanding.saturating_sub(1);
         match self.answered {
             Some(true) => {
-                seen.silent_since = None;
-                seen.heard = Some(Instant::now());
+                stats.silent_since = None;
+                stats.last_answer = Some(Instant::now());
             }
-            Some(false) => seen.silent_since = Some(Instant::now()),
+            Some(false) => stats.silent_since = Some(Instant::now()),
             // The caller went away first; that says nothing of the member.
             None => {}
         }
--- a/crates/daemon/src/node/recent.rs
+++ b/crates/daemon/src/node/history.rs
@@ -13,11 +13,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Decisions kept.
-const KEPT: usize = 20_000;
+const MAX_RECORDS: usize = 20_000;
 
 /// One decision on a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Line {
+pub(crate) struct Record {
     pub(crate) request: RequestId,
     pub(crate) at: Time,
     pub(crate) route: RouteId,
@@ -27,10 +27,10 @@
     pub(crate) why: Rationale,
 }
 
-impl Line {
-    /// Returns the line for operators. The age tells the order of lines of several daemons, whose
+impl Record {
+    /// Returns the record for operators. The age tells the order of records of several daemons, whose
     /// own times have nothing in common.
-    fn shown(&self, now: Time) -> Value {
+    fn to_json(&self, now: Time) -> Value {
         json!({
             "at_ms": self.at.as_millis(),
             "ago_ms": now.saturating_sub(self.at).as_millis(),
@@ -45,26 +45,26 @@
 
 /// The latest decisions of this daemon.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Recent(Arc<Mutex<VecDeque<Line>>>);
+pub(crate) struct History(Arc<Mutex<VecDeque<Record>>>);
 
-impl Recent {
+impl History {
     /// Keeps a decision.
-    pub(crate) fn keep(&self, line: Line) {
-        let mut lines = self.lock();
-        if lines.len() == KEPT {
-            lines.pop_front();
+    pub(crate) fn record(&self, record: Record) {
+        let mut records = self.lock();
+        if records.len() == MAX_RECORDS {
+            records.pop_front();
         }
-        lines.push_back(line);
+        records.push_back(record);
     }
 
     /// Returns the decisions on a request, the oldest first.
-    pub(super) fn of(&self, request: RequestId, now: Time) -> Vec<Value> {
-        let lines = self.lock();
-        let lines = lines.iter().filter(|line| line.request == request);
-        lines.map(|line| line.shown(now)).collect()
+    pub(super) fn for_request(&self, request: RequestId, now: Time) -> Vec<Value> {
+        let records = self.lock();
+        let records = records.iter().filter(|record| record.request == request);
+        records.map(|record| record.to_json(now)).collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, VecDeque<Line>> {
+    fn lock(&self) -> MutexGuard<'_, VecDeque<Record>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -4,10 +4,10 @@
 //! in `search`, non-idempotent requests in `execute`; `routes` keeps the homes that this daemon is
 //! one of; `stop` ends it all without cutting anything off.
 
-mod decided;
+mod decision;
 mod execute;
-mod hop;
-pub(crate) mod recent;
+mod forward;
+pub(crate) mod history;
 mod routes;
 mod search;
 mod start;
@@ -22,14 +22,14 @@
 use crate::metrics::label::Side;
 use crate::peer::Pool;
 use crate::service::{Call, Configuration, Execution, Explain, Service};
+use forward::Tracker;
 use futures::future::{BoxFuture, FutureExt};
-use hop::Hops;
+use history::{History, Record};
 use monsoonring_decision::member::{MemberId, Message};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_decision::placement::Member;
 use monsoonring_decision::rationale::Rationale;
 use prometheus_client::metrics::gauge::Gauge;
-use recent::{Line, Recent};
 use routes::Routes;
 use slog::{Logger, info};
 use std::sync::Arc;
@@ -44,10 +44,10 @@
     control: control::Handle,
     routes: Routes,
     peers: Pool,
-    hops: Hops,
-    ledger: execute::Book,
+    forwards: Tracker,
+    ledger: execute::SharedLedger,
     stopping: stop::Flag,
-    recent: Recent,
+    history: History,
 }
 
 impl Node {
@@ -69,7 +69,7 @@
         info!(self.log, "decision"; "request" => format!("{:032x}", call.request),
             "route" => &*call.route.name, "decision" => what,
             "home" => home.map(|home| home.to_string()), "reason" => why);
-        self.recent.keep(Line {
+        self.history.record(Record {
             request: call.request,
             at: self.clock.now(),
             route: call.route.name.clone(),
@@ -90,7 +90,7 @@
         let probing = async {
             let client = self.peers.client(target).await.ok()?;
             client
-                .probe(hop::context(Instant::now() + limit), message)
+                .probe(forward::context(Instant::now() + limit), message)
                 .await
                 .ok()?
         };
--- a/crates/daemon/src/node/routes.rs
+++ b/crates/daemon/src/node/routes.rs
@@ -62,7 +62,7 @@
     pub(super) fn tell(&self, event: &Event) {
         for entry in self.lock().values() {
             if let Some(handle) = &entry.handle {
-                handle.tell(event.clone());
+                handle.send(event.clone());
             }
         }
     }
@@ -162,12 +162,12 @@
     fn adjust(&self, old: &Entry, route: &Arc<Route>, homes: usize) {
         let Some(handle) = &old.handle else { return };
         if old.route != *route {
-            handle.tell(Event::Route(route.clone()));
+            handle.send(Event::Route(route.clone()));
         }
         if old.homes.len() != homes {
             info!(self.log, "placement"; "what" => "share", "route" => &*route.name,
                 "homes" => homes, "why" => "the number of homes changed");
-            handle.tell(Event::Homes(homes.into()));
+            handle.send(Event::Homes(homes.into()));
         }
     }
 
@@ -175,7 +175,7 @@
     fn end(&self, name: &RouteId, handle: Option<Handle>, why: &str) {
         let Some(handle) = handle else { return };
         info!(self.log, "placement"; "what" => "no home", "route" => &**name, "why" => why);
-        handle.tell(Event::Stop);
+        handle.send(Event::Stop);
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<RouteId, Entry>> {
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -1,7 +1,7 @@
 //! Searches: here, or one hop away.
 
 use super::Node;
-use super::hop::context;
+use super::forward::context;
 use super::routes::Entry;
 use crate::service::Call;
 use futures::stream::{FuturesUnordered, StreamExt};
@@ -124,7 +124,7 @@
                 }
                 () = &mut patience, if patient => {
                     patient = false;
-                    if self.node.hops.is_silent(home, since) {
+                    if self.node.forwards.is_silent(home, since) {
                         return None;
                     }
                 }
@@ -189,8 +189,8 @@
         let homes = entry.homes.iter().filter(|home| !tried.contains(&home.id));
         let standings = homes.map(|home| {
             let near = home.data_centre == self.own.data_centre;
-            self.hops
-                .standing(home.id, near, self.control.is_suspect(home.id))
+            self.forwards
+                .load(home.id, near, self.control.is_suspect(home.id))
         });
         let standings: Vec<_> = standings.collect();
         let home = placement::choose(self.own.id, request, &standings)?;
@@ -210,7 +210,7 @@
             };
         }
         self.note(call, "pass on", Some(home), &why);
-        let guard = self.hops.begin(home);
+        let guard = self.forwards.begin(home);
         let Ok(client) = self.peers.client(home).await else {
             guard.answered(false);
             self.metrics.node.hopped("lost");
@@ -270,7 +270,7 @@
     }
 
     /// Runs a search that a peer passed on.
-    pub(crate) async fn search_passed(&self, call: Call) -> Result<Outcome, Declined> {
+    pub(crate) async fn search_forwarded(&self, call: Call) -> Result<Outcome, Declined> {
         self.rested()?;
         let entry = self.routes.get(&call.route.name).ok_or(Declined::NotHome)?;
         let handle = entry.handle.ok_or(Declined::NotHome)?;
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -1,8 +1,8 @@
 //! Bringing a daemon's controllers up.
 
-use super::execute::Book;
-use super::hop::Hops;
-use super::recent::Recent;
+use super::execute::SharedLedger;
+use super::forward::Tracker;
+use super::history::History;
 use super::routes::{Routes, spawner};
 use super::{Front, Node, stop};
 use crate::backend::Json;
@@ -71,7 +71,7 @@
         news,
     });
     let (facts, found) = mpsc::unbounded_channel();
-    let recent = Recent::default();
+    let history = History::default();
     let routes = routes(
         &settings.baseline,
         &own,
@@ -81,7 +81,7 @@
         },
         clock,
         facts,
-        recent.clone(),
+        history.clone(),
         random.random(),
     );
     let fence = Fence {
@@ -101,10 +101,10 @@
         control,
         routes,
         peers: pool,
-        hops: Hops::default(),
-        ledger: Book::new(ledger),
+        forwards: Tracker::default(),
+        ledger: SharedLedger::new(ledger),
         stopping: stop::Flag::default(),
-        recent,
+        history,
     });
     tokio::spawn(follow(node.clone()));
     tokio::spawn(hear(node.clone(), heard));
@@ -128,7 +128,7 @@
     telemetry: Telemetry,
     clock: Clock,
     facts: route::Facts,
-    recent: Recent,
+    history: History,
     seed: u64,
 ) -> Routes {
     let Telemetry { log, metrics } = telemetry;
@@ -136,16 +136,16 @@
     let policy = baseline.policy();
     let spawn = spawner(move |route, homes| route::Settings {
         codec: Json,
-        side: route::Side::Endpoints,
+        management: route::Management::Endpoints,
         route,
-        part: Division::among(homes).into(),
+        allocation: Division::among(homes).into(),
         policy,
         seed,
         clock,
         log: route_log.clone(),
         metrics: metrics.clone(),
         facts: facts.clone(),
-        recent: Some(recent.clone()),
+        history: Some(history.clone()),
     });
     Routes::new(own.id, log, spawn, baseline.homes())
 }
@@ -158,13 +158,13 @@
         let begun = node.routes.update(&view);
         node.brief(&begun).await;
         let known: HashSet<SocketAddr> = view.members.iter().map(|member| member.id).collect();
-        node.hops.retain(|id| known.contains(id));
+        node.forwards.retain(|id| known.contains(id));
         node.peers.retain(|id| known.contains(id));
     }
 }
 
 /// Takes facts that other daemons found to the homes here.
-async fn hear(node: Arc<Node>, mut heard: mpsc::UnboundedReceiver<control::News>) {
+async fn hear(node: Arc<Node>, mut heard: mpsc::UnboundedReceiver<control::NewFact>) {
     while let Some(news) = heard.recv().await {
         if let Some(event) = node.event(&news.entry) {
             node.routes.tell(&event);
@@ -180,10 +180,11 @@
     while let Some(fact) = found.recv().await {
         match fact {
             Fact::Leaving(server, start) => {
-                node.control.leaving(server, start, control::LEAVING_LIFE);
+                node.control
+                    .announce_leaving(server, start, control::LEAVING_LIFE);
             }
             Fact::Suspect(fingerprint, life) => {
-                node.control.tell(control::Input::Fact(
+                node.control.send(control::Input::LocalFact(
                     fact::Key::Suspect(fingerprint),
                     0,
                     life,
@@ -211,7 +212,7 @@
         }
         let facts = self.control.facts().await;
         for event in facts.iter().filter_map(|entry| self.event(entry)) {
-            begun.iter().for_each(|handle| handle.tell(event.clone()));
+            begun.iter().for_each(|handle| handle.send(event.clone()));
         }
     }
 
--- a/crates/daemon/src/node/state.rs
+++ b/crates/daemon/src/node/state.rs
@@ -53,7 +53,7 @@
     pub(super) async fn explained(&self, query: Explain) -> Option<Value> {
         match query {
             Explain::Request(request) => {
-                let decisions = self.recent.of(request, self.clock.now());
+                let decisions = self.history.for_request(request, self.clock.now());
                 let known = !decisions.is_empty();
                 known.then(|| {
                     json!({
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -5,7 +5,7 @@
 //! passed on to this daemon; then what was passed on finishes; then the ledger goes to a successor.
 
 use super::Node;
-use super::hop::context;
+use super::forward::context;
 use monsoonring_decision::idempotency::{Fence, Handover};
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::placement;
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Flag {
     stopping: AtomicBool,
-    passed_on: AtomicUsize,
+    forwarded: AtomicUsize,
 }
 
 impl Flag {
@@ -44,14 +44,14 @@
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.0.passed_on.fetch_sub(1, Ordering::AcqRel);
+        self.0.forwarded.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Node {
     /// Counts a peer's request as in flight until the guard is dropped.
-    pub(crate) fn passed_on(&self) -> InFlight<'_> {
-        self.stopping.passed_on.fetch_add(1, Ordering::AcqRel);
+    pub(crate) fn track_forwarded(&self) -> InFlight<'_> {
+        self.stopping.forwarded.fetch_add(1, Ordering::AcqRel);
         InFlight(&self.stopping)
     }
 
@@ -68,7 +68,7 @@
         // From here on a send of a key is refused, and recorded as not run, so that the ledger that
         // goes to the successor is complete.
         self.ledger.ledger().drain();
-        while self.stopping.passed_on.load(Ordering::Acquire) > 0 {
+        while self.stopping.forwarded.load(Ordering::Acquire) > 0 {
             tokio::time::sleep(POLL).await;
         }
         let Some(successor) = self.successor() else {
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -108,12 +108,12 @@
     }
 
     async fn search(self, context: Context, request: Request) -> Result<Outcome, Declined> {
-        let _in_flight = self.0.passed_on();
+        let _in_flight = self.0.track_forwarded();
         let call = self
             .0
             .call(request, deadline(&context))
             .ok_or(Declined::NotHome)?;
-        self.0.search_passed(call).await
+        self.0.search_forwarded(call).await
     }
 
     async fn mint(self, context: Context, request: Request) -> Result<Key, Declined> {
@@ -125,7 +125,7 @@
     }
 
     async fn send(self, context: Context, send: Send) -> Sent {
-        let _in_flight = self.0.passed_on();
+        let _in_flight = self.0.track_forwarded();
         match self.0.call(send.request, deadline(&context)) {
             Some(call) => self.0.send(call, send.key, send.send, true).await,
             None => Sent::Refused(Refusal::Gone),
@@ -138,12 +138,12 @@
         request: Request,
         key: String,
     ) -> Result<Outcome, Declined> {
-        let _in_flight = self.0.passed_on();
+        let _in_flight = self.0.track_forwarded();
         let call = self
             .0
             .call(request, deadline(&context))
             .ok_or(Declined::NotHome)?;
-        self.0.run_passed(call, key).await
+        self.0.run_forwarded(call, key).await
     }
 
     async fn ask(self, _: Context, question: Lookup) -> Finding {
@@ -151,7 +151,7 @@
     }
 
     async fn hear(self, _: Context, entry: fact::Entry, from: MemberId) {
-        self.control().tell(control::Input::Heard(entry, from));
+        self.control().send(control::Input::RemoteFact(entry, from));
     }
 
     async fn take_over(self, _: Context, handover: Handover) -> Option<Receipt> {
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -2,12 +2,12 @@
 
 use super::gauges::Gauges;
 use super::handle::{Handle, Input};
-use super::side::{self, Side};
+use super::management::{self, Management};
 use crate::backend::{self, Codec, Connection};
 use crate::clock::Clock;
 use crate::log;
 use crate::metrics::Metrics;
-use crate::node::recent::{Line, Recent};
+use crate::node::history::{History, Record};
 use monsoonring_configuration::document::Route;
 use monsoonring_configuration::id::{BackendServerId, Incarnation, RouteId};
 use monsoonring_decision::attempt::{ConnectionId, Failure};
@@ -44,9 +44,9 @@
 /// What a route's task is started with.
 pub(crate) struct Settings<K> {
     pub(crate) codec: K,
-    pub(crate) side: Side,
+    pub(crate) management: Management,
     pub(crate) route: Arc<Route>,
-    pub(crate) part: Allocation,
+    pub(crate) allocation: Allocation,
     pub(crate) policy: Policy,
     pub(crate) seed: u64,
     pub(crate) clock: Clock,
@@ -54,7 +54,7 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) facts: Facts,
     /// Where decisions are kept for those who ask about a request, if anybody can.
-    pub(crate) recent: Option<Recent>,
+    pub(crate) history: Option<History>,
 }
 
 /// Starts the task of a route. It ends when the last handle is gone and nothing is in flight.
@@ -72,13 +72,13 @@
     let now = settings.clock.now();
     let (home, actions) = Home::with_policy(
         settings.route.clone(),
-        settings.part.clone(),
+        settings.allocation.clone(),
         settings.seed,
         settings.policy,
         now,
     );
-    let side = settings.side.start(&settings, &report);
-    let mut controller = Controller::new(settings, home, report, side);
+    let management = settings.management.start(&settings, &report);
+    let mut controller = Controller::new(settings, home, report, management);
     controller.perform(actions);
     let mut open = true;
     while open || controller.home.in_progress() > 0 {
@@ -127,10 +127,10 @@
     log: Logger,
     metrics: Arc<Metrics>,
     facts: Facts,
-    recent: Option<Recent>,
+    history: Option<History>,
     route: RouteId,
     report: backend::Report<K::Content>,
-    side: side::Line,
+    management: management::Channel,
     connections: HashMap<ConnectionId, Connection<K>>,
     waiting: HashMap<RequestId, oneshot::Sender<Ended<K::Content>>>,
     alarm: Wakeup,
@@ -142,7 +142,7 @@
         settings: Settings<K>,
         home: Home<K::Content>,
         report: backend::Report<K::Content>,
-        side: side::Line,
+        management: management::Channel,
     ) -> Self {
         let gauges = Gauges::new(settings.metrics.clone(), settings.route.name.clone());
         Self {
@@ -151,11 +151,11 @@
             log: settings.log,
             metrics: settings.metrics,
             facts: settings.facts,
-            recent: settings.recent,
+            history: settings.history,
             route: settings.route.name.clone(),
             report,
             codec: settings.codec,
-            side,
+            management,
             connections: HashMap::new(),
             waiting: HashMap::new(),
             alarm: Wakeup::default(),
@@ -184,7 +184,7 @@
             }
             Event::Opened(_) => self.metrics.home.opened(&self.route),
             Event::Failed(_, failure) => self.metrics.home.failed(&self.route, failure),
-            Event::Route(route) => self.side.follow(route),
+            Event::Route(route) => self.management.follow(route),
             _ => {}
         }
         let now = self.clock.now();
@@ -220,7 +220,8 @@
             Action::Send(send) => self.send(send),
             Action::Cancel(attempt, backend_server) => {
                 self.metrics.home.cancelled(&self.route);
-                self.side.cancel(attempt, backend_server, &self.report);
+                self.management
+                    .cancel(attempt, backend_server, &self.report);
             }
             Action::Finish(request, outcome) => self.finish(request, outcome),
             Action::AnnounceLeaving(backend_server, start) => {
@@ -270,10 +271,10 @@
     }
 
     fn keep(&self, decision: Decision) {
-        let (Some(request), Some(recent)) = (decision.request, &self.recent) else {
+        let (Some(request), Some(history)) = (decision.request, &self.history) else {
             return;
         };
-        recent.keep(Line {
+        history.record(Record {
             request,
             at: self.clock.now(),
             route: self.route.clone(),
--- a/crates/daemon/src/route/handle.rs
+++ b/crates/daemon/src/route/handle.rs
@@ -51,7 +51,7 @@
     }
 
     /// Tells the home of an event. A home that has ended does not need it any more.
-    pub(crate) fn tell(&self, event: Event<C>) {
+    pub(crate) fn send(&self, event: Event<C>) {
         let _ = self.inputs.send(Input::Event(event));
     }
 
@@ -72,7 +72,7 @@
 impl<C: Content> Drop for Guard<'_, C> {
     fn drop(&mut self) {
         if let Some(request) = self.request {
-            self.handle.tell(Event::Abandoned(request));
+            self.handle.send(Event::Abandoned(request));
         }
     }
 }
--- a/crates/daemon/src/route/side.rs
+++ b/crates/daemon/src/route/management.rs
@@ -24,7 +24,7 @@
 
 /// Which way backend servers are spoken to beside requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Side {
+pub(crate) enum Management {
     /// Over their endpoints.
     Endpoints,
     /// Not at all.
@@ -32,7 +32,7 @@
 }
 
 /// The way as it is in use.
-pub(crate) enum Line {
+pub(crate) enum Channel {
     Endpoints {
         endpoint: Endpoint,
         servers: poll::Servers,
@@ -41,16 +41,20 @@
     None,
 }
 
-impl Side {
-    pub(crate) fn start<K, C: Content>(self, settings: &Settings<K>, report: &Report<C>) -> Line {
+impl Management {
+    pub(crate) fn start<K, C: Content>(
+        self,
+        settings: &Settings<K>,
+        report: &Report<C>,
+    ) -> Channel {
         match self {
-            Self::None => Line::None,
+            Self::None => Channel::None,
             Self::Endpoints => {
                 let servers = poll::Servers::of(&settings.route);
                 let endpoint = Endpoint::default();
                 let first = usize::try_from(settings.seed).unwrap_or_default();
                 let poller = poll::spawn(servers.clone(), endpoint.clone(), report.clone(), first);
-                Line::Endpoints {
+                Channel::Endpoints {
                     endpoint,
                     servers,
                     _poller: poller,
@@ -60,7 +64,7 @@
     }
 }
 
-impl Line {
+impl Channel {
     /// Takes over the servers of a new configuration.
     pub(crate) fn follow(&self, route: &Route) {
         if let Self::Endpoints { servers, .. } = self {
--- a/crates/daemon/src/route/mod.rs
+++ b/crates/daemon/src/route/mod.rs
@@ -9,9 +9,9 @@
 mod controller;
 mod gauges;
 mod handle;
+mod management;
 mod poll;
-mod side;
 
 pub(crate) use controller::{Fact, Facts, Settings, spawn};
 pub(crate) use handle::Handle;
-pub(crate) use side::Side;
+pub(crate) use management::Management;
