--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -12,7 +12,7 @@
 use crate::backend::Codec;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::route::{self, Facts, Side};
+use crate::route::{self, Facts, Management};
 use monsoonring_configuration::document;
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
 use monsoonring_decision::backend::ColdLimit;
@@ -242,7 +242,7 @@
             members::Update::Fact(_) => return,
         };
         for home in self.homes.values() {
-            home.handle.tell(event.clone());
+            home.handle.send(event.clone());
         }
     }
 
@@ -267,7 +267,7 @@
     /// Tells a home that begins which requests crash servers.
     fn send_crashing(&self, home: &Home) {
         for (&fingerprint, &until) in &self.crashing {
-            home.handle.tell(Event::Suspect { fingerprint, until });
+            home.handle.send(Event::Suspect { fingerprint, until });
         }
     }
 
@@ -334,26 +334,26 @@
         let cold = self.cold_limits(set, table, usable);
         let Some(home) = home else {
             let home = self.start_home(set, table, route, expected, remote_servers);
-            home.handle.tell(Event::Cold(cold.clone()));
+            home.handle.send(Event::Cold(cold.clone()));
             self.send_crashing(&home);
             let home = Home { cold, ..home };
             return home;
         };
         // First, so that none of them is sent its full load in between.
         if home.cold != cold {
-            home.handle.tell(Event::Cold(cold.clone()));
+            home.handle.send(Event::Cold(cold.clone()));
         }
         let home = Home { cold, ..home };
         let replaced = home.instances.replace(expected);
         if !replaced.is_empty() {
-            home.handle.tell(Event::Replaced(replaced));
+            home.handle.send(Event::Replaced(replaced));
         }
         if *home.route == route {
             return home;
         }
         let route = Arc::new(route);
-        home.handle.tell(Event::Route(route.clone()));
-        home.handle.tell(Event::RemoteServers(remote_servers));
+        home.handle.send(Event::Route(route.clone()));
+        home.handle.send(Event::RemoteServers(remote_servers));
         Home { route, ..home }
     }
 
@@ -399,9 +399,9 @@
         let route = Arc::new(route);
         let handle = route::spawn(route::Settings {
             codec: (settings.codec)(instances.clone()),
-            side: Side::None,
+            management: Management::None,
             route: route.clone(),
-            part: Allocation {
+            allocation: Allocation {
                 division: self.division(set, table),
                 far,
             },
@@ -416,7 +416,7 @@
             metrics: settings.metrics.clone(),
             facts: settings.facts.clone(),
             // What is decided stands in the log; nobody can ask the process itself.
-            recent: None,
+            history: None,
         });
         Home {
             handle,
--- a/crates/daemon/src/gateway/front/offload.rs
+++ b/crates/daemon/src/gateway/front/offload.rs
@@ -160,7 +160,7 @@
             outcome = &mut search => return outcome,
             reply = &mut part, if is_pending => {
                 is_pending = false;
-                home.tell(match reply {
+                home.send(match reply {
                     Ok(reply) => Event::DelegatedReply(id, reply),
                     Err(progress) => Event::DelegationFailed(id, progress),
                 });
