--- a/crates/daemon/src/backend/codec/mod.rs
+++ b/crates/daemon/src/backend/codec/mod.rs
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// Fails where the attempt can't be written; nothing of it is sent.
-    fn request(&self, send: &Send<Self::Content>, remaining: Duration) -> Written;
+    fn request(&self, send: &Send<Self::Content>, remaining: Duration) -> EncodeResult;
 
     /// Reads the response to an attempt; the body is whole.
     fn answer(
@@ -53,7 +53,8 @@
 }
 
 /// An HTTP request, or why it could not be written.
-pub type Written = Result<Request<Full<Bytes>>, Box<dyn std::error::Error + marker::Send + Sync>>;
+pub type EncodeResult =
+    Result<Request<Full<Bytes>>, Box<dyn std::error::Error + marker::Send + Sync>>;
 
 /// The product's own interface to backend servers.
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +63,7 @@
 impl Codec for Json {
     type Content = content::Json;
 
-    fn request(&self, send: &Send, remaining: Duration) -> Written {
+    fn request(&self, send: &Send, remaining: Duration) -> EncodeResult {
         request(send, remaining)
     }
 
@@ -115,7 +116,7 @@
 /// # Errors
 ///
 /// Fails where the request's body is no JSON or a header can't be written; neither is sent.
-pub(crate) fn request(send: &Send, remaining: Duration) -> Written {
+pub(crate) fn request(send: &Send, remaining: Duration) -> EncodeResult {
     let query: &RawValue = serde_json::from_str(&send.body)?;
     let (path, body) = match &send.execute_key {
         None => (
--- a/crates/daemon/src/backend/connection.rs
+++ b/crates/daemon/src/backend/connection.rs
@@ -31,13 +31,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// Time within which a server that has too many connections ends a new one: a few round trips.
-const SETTLE: Duration = Duration::from_millis(3);
+const REJECTION_WINDOW: Duration = Duration::from_millis(3);
 
 /// Attempts that may wait for one connection: the home puts one at a time on it.
 const QUEUED_JOBS: usize = 1;
 
 /// Returns what the failure to open a connection tells of the server.
-fn unopened(error: &client::Error) -> ConnectFailure {
+fn connect_failure(error: &client::Error) -> ConnectFailure {
     match error {
         client::Error::Connect { source, .. } => match source.kind() {
             ErrorKind::ConnectionRefused => ConnectFailure::Refused,
@@ -52,7 +52,7 @@
 pub(crate) type Job<K> = Send<<K as Codec>::Content>;
 
 /// Where a connection reports what happens to it.
-pub(crate) type Report<C> = mpsc::UnboundedSender<Event<C>>;
+pub(crate) type EventSender<C> = mpsc::UnboundedSender<Event<C>>;
 
 type Sender = client::Sender<Full<Bytes>>;
 type Driver<T> = http1::Connection<TokioIo<T>, Full<Bytes>>;
@@ -85,12 +85,12 @@
     backend_server: BackendServerId,
     clock: Clock,
     codec: K,
-    report: Report<K::Content>,
+    report: EventSender<K::Content>,
 ) -> Connection<K> {
     let (jobs, queue) = mpsc::channel(QUEUED_JOBS);
     let task = tokio::spawn(async move {
         let ended = match timeout(CONNECT_TIMEOUT, client::open(backend_server)).await {
-            Ok(Ok((sender, driver))) => match settle(driver).await {
+            Ok(Ok((sender, driver))) => match wait_for_rejection(driver).await {
                 Some(driver) => {
                     let _ = report.send(Event::Opened(id));
                     serve(sender, driver, queue, clock, &codec, &report).await;
@@ -98,7 +98,7 @@
                 }
                 None => Event::ConnectFailed(id, ConnectFailure::Closed),
             },
-            Ok(Err(error)) => Event::ConnectFailed(id, unopened(&error)),
+            Ok(Err(error)) => Event::ConnectFailed(id, connect_failure(&error)),
             Err(_) => Event::ConnectFailed(id, ConnectFailure::TimedOut),
         };
         let _ = report.send(ended);
@@ -112,8 +112,10 @@
 /// Waits for a moment in which a server that has too many connections ends a new one; returns none
 /// if it did. A request that was put on it at once would be lost with it, and one that may not run
 /// twice would end in doubt although it never reached the server.
-async fn settle<T: AsyncRead + AsyncWrite + Unpin>(mut driver: Driver<T>) -> Option<Driver<T>> {
-    let ended = timeout(SETTLE, &mut driver).await;
+async fn wait_for_rejection<T: AsyncRead + AsyncWrite + Unpin>(
+    mut driver: Driver<T>,
+) -> Option<Driver<T>> {
+    let ended = timeout(REJECTION_WINDOW, &mut driver).await;
     ended.is_err().then_some(driver)
 }
 
@@ -125,7 +127,7 @@
     mut queue: mpsc::Receiver<Job<K>>,
     clock: Clock,
     codec: &K,
-    report: &Report<K::Content>,
+    report: &EventSender<K::Content>,
 ) {
     let mut driver = std::pin::pin!(driver);
     loop {
@@ -151,7 +153,7 @@
             break;
         }
     }
-    refuse::<K::Content>(&mut queue, report).await;
+    fail_queued::<K::Content>(&mut queue, report).await;
 }
 
 /// Reports attempts that were put on a connection which had ended: none of their bytes left.
@@ -159,7 +161,7 @@
 /// The home puts the next attempt on a connection as soon as it sees the reply, which may be before
 /// the connection has come to its end here. Without this, such an attempt would only be seen as
 /// lost: a repair ticket that never left would end as unknown, and the server be taken for crashed.
-async fn refuse<C: Content>(queue: &mut mpsc::Receiver<Send<C>>, report: &Report<C>) {
+async fn fail_queued<C: Content>(queue: &mut mpsc::Receiver<Send<C>>, report: &EventSender<C>) {
     queue.close();
     while let Some(job) = queue.recv().await {
         let _ = report.send(Event::Failed(job.attempt, Failure::NotSent));
--- a/crates/daemon/src/backend/endpoint/mod.rs
+++ b/crates/daemon/src/backend/endpoint/mod.rs
@@ -32,7 +32,7 @@
 const STALLED_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time that a call waits for those before it. A cancellation that comes later helps nobody.
-const WAIT_TIMEOUT: Duration = Duration::from_secs(1);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Largest body of an endpoint, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -55,11 +55,11 @@
 /// Client for the endpoints of all backend servers of a route; clones share its connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Endpoint {
-    lines: Arc<Mutex<HashMap<BackendServerId, Line>>>,
+    slots: Arc<Mutex<HashMap<BackendServerId, Slot>>>,
 }
 
 /// The one connection to a server, `None` where there is none now. Who holds the lock makes a call.
-type Line = Arc<tokio::sync::Mutex<Option<Connection>>>;
+type Slot = Arc<tokio::sync::Mutex<Option<Connection>>>;
 
 /// An open connection; closed when dropped.
 #[derive(Debug)]
@@ -111,15 +111,15 @@
     /// A call that nobody waits for any longer keeps its connection. Closed and replaced, it would
     /// count twice at a server that is stalled: three calls in 1.5 s left three connections there.
     async fn call(&self, method: Method, server: BackendServerId, path: String) -> Option<Bytes> {
-        let line = self.lines().entry(server).or_default().clone();
-        let mut line = timeout(WAIT_TIMEOUT, line.lock_owned()).await.ok()?;
+        let slot = self.slots().entry(server).or_default().clone();
+        let mut slot = timeout(QUEUE_TIMEOUT, slot.lock_owned()).await.ok()?;
         let (answer, answered) = oneshot::channel();
         tokio::spawn(async move {
             // Taken out meanwhile: a call that fails closes the connection.
-            let open = line.take().filter(|open| !open.sender.is_closed());
+            let open = slot.take().filter(|open| !open.sender.is_closed());
             let exchange = exchange(open, method, server, &path);
             if let Ok(Some((connection, body))) = timeout(STALLED_TIMEOUT, exchange).await {
-                *line = Some(connection);
+                *slot = Some(connection);
                 // Without a receiver the answer came too late for its caller.
                 let _ = answer.send(body);
             }
@@ -129,11 +129,11 @@
 
     /// Closes the connections to all servers but these.
     pub(crate) fn retain(&self, servers: &BTreeSet<BackendServerId>) {
-        self.lines().retain(|server, _| servers.contains(server));
+        self.slots().retain(|server, _| servers.contains(server));
     }
 
-    fn lines(&self) -> MutexGuard<'_, HashMap<BackendServerId, Line>> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slots(&self) -> MutexGuard<'_, HashMap<BackendServerId, Slot>> {
+        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/daemon/src/backend/mod.rs
+++ b/crates/daemon/src/backend/mod.rs
@@ -13,6 +13,6 @@
 mod header;
 
 pub(crate) use codec::Json;
-pub use codec::{Answer, Codec, Written};
-pub(crate) use connection::{Connection, Report, spawn};
+pub use codec::{Answer, Codec, EncodeResult};
+pub(crate) use connection::{Connection, EventSender, spawn};
 pub(crate) use endpoint::Endpoint;
--- a/crates/daemon/src/caller/exchange.rs
+++ b/crates/daemon/src/caller/exchange.rs
@@ -41,7 +41,7 @@
 
 impl<Stage, Body> Exchange<Stage, Body> {
     /// Moves on to the next stage.
-    pub(crate) fn pass<Next>(self, next: impl FnOnce(Stage) -> Next) -> Exchange<Next, Body> {
+    pub(crate) fn advance<Next>(self, next: impl FnOnce(Stage) -> Next) -> Exchange<Next, Body> {
         Exchange {
             head: self.head,
             stage: next(self.stage),
@@ -79,7 +79,7 @@
 }
 
 /// The time that remains is known.
-pub(crate) struct Timed {
+pub(crate) struct WithDeadline {
     /// Caller and route.
     pub(crate) routed: Routed,
     /// Time by which the caller wants the answer.
@@ -87,16 +87,16 @@
 }
 
 /// A key is there if the action needs one.
-pub(crate) struct Keyed {
+pub(crate) struct WithKey {
     /// Caller, route and deadline.
-    pub(crate) timed: Timed,
+    pub(crate) with_deadline: WithDeadline,
     /// What is to be done.
-    pub(crate) order: Order,
+    pub(crate) operation: Operation,
 }
 
 /// What is to be done, with what it takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Order {
+pub(crate) enum Operation {
     /// Search.
     Search,
     /// Issue a key.
@@ -119,27 +119,30 @@
 }
 
 /// A body with its fingerprint.
-pub(crate) struct Printed {
+pub(crate) struct Fingerprinted {
     /// The text, as sent.
     pub(crate) text: Arc<str>,
     /// Hash of route and body.
     pub(crate) fingerprint: Fingerprint,
 }
 
-impl Exchange<Keyed, Printed> {
+impl Exchange<WithKey, Fingerprinted> {
     /// Returns the call that the request amounts to.
-    pub(crate) fn into_call(self) -> (Call, Order) {
-        let Keyed { timed, order } = self.stage;
-        let Routed { identified, route } = timed.routed;
+    pub(crate) fn into_call(self) -> (Call, Operation) {
+        let WithKey {
+            with_deadline,
+            operation,
+        } = self.stage;
+        let Routed { identified, route } = with_deadline.routed;
         let call = Call {
             request: self.head.request,
             route,
             caller: identified.caller,
             class: identified.class,
-            deadline: timed.deadline,
+            deadline: with_deadline.deadline,
             fingerprint: self.body.fingerprint,
             body: self.body.text,
         };
-        (call, order)
+        (call, operation)
     }
 }
--- a/crates/daemon/src/caller/filter/body.rs
+++ b/crates/daemon/src/caller/filter/body.rs
@@ -1,7 +1,7 @@
 //! Reads the body.
 
 use super::{Filter, Result};
-use crate::caller::exchange::{Exchange, Json, Keyed, Order};
+use crate::caller::exchange::{Exchange, Json, Operation, WithKey};
 use crate::caller::problem::Problem;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -13,46 +13,49 @@
 const NULL: &str = "null";
 
 /// Reads the body within the time and size allowed, and checks that it is JSON.
-pub(crate) struct Read {
+pub(crate) struct ReadBody {
     /// Time that the body may take from the end of the head.
     pub(crate) timeout: Duration,
 }
 
-impl Filter<Exchange<Keyed>> for Read {
-    type After = Exchange<Keyed, Json>;
+impl Filter<Exchange<WithKey>> for ReadBody {
+    type After = Exchange<WithKey, Json>;
 
-    async fn apply(&self, before: Exchange<Keyed>) -> Result<Self::After> {
-        let limit = before.stage.timed.routed.route.max_body_bytes;
-        let deadline = before.stage.timed.deadline;
-        let patience = before.head.arrived + self.timeout;
-        let mint = before.stage.order == Order::Mint;
+    async fn apply(&self, before: Exchange<WithKey>) -> Result<Self::After> {
+        let limit = before.stage.with_deadline.routed.route.max_body_bytes;
+        let deadline = before.stage.with_deadline.deadline;
+        let body_deadline = before.head.arrived + self.timeout;
+        let mint = before.stage.operation == Operation::Mint;
         let Exchange { head, stage, body } = before;
-        let bytes = tokio::time::timeout_at(patience.min(deadline).into(), whole(body, limit))
-            .await
-            .map_err(|_| self.too_late(deadline, patience))??;
+        let bytes = tokio::time::timeout_at(
+            body_deadline.min(deadline).into(),
+            read_limited(body, limit),
+        )
+        .await
+        .map_err(|_| self.timeout_problem(deadline, body_deadline))??;
         let json = parse(&bytes, mint)?;
-        let passed = Exchange {
+        let after = Exchange {
             head,
             stage,
             body: json,
         };
-        Ok(passed)
+        Ok(after)
     }
 }
 
-impl Read {
-    fn too_late(&self, deadline: Instant, patience: Instant) -> Problem {
-        if deadline < patience {
-            Problem::late("the deadline passed before the whole body had arrived")
+impl ReadBody {
+    fn timeout_problem(&self, deadline: Instant, body_deadline: Instant) -> Problem {
+        if deadline < body_deadline {
+            Problem::deadline_passed("the deadline passed before the whole body had arrived")
         } else {
-            Problem::slow(self.timeout)
+            Problem::slow_body(self.timeout)
         }
     }
 }
 
 /// Reads the body up to its limit. A length that is announced above the limit is refused before
 /// anything is read.
-async fn whole(body: Incoming, limit: u64) -> Result<Bytes> {
+async fn read_limited(body: Incoming, limit: u64) -> Result<Bytes> {
     if body.size_hint().lower() > limit {
         return Err(Problem::too_large(limit));
     }
--- a/crates/daemon/src/caller/filter/deadline.rs
+++ b/crates/daemon/src/caller/filter/deadline.rs
@@ -1,7 +1,7 @@
 //! Finds out how much time remains.
 
 use super::{Filter, Result};
-use crate::caller::exchange::{Exchange, Routed, Timed};
+use crate::caller::exchange::{Exchange, Routed, WithDeadline};
 use crate::caller::problem::Problem;
 use crate::caller::{header, read};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 pub(crate) struct Deadline;
 
 impl Filter<Exchange<Routed>> for Deadline {
-    type After = Exchange<Timed>;
+    type After = Exchange<WithDeadline>;
 
     async fn apply(&self, before: Exchange<Routed>) -> Result<Self::After> {
         let sent = read::single(&before.head.headers, header::DEADLINE_MS)?;
@@ -22,14 +22,16 @@
             None => before.stage.route.deadline_ms,
         };
         if milliseconds == 0 {
-            return Err(Problem::late("no time remained when the request arrived"));
+            return Err(Problem::deadline_passed(
+                "no time remained when the request arrived",
+            ));
         }
         let remaining = Duration::from_millis(milliseconds).min(MAX_DEADLINE);
         let deadline = before.head.arrived + remaining;
-        Ok(before.pass(|routed| Timed { routed, deadline }))
+        Ok(before.advance(|routed| WithDeadline { routed, deadline }))
     }
 }
 
 fn not_a_number() -> Problem {
-    Problem::header(header::DEADLINE_MS, "is not a whole number of milliseconds")
+    Problem::bad_header(header::DEADLINE_MS, "is not a whole number of milliseconds")
 }
--- a/crates/daemon/src/caller/filter/fingerprint.rs
+++ b/crates/daemon/src/caller/filter/fingerprint.rs
@@ -2,14 +2,14 @@
 //!
 //! A fingerprint decides two things: whether a request is like one that has crashed backend
 //! servers, and whether a key comes back with another request. Both go wrong if the same question
-//! can have two fingerprints, so members of objects are hashed in the order of their names and
+//! can have two fingerprints, so members of objects are hashed in the operation of their names and
 //! white space not at all; some JSON libraries write both anew each time. Both go wrong, too, if a
 //! caller can make two questions with one fingerprint and so have another's refused; hence SHA-256
 //! and no faster hash without that property. The first 8 bytes of it are kept, and bodies are a few
 //! kilobytes, so the cost is some microseconds.
 
 use super::{Filter, Result};
-use crate::caller::exchange::{Exchange, Json, Keyed, Printed};
+use crate::caller::exchange::{Exchange, Fingerprinted, Json, WithKey};
 use monsoonring_decision::Fingerprint;
 use serde_json::Value;
 use sha2::{Digest, Sha256};
@@ -18,15 +18,18 @@
 const BYTES: usize = size_of::<Fingerprint>();
 
 /// Hashes route and body.
-pub(crate) struct Print;
+pub(crate) struct ComputeFingerprint;
 
-impl Filter<Exchange<Keyed, Json>> for Print {
-    type After = Exchange<Keyed, Printed>;
+impl Filter<Exchange<WithKey, Json>> for ComputeFingerprint {
+    type After = Exchange<WithKey, Fingerprinted>;
 
-    async fn apply(&self, before: Exchange<Keyed, Json>) -> Result<Self::After> {
-        let fingerprint = fingerprint(&before.stage.timed.routed.route.name, &before.body.value);
+    async fn apply(&self, before: Exchange<WithKey, Json>) -> Result<Self::After> {
+        let fingerprint = fingerprint(
+            &before.stage.with_deadline.routed.route.name,
+            &before.body.value,
+        );
         let text = before.body.text.clone();
-        Ok(before.with_body(Printed { text, fingerprint }))
+        Ok(before.with_body(Fingerprinted { text, fingerprint }))
     }
 }
 
--- a/crates/daemon/src/caller/filter/identify.rs
+++ b/crates/daemon/src/caller/filter/identify.rs
@@ -32,7 +32,7 @@
             caller: caller.name.clone(),
             class: caller.class,
         };
-        Ok(before.pass(|Arrived| identified))
+        Ok(before.advance(|Arrived| identified))
     }
 }
 
--- a/crates/daemon/src/caller/filter/key.rs
+++ b/crates/daemon/src/caller/filter/key.rs
@@ -1,7 +1,7 @@
 //! Finds the key of a non-idempotent request.
 
 use super::{Filter, Result};
-use crate::caller::exchange::{Exchange, Keyed, Order, Timed};
+use crate::caller::exchange::{Exchange, Operation, WithDeadline, WithKey};
 use crate::caller::problem::Problem;
 use crate::caller::target::Action;
 use crate::caller::{header, read};
@@ -16,22 +16,25 @@
 /// Reads the key and the number of the send where the action needs them.
 pub(crate) struct Key;
 
-impl Filter<Exchange<Timed>> for Key {
-    type After = Exchange<Keyed>;
+impl Filter<Exchange<WithDeadline>> for Key {
+    type After = Exchange<WithKey>;
 
-    async fn apply(&self, before: Exchange<Timed>) -> Result<Self::After> {
-        let order = match before.head.action {
-            Action::Query => Order::Search,
-            Action::Keys => Order::Mint,
+    async fn apply(&self, before: Exchange<WithDeadline>) -> Result<Self::After> {
+        let operation = match before.head.action {
+            Action::Query => Operation::Search,
+            Action::Keys => Operation::Mint,
             Action::Execute => execute(&before.head.headers)?,
         };
-        Ok(before.pass(|timed| Keyed { timed, order }))
+        Ok(before.advance(|with_deadline| WithKey {
+            with_deadline,
+            operation,
+        }))
     }
 }
 
-fn execute(headers: &HeaderMap) -> Result<Order> {
+fn execute(headers: &HeaderMap) -> Result<Operation> {
     let sent = read::single(headers, header::IDEMPOTENCY_KEY)?
-        .ok_or_else(|| Problem::header(header::IDEMPOTENCY_KEY, "is missing"))?;
+        .ok_or_else(|| Problem::bad_header(header::IDEMPOTENCY_KEY, "is missing"))?;
     let key = unquoted(sent.trim());
     let valid = !key.is_empty()
         && key.len() <= MAX_KEY_BYTES
@@ -40,9 +43,9 @@
             .all(|byte| byte.is_ascii_graphic() && byte != b'"');
     if !valid {
         let detail = "is not 1 to 256 visible characters without quotes";
-        return Err(Problem::header(header::IDEMPOTENCY_KEY, detail));
+        return Err(Problem::bad_header(header::IDEMPOTENCY_KEY, detail));
     }
-    Ok(Order::Execute {
+    Ok(Operation::Execute {
         key: key.to_owned(),
         send: send(headers)?,
     })
@@ -77,7 +80,7 @@
     };
     match text.trim().parse() {
         Ok(number) if number > 0 => Ok(Some(number)),
-        _ => Err(Problem::header(
+        _ => Err(Problem::bad_header(
             header::SEND,
             "is not a whole number above 0",
         )),
--- a/crates/daemon/src/caller/filter/mod.rs
+++ b/crates/daemon/src/caller/filter/mod.rs
@@ -1,4 +1,4 @@
-//! The filters, in the order in which a request meets them.
+//! The filters, in the operation in which a request meets them.
 
 mod body;
 mod deadline;
@@ -7,12 +7,12 @@
 mod key;
 mod route;
 
-pub(crate) use body::Read;
+pub(crate) use body::ReadBody;
 pub(crate) use deadline::Deadline;
-pub(crate) use fingerprint::Print;
+pub(crate) use fingerprint::ComputeFingerprint;
 pub(crate) use identify::Identify;
 pub(crate) use key::{Key, may_be_repeated};
-pub(crate) use route::Find;
+pub(crate) use route::FindRoute;
 
 use super::problem::Problem;
 
--- a/crates/daemon/src/caller/filter/route.rs
+++ b/crates/daemon/src/caller/filter/route.rs
@@ -7,9 +7,9 @@
 use monsoonring_configuration::document::{Kind, Route};
 
 /// Finds the route.
-pub(crate) struct Find;
+pub(crate) struct FindRoute;
 
-impl Filter<Exchange<Identified>> for Find {
+impl Filter<Exchange<Identified>> for FindRoute {
     type After = Exchange<Routed>;
 
     async fn apply(&self, before: Exchange<Identified>) -> Result<Self::After> {
@@ -18,14 +18,14 @@
             .head
             .configuration
             .route(name)
-            .ok_or_else(|| Problem::route(format!("there is no route `{name}`")))?
+            .ok_or_else(|| Problem::unknown_route(format!("there is no route `{name}`")))?
             .clone();
         let caller = &before.stage.caller;
         if !route.callers.contains(caller) {
             return Err(Problem::unauthorised(caller, name));
         }
         check_kind(&route, before.head.action)?;
-        Ok(before.pass(|identified| Routed { identified, route }))
+        Ok(before.advance(|identified| Routed { identified, route }))
     }
 }
 
@@ -35,11 +35,11 @@
     let name = &route.name;
     match (route.kind, action) {
         (Kind::Search, Action::Query) | (Kind::Execute, Action::Keys | Action::Execute) => Ok(()),
-        (Kind::Search, Action::Keys | Action::Execute) => {
-            Err(Problem::route(format!("the route `{name}` only searches")))
-        }
-        (Kind::Execute, Action::Query) => {
-            Err(Problem::route(format!("the route `{name}` only executes")))
-        }
+        (Kind::Search, Action::Keys | Action::Execute) => Err(Problem::unknown_route(format!(
+            "the route `{name}` only searches"
+        ))),
+        (Kind::Execute, Action::Query) => Err(Problem::unknown_route(format!(
+            "the route `{name}` only executes"
+        ))),
     }
 }
--- a/crates/daemon/src/caller/front.rs
+++ b/crates/daemon/src/caller/front.rs
@@ -1,16 +1,18 @@
 //! Takes a caller's request from its head to its answer.
 
 use super::answer::{self, Reply};
-use super::exchange::{Arrived, Exchange, Head, Order};
-use super::filter::{self, Deadline, Filter, Find, Identify, Key, Print, Read, Result};
+use super::exchange::{Arrived, Exchange, Head, Operation};
+use super::filter::{
+    self, ComputeFingerprint, Deadline, Filter, FindRoute, Identify, Key, ReadBody, Result,
+};
 use super::header::IDEMPOTENCY_KEY;
-use super::ledger::{Entry, Ledger};
 use super::problem::Problem;
 use super::read;
+use super::request_log::{Entry, RequestLog};
 use super::status;
 use super::target::{Action, Target};
 use crate::server::stop::{Stage, Watch};
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use crate::service::{Call, Service};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -25,12 +27,12 @@
 use std::time::{Duration, Instant};
 
 /// Time after its deadline that the service gets to say how a request ended.
-const GRACE: Duration = Duration::from_secs(2);
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
 /// The callers' side of the daemon.
 pub(crate) struct Front {
     service: Arc<dyn Service>,
-    ledger: Ledger,
+    request_log: RequestLog,
     stop: Watch,
     body_timeout: Duration,
     exceeded: Counter,
@@ -41,7 +43,7 @@
     /// Puts the filters before a service. `seed` makes the request ids the same in each run.
     pub(crate) fn new(
         service: Arc<dyn Service>,
-        ledger: Ledger,
+        request_log: RequestLog,
         stop: Watch,
         body_timeout: Duration,
         exceeded: Counter,
@@ -53,7 +55,7 @@
         };
         Self {
             service,
-            ledger,
+            request_log,
             stop,
             body_timeout,
             exceeded,
@@ -66,7 +68,7 @@
     /// The trace id of `traceparent` does not serve as one: a caller that asks two questions for
     /// one dispatch sends both under one trace, and daemons that know requests by their ids would
     /// give the answer of the one to the other. It is logged beside the id instead.
-    fn id(&self) -> RequestId {
+    fn new_request_id(&self) -> RequestId {
         let mut ids = self.ids.lock().unwrap_or_else(PoisonError::into_inner);
         ids.random()
     }
@@ -78,25 +80,26 @@
         self.service.ready()
     }
 
-    async fn route(
+    async fn serve_route(
         &self,
         request: Request<Incoming>,
         name: String,
         action: Action,
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> Response<Full<Bytes>> {
-        let id = self.id();
+        let id = self.new_request_id();
         let arrived = Instant::now();
         let mut entry = self
-            .ledger
-            .open(id, read::trace(request.headers()), arrived);
+            .request_log
+            .open(id, read::trace_id(request.headers()), arrived);
         let repeated = action == Action::Execute && filter::may_be_repeated(request.headers());
-        let answered = async {
-            let exchange = self.arrive(id, arrived, request, (name, action), standing)?;
-            let (call, order) = self.filter(exchange, &mut entry).await?;
-            Ok(self.call(call, order).await)
+        let filtered = async {
+            let exchange =
+                self.open_exchange(id, arrived, request, (name, action), limit_status)?;
+            let (call, operation) = self.apply_filters(exchange, &mut entry).await?;
+            Ok(self.dispatch(call, operation).await)
         };
-        let reply = answered.await.unwrap_or_else(|problem: Problem| {
+        let reply = filtered.await.unwrap_or_else(|problem: Problem| {
             let problem = if repeated {
                 problem.of_repeated_send()
             } else {
@@ -107,16 +110,16 @@
         finish(id, reply, entry)
     }
 
-    fn arrive(
+    fn open_exchange(
         &self,
         id: RequestId,
         arrived: Instant,
         request: Request<Incoming>,
         (route, action): (String, Action),
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> Result<Exchange<Arrived>> {
-        if standing == Standing::Excess {
-            return Err(Problem::connections());
+        if limit_status == LimitStatus::Exceeded {
+            return Err(Problem::too_many_connections());
         }
         let configuration = self.service.document().ok_or_else(Problem::starting)?;
         let (parts, body) = request.into_parts();
@@ -136,40 +139,40 @@
     }
 
     /// The chain of filters.
-    async fn filter(
+    async fn apply_filters(
         &self,
         exchange: Exchange<Arrived>,
         entry: &mut Entry,
-    ) -> Result<(Call, Order)> {
+    ) -> Result<(Call, Operation)> {
         let exchange = Identify.apply(exchange).await?;
-        entry.class(exchange.stage.class);
-        let exchange = Find.apply(exchange).await?;
-        entry.route(&exchange.stage.route.name);
+        entry.set_class(exchange.stage.class);
+        let exchange = FindRoute.apply(exchange).await?;
+        entry.set_route(&exchange.stage.route.name);
         let exchange = Deadline.apply(exchange).await?;
         let exchange = Key.apply(exchange).await?;
-        let read = Read {
+        let read = ReadBody {
             timeout: self.body_timeout,
         };
         let exchange = read.apply(exchange).await?;
-        let exchange = Print.apply(exchange).await?;
+        let exchange = ComputeFingerprint.apply(exchange).await?;
         Ok(exchange.into_call())
     }
 
     /// The end of the chain.
-    async fn call(&self, call: Call, order: Order) -> Reply {
+    async fn dispatch(&self, call: Call, operation: Operation) -> Reply {
         let request = call.request;
-        let last = (call.deadline + GRACE).into();
-        match order {
-            Order::Search => {
+        let last = (call.deadline + ANSWER_GRACE).into();
+        match operation {
+            Operation::Search => {
                 let outcome = tokio::time::timeout_at(last, self.service.search(call)).await;
                 answer::outcome(request, &outcome.unwrap_or(OVERDUE_SEARCH))
             }
-            Order::Mint => match tokio::time::timeout_at(last, self.service.mint(call)).await {
+            Operation::Mint => match tokio::time::timeout_at(last, self.service.mint(call)).await {
                 Ok(Ok(key)) => answer::issued(request, &key),
                 Ok(Err(outcome)) => answer::outcome(request, &outcome),
                 Err(_) => Reply::Problem(status::not_run(Reason::Deadline, None), None),
             },
-            Order::Execute { key, send } => {
+            Operation::Execute { key, send } => {
                 let execution = self.service.execute(call, key, send);
                 let execution = tokio::time::timeout_at(last, execution).await;
                 answer::execution(
@@ -182,7 +185,7 @@
 }
 
 // The service answers by the deadline. Should it ever not, its caller would wait for good, and a
-// stop would too; the requests that these outcomes end show as a duration of `GRACE` over the
+// stop would too; the requests that these outcomes end show as a duration of `ANSWER_GRACE` over the
 // deadline. A search can be said to have failed, a non-idempotent request may have run.
 const OVERDUE_SEARCH: Outcome = Outcome::Failed {
     reason: Reason::Deadline,
@@ -196,18 +199,20 @@
     async fn handle(
         &self,
         request: Request<Incoming>,
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> Response<Full<Bytes>> {
         match Target::find(request.method(), request.uri().path()) {
             Ok(Target::Health) => plain(StatusCode::OK, "alive"),
             Ok(Target::Ready) => match self.ready() {
                 Ok(()) => plain(StatusCode::OK, "ready"),
-                Err(why) => plain(StatusCode::SERVICE_UNAVAILABLE, why),
+                Err(reason) => plain(StatusCode::SERVICE_UNAVAILABLE, reason),
             },
-            Ok(Target::Route { name, action }) => self.route(request, name, action, standing).await,
+            Ok(Target::Route { name, action }) => {
+                self.serve_route(request, name, action, limit_status).await
+            }
             Err(problem) => {
-                let id = self.id();
-                let entry = self.ledger.open(id, None, Instant::now());
+                let id = self.new_request_id();
+                let entry = self.request_log.open(id, None, Instant::now());
                 finish(id, Reply::Problem(problem, None), entry)
             }
         }
@@ -218,7 +223,7 @@
     }
 
     fn answer_cut(&self) {
-        self.ledger.answer_cut();
+        self.request_log.answer_cut();
     }
 }
 
--- a/crates/daemon/src/caller/problem.rs
+++ b/crates/daemon/src/caller/problem.rs
@@ -1,6 +1,6 @@
 //! Problem documents (RFC 9457): every refusal and failure that a caller is told of.
 //!
-//! The member `outcome` is the part that matters: it says whether the request ran. The
+//! The member `outcome` is the part that matters: it says whether the request run_status. The
 //! constructors for what the filters find all say `not_run`, which a send that may not be its key's
 //! first takes back; only [`super::status`] makes other ones, from the outcome that the service gave.
 
@@ -19,13 +19,13 @@
 /// When to come back after a refusal that says nothing of its own.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Whether a request ran.
+/// Whether a request run_status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Ran {
+pub(crate) enum RunStatus {
     /// It did not.
     NotRun,
-    /// It ran and failed, or running it again does no harm.
+    /// It run_status and failed, or running it again does no harm.
     Failed,
     /// It may have run.
     Unknown,
@@ -42,8 +42,8 @@
     pub(crate) title: &'static str,
     /// What is particular to this one.
     pub(crate) detail: String,
-    /// Whether the request ran.
-    pub(crate) ran: Ran,
+    /// Whether the request run_status.
+    pub(crate) run_status: RunStatus,
     /// When to come back.
     pub(crate) retry_after: Option<Duration>,
     /// One more header that the status asks for, by name and value.
@@ -57,7 +57,7 @@
     status: u16,
     detail: &'a str,
     request: String,
-    outcome: Ran,
+    outcome: RunStatus,
 }
 
 impl Problem {
@@ -73,7 +73,7 @@
             kind,
             title,
             detail: detail.into(),
-            ran: Ran::NotRun,
+            run_status: RunStatus::NotRun,
             retry_after: None,
             header: None,
         }
@@ -81,18 +81,18 @@
 
     /// Takes back that the request did not run, which holds for this send alone.
     pub(crate) fn of_repeated_send(mut self) -> Self {
-        self.ran = Ran::Unknown;
+        self.run_status = RunStatus::Unknown;
         self.detail
             .push_str("; an earlier send under this key may have run");
         self
     }
 
-    fn with(mut self, name: &'static str, value: &'static str) -> Self {
+    fn with_header(mut self, name: &'static str, value: &'static str) -> Self {
         self.header = Some((name, value));
         self
     }
 
-    fn coming_back(mut self) -> Self {
+    fn with_default_retry_after(mut self) -> Self {
         self.retry_after = Some(DEFAULT_RETRY_AFTER);
         self
     }
@@ -104,14 +104,14 @@
     }
 
     /// The path takes another method.
-    pub(crate) fn method(method: &Method, allowed: &'static str) -> Self {
+    pub(crate) fn wrong_method(method: &Method, allowed: &'static str) -> Self {
         let detail = format!("the path takes {allowed}, not {method}");
         let status = StatusCode::METHOD_NOT_ALLOWED;
-        Self::not_run(status, "method", "Wrong method", detail).with("allow", allowed)
+        Self::not_run(status, "method", "Wrong method", detail).with_header("allow", allowed)
     }
 
     /// A header is wrong.
-    pub(crate) fn header(name: &str, detail: &str) -> Self {
+    pub(crate) fn bad_header(name: &str, detail: &str) -> Self {
         let detail = format!("`{name}` {detail}");
         Self::not_run(StatusCode::BAD_REQUEST, "header", "Wrong header", detail)
     }
@@ -119,7 +119,8 @@
     /// The caller did not prove who it is.
     pub(crate) fn unidentified(detail: &str) -> Self {
         let status = StatusCode::UNAUTHORIZED;
-        Self::not_run(status, "caller", "Unknown caller", detail).with("www-authenticate", "Bearer")
+        Self::not_run(status, "caller", "Unknown caller", detail)
+            .with_header("www-authenticate", "Bearer")
     }
 
     /// The caller may not use the route.
@@ -134,7 +135,7 @@
     }
 
     /// There is no such route, or it is of another kind.
-    pub(crate) fn route(detail: String) -> Self {
+    pub(crate) fn unknown_route(detail: String) -> Self {
         Self::not_run(StatusCode::NOT_FOUND, "route", "Unknown route", detail)
     }
 
@@ -155,7 +156,7 @@
     }
 
     /// The body did not come to its end in time.
-    pub(crate) fn slow(limit: Duration) -> Self {
+    pub(crate) fn slow_body(limit: Duration) -> Self {
         let detail = format!("the body took more than {} ms", limit.as_millis());
         Self::not_run(
             StatusCode::REQUEST_TIMEOUT,
@@ -166,7 +167,7 @@
     }
 
     /// The deadline passed before anything was done.
-    pub(crate) fn late(detail: &str) -> Self {
+    pub(crate) fn deadline_passed(detail: &str) -> Self {
         Self::not_run(
             StatusCode::GATEWAY_TIMEOUT,
             "deadline",
@@ -176,7 +177,7 @@
     }
 
     /// The caller has too many connections open, or all callers have.
-    pub(crate) fn connections() -> Self {
+    pub(crate) fn too_many_connections() -> Self {
         let detail = "the limit on connections is reached";
         Self::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -184,7 +185,7 @@
             "Too many connections",
             detail,
         )
-        .coming_back()
+        .with_default_retry_after()
     }
 
     /// No configuration is in force yet.
@@ -196,7 +197,7 @@
             "Starting",
             detail,
         )
-        .coming_back()
+        .with_default_retry_after()
     }
 
     /// Writes the problem document for a request.
@@ -207,7 +208,7 @@
             status: self.status.as_u16(),
             detail: &self.detail,
             request: header::request_text(request),
-            outcome: self.ran,
+            outcome: self.run_status,
         };
         let body = serde_json::to_vec(&document).unwrap_or_default();
         let mut response = Response::new(Full::new(Bytes::from(body)));
--- a/crates/daemon/src/caller/read.rs
+++ b/crates/daemon/src/caller/read.rs
@@ -15,24 +15,24 @@
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        return Err(Problem::header(name, "is given more than once"));
+        return Err(Problem::bad_header(name, "is given more than once"));
     }
     first
         .map(|value| value.to_str())
         .transpose()
-        .map_err(|_| Problem::header(name, "has characters outside ASCII"))
+        .map_err(|_| Problem::bad_header(name, "has characters outside ASCII"))
 }
 
 /// Returns the trace id of a valid `traceparent` header.
-pub(crate) fn trace(headers: &HeaderMap) -> Option<u128> {
+pub(crate) fn trace_id(headers: &HeaderMap) -> Option<u128> {
     let value = single(headers, TRACEPARENT).ok()??;
     let mut parts = value.split('-');
     let version = hexadecimal(parts.next()?, 2)?;
     let trace = hexadecimal(parts.next()?, 32)?;
     let parent = hexadecimal(parts.next()?, 16)?;
     hexadecimal(parts.next()?, 2)?;
-    let known = version != 0xff && (version != 0 || parts.next().is_none());
-    (known && trace != 0 && parent != 0).then_some(trace)
+    let supported = version != 0xff && (version != 0 || parts.next().is_none());
+    (supported && trace != 0 && parent != 0).then_some(trace)
 }
 
 /// The number that a text of exactly so many lower-case hexadecimal digits stands for.
--- a/crates/daemon/src/caller/ledger.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -5,7 +5,7 @@
 //! by the stage of the stop.
 
 use super::header::request_text;
-use super::problem::{Problem, Ran};
+use super::problem::{Problem, RunStatus};
 use crate::metrics::Metrics;
 use crate::metrics::label::{ClassLabel, Ended};
 use crate::server::stop::{Stage, Watch};
@@ -19,7 +19,7 @@
 
 /// Counts requests and writes a line for each that ended.
 #[derive(Clone)]
-pub(crate) struct Ledger {
+pub(crate) struct RequestLog {
     shared: Arc<Shared>,
 }
 
@@ -33,7 +33,7 @@
 
 /// One request.
 pub(crate) struct Entry {
-    ledger: Ledger,
+    request_log: RequestLog,
     request: RequestId,
     trace: Option<u128>,
     arrived: Instant,
@@ -42,8 +42,8 @@
     ended: bool,
 }
 
-impl Ledger {
-    /// Makes an empty ledger.
+impl RequestLog {
+    /// Makes an empty request_log.
     pub(crate) fn new(metrics: Arc<Metrics>, log: Logger, stop: Watch) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -78,7 +78,7 @@
         self.shared.in_flight.fetch_add(1, Ordering::Relaxed);
         self.shared.metrics.front.in_flight.inc();
         Entry {
-            ledger: self.clone(),
+            request_log: self.clone(),
             request,
             trace,
             arrived,
@@ -91,19 +91,19 @@
 
 impl Entry {
     /// Notes the caller's class.
-    pub(crate) fn class(&mut self, class: Class) {
+    pub(crate) fn set_class(&mut self, class: Class) {
         self.class = Some(class);
     }
 
     /// Notes the route.
-    pub(crate) fn route(&mut self, route: &RouteId) {
+    pub(crate) fn set_route(&mut self, route: &RouteId) {
         self.route = Some(route.clone());
     }
 
     /// Closes the entry of a request that was answered.
     pub(crate) fn answered(mut self, ended: Ended, coverage: Option<f64>) {
         if let Some(coverage) = coverage {
-            let front = &self.ledger.shared.metrics.front;
+            let front = &self.request_log.shared.metrics.front;
             front.covered(self.route.as_ref(), self.class, coverage);
         }
         self.close(ended, "");
@@ -111,12 +111,12 @@
 
     /// Closes the entry of a request that was refused or failed.
     pub(crate) fn refused(mut self, problem: &Problem) {
-        let ended = match problem.ran {
-            Ran::NotRun => Ended::NotRun,
-            Ran::Failed => Ended::Failed,
-            Ran::Unknown => Ended::Unknown,
+        let ended = match problem.run_status {
+            RunStatus::NotRun => Ended::NotRun,
+            RunStatus::Failed => Ended::Failed,
+            RunStatus::Unknown => Ended::Unknown,
         };
-        let front = &self.ledger.shared.metrics.front;
+        let front = &self.request_log.shared.metrics.front;
         front.refused(self.route.as_ref(), self.class, problem.kind);
         self.close(ended, problem.kind);
     }
@@ -124,7 +124,7 @@
     fn close(&mut self, ended: Ended, reason: &'static str) {
         self.ended = true;
         self.count(ended);
-        let shared = &self.ledger.shared;
+        let shared = &self.request_log.shared;
         info!(
             shared.log, "request";
             "request" => request_text(self.request),
@@ -138,14 +138,14 @@
     }
 
     fn count(&self, outcome: Ended) {
-        let front = &self.ledger.shared.metrics.front;
-        let took = self.arrived.elapsed();
-        front.ended(self.route.as_ref(), self.class, outcome, took);
+        let front = &self.request_log.shared.metrics.front;
+        let duration = self.arrived.elapsed();
+        front.ended(self.route.as_ref(), self.class, outcome, duration);
     }
 
     /// Notes that the request was dropped before its answer was made.
     fn dropped(&self) {
-        let shared = &self.ledger.shared;
+        let shared = &self.request_log.shared;
         let ended = if shared.stop.stage() == Stage::Cut {
             shared.cut.fetch_add(1, Ordering::Relaxed);
             Ended::Cut
@@ -170,7 +170,7 @@
         if !self.ended {
             self.dropped();
         }
-        let shared = &self.ledger.shared;
+        let shared = &self.request_log.shared;
         shared.in_flight.fetch_sub(1, Ordering::Relaxed);
         shared.metrics.front.in_flight.dec();
     }
--- a/crates/daemon/src/caller/status.rs
+++ b/crates/daemon/src/caller/status.rs
@@ -6,7 +6,7 @@
 //! A request that crashes backend servers is `422`: the fault lies in the request, and sending it
 //! to another daemon is just what must not happen.
 
-use super::problem::{DEFAULT_RETRY_AFTER, Problem, Ran};
+use super::problem::{DEFAULT_RETRY_AFTER, Problem, RunStatus};
 use crate::metrics::label;
 use hyper::StatusCode;
 use monsoonring_decision::outcome::Reason;
@@ -17,17 +17,17 @@
 
 /// The problem of a request that did not run.
 pub(crate) fn not_run(reason: Reason, retry_after: Option<Duration>) -> Problem {
-    problem(reason, Ran::NotRun, retry_after)
+    problem(reason, RunStatus::NotRun, retry_after)
 }
 
-/// The problem of a request that ran and failed.
+/// The problem of a request that run_status and failed.
 pub(crate) fn failed(reason: Reason, retry_after: Option<Duration>) -> Problem {
-    problem(reason, Ran::Failed, retry_after)
+    problem(reason, RunStatus::Failed, retry_after)
 }
 
 /// The problem of a request that may have run.
 pub(crate) fn unknown(reason: Reason) -> Problem {
-    problem(reason, Ran::Unknown, None)
+    problem(reason, RunStatus::Unknown, None)
 }
 
 /// The problem of a key that was used for another request before.
@@ -40,25 +40,25 @@
     )
 }
 
-fn problem(reason: Reason, ran: Ran, retry_after: Option<Duration>) -> Problem {
-    let status = status(reason, ran);
+fn problem(reason: Reason, run_status: RunStatus, retry_after: Option<Duration>) -> Problem {
+    let status = status(reason, run_status);
     let unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
     let default = unavailable.then_some(DEFAULT_RETRY_AFTER);
     Problem {
         status,
         kind: label::reason(reason),
         title: title(reason),
-        detail: detail(ran).to_owned(),
-        ran,
+        detail: detail(run_status).to_owned(),
+        run_status,
         retry_after: retry_after.or(default),
         header: None,
     }
 }
 
-fn status(reason: Reason, ran: Ran) -> StatusCode {
-    match (reason, ran) {
+fn status(reason: Reason, run_status: RunStatus) -> StatusCode {
+    match (reason, run_status) {
         (Reason::Deadline, _) => StatusCode::GATEWAY_TIMEOUT,
-        (_, Ran::Unknown) => StatusCode::BAD_GATEWAY,
+        (_, RunStatus::Unknown) => StatusCode::BAD_GATEWAY,
         (Reason::Suspect, _) => StatusCode::UNPROCESSABLE_ENTITY,
         (Reason::Overload | Reason::Unavailable | Reason::Stopping, _) => {
             StatusCode::SERVICE_UNAVAILABLE
@@ -85,10 +85,10 @@
     }
 }
 
-fn detail(ran: Ran) -> &'static str {
-    match ran {
-        Ran::NotRun => "the request did not run",
-        Ran::Failed => "the request failed, or was given up on, after it had begun",
-        Ran::Unknown => "the request may have run; it will not be run again under this key",
+fn detail(run_status: RunStatus) -> &'static str {
+    match run_status {
+        RunStatus::NotRun => "the request did not run",
+        RunStatus::Failed => "the request failed, or was given up on, after it had begun",
+        RunStatus::Unknown => "the request may have run; it will not be run again under this key",
     }
 }
--- a/crates/daemon/src/caller/target.rs
+++ b/crates/daemon/src/caller/target.rs
@@ -38,7 +38,7 @@
         if method.as_str() == allowed {
             Ok(target)
         } else {
-            Err(Problem::method(method, allowed))
+            Err(Problem::wrong_method(method, allowed))
         }
     }
 
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -16,8 +16,8 @@
 
 /// Probes of an idle connection without an answer until it counts as ended, and the shortest time between two
 /// that the system knows.
-const PROBES: f64 = 2.0;
-const PROBE_AT_LEAST: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: f64 = 2.0;
+const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a connection could not be opened.
 #[derive(Debug, Snafu)]
@@ -67,23 +67,25 @@
 /// # Errors
 ///
 /// It could not be opened.
-pub async fn open_within<B>(
+pub async fn open_with_keepalive<B>(
     peer: SocketAddr,
-    unacknowledged: Duration,
+    ack_timeout: Duration,
 ) -> Result<(Sender<B>, Driver<B>)>
 where
     B: Body<Data = Bytes, Error = Infallible> + 'static,
 {
     let stream = connect(peer).await?;
     let socket = socket2::SockRef::from(&stream);
-    let set = socket.set_tcp_user_timeout(Some(unacknowledged));
+    let set = socket.set_tcp_user_timeout(Some(ack_timeout));
     set.context(ConnectSnafu { peer })?;
     // The system asks the other end while nothing is sent; it counts whole seconds.
-    let probe = unacknowledged.div_f64(PROBES).max(PROBE_AT_LEAST);
+    let interval = ack_timeout
+        .div_f64(KEEPALIVE_PROBES)
+        .max(MIN_KEEPALIVE_INTERVAL);
     let keepalive = TcpKeepalive::new()
-        .with_time(probe)
-        .with_interval(probe)
-        .with_retries(PROBES as u32);
+        .with_time(interval)
+        .with_interval(interval)
+        .with_retries(KEEPALIVE_PROBES as u32);
     let set = socket.set_tcp_keepalive(&keepalive);
     set.context(ConnectSnafu { peer })?;
     handshake(stream, peer).await
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::metrics::label::Ended;
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -82,9 +82,9 @@
     async fn handle(
         &self,
         request: Request<Incoming>,
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> Response<Full<Bytes>> {
-        self.answer(request, standing).await
+        self.answer(request, limit_status).await
     }
 }
 
@@ -93,7 +93,7 @@
     pub(super) async fn answer(
         &self,
         request: Request<Incoming>,
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> Response<Full<Bytes>> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
@@ -101,7 +101,7 @@
             Ok(info) => info,
             Err(reason) => return self.malformed(reason),
         };
-        if standing == Standing::Excess {
+        if limit_status == LimitStatus::Exceeded {
             return self.not_run(&info, "too many connections", DEFAULT_RETRY_AFTER);
         }
         let Some(view) = self.state.view() else {
--- a/crates/daemon/src/gateway/mirror.rs
+++ b/crates/daemon/src/gateway/mirror.rs
@@ -288,7 +288,7 @@
     /// It can't be connected to.
     pub async fn open(host: MemberId) -> Result<Self> {
         let (step, limit) = ("connecting", CONNECT_TIMEOUT);
-        let opened = timeout(limit, client::open_within(host, limit)).await;
+        let opened = timeout(limit, client::open_with_keepalive(host, limit)).await;
         let timed_out = |_| Error::Timeout { host, step, limit };
         let (sender, driver) = opened.map_err(timed_out)?.context(ConnectSnafu)?;
         Ok(Self {
--- a/crates/daemon/src/gateway/ready.rs
+++ b/crates/daemon/src/gateway/ready.rs
@@ -4,7 +4,7 @@
 use crate::metrics::Metrics;
 use crate::operator::{self, METRICS_PATH, STATE_PATH};
 use crate::server::stop::{Stage, Watch};
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -34,7 +34,7 @@
 }
 
 impl Handler for Front {
-    async fn handle(&self, request: Request<Incoming>, _: Standing) -> Response<Full<Bytes>> {
+    async fn handle(&self, request: Request<Incoming>, _: LimitStatus) -> Response<Full<Bytes>> {
         match request.uri().path() {
             METRICS_PATH => operator::metrics(&self.metrics),
             STATE_PATH => {
--- a/crates/daemon/src/gateway/relay/helper.rs
+++ b/crates/daemon/src/gateway/relay/helper.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Ingress;
 use crate::gateway::front::{DeliveryMargin, Front};
 use crate::gateway::mirror::Mirror;
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -46,7 +46,7 @@
     async fn handle(
         &self,
         mut request: Request<Incoming>,
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> Response<Full<Bytes>> {
         // A search comes under a version. Without this look at it a client that sends the header of a question
         // would have its search answered as one.
@@ -74,6 +74,6 @@
             }
             return response;
         }
-        self.front.answer(request, standing).await
+        self.front.answer(request, limit_status).await
     }
 }
--- a/crates/daemon/src/gateway/relay/mod.rs
+++ b/crates/daemon/src/gateway/relay/mod.rs
@@ -244,7 +244,11 @@
                 return Ok(connection);
             }
         }
-        let result = timeout(CONNECT_TIMEOUT, client::open_within(host, ACK_TIMEOUT)).await;
+        let result = timeout(
+            CONNECT_TIMEOUT,
+            client::open_with_keepalive(host, ACK_TIMEOUT),
+        )
+        .await;
         let result = result.map_err(|_| Error::ConnectTimeout { host })?;
         let (sender, driver) = result.context(ConnectSnafu)?;
         Ok(Connection {
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -299,7 +299,7 @@
         self.stop.advance(Stage::Leaving);
         let finish = async {
             tokio::time::sleep(settings.drain_wait).await;
-            self.stop.advance(Stage::Finishing);
+            self.stop.advance(Stage::Draining);
             self.clients.wait().await;
             self.searches.wait().await;
         };
--- a/crates/daemon/src/launch.rs
+++ b/crates/daemon/src/launch.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::label::Side;
 use crate::node;
-use crate::run::{self, Ended, Result, Running, Telemetry};
+use crate::run::{self, Result, Running, StopOutcome, Telemetry};
 use crate::settings::Settings;
 use slog::info;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// One of the addresses or the signals can't be listened on.
-pub async fn run(settings: &Settings, telemetry: Telemetry) -> Result<Ended> {
+pub async fn run(settings: &Settings, telemetry: Telemetry) -> Result<StopOutcome> {
     let signals = run::signals()?;
     let launched = launch(settings, telemetry).await?;
     Ok(launched.running.until_stopped(signals).await)
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! Lines are written to standard error by a thread of their own, so that a terminal or pipe that
 //! nobody reads can't hold up a request. The queue to that thread is bounded; lines that do not fit
-//! are dropped and counted in `monsoonring_log_lines_dropped_total`.
+//! are dropped and bounded in `monsoonring_log_lines_dropped_total`.
 
 use crate::settings::{LogFormat, LogLevel};
 use monsoonring_configuration::Range;
@@ -19,7 +19,7 @@
 /// Lines that wait for the writing thread.
 const QUEUE_LINES: usize = 8_192;
 
-/// Time over which lines are counted against a bound.
+/// Time over which lines are bounded against a limit.
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Bytes of a line that are written at once.
@@ -31,7 +31,7 @@
     _writer: AsyncGuard,
 }
 
-/// Starts the log to standard error. Lines that don't fit into the queue are counted in `dropped`.
+/// Starts the log to standard error. Lines that don't fit into the queue are bounded in `dropped`.
 pub fn start(format: LogFormat, level: LogLevel, dropped: Counter) -> (Logger, Guard) {
     start_to(std::io::stderr(), format, level, dropped)
 }
@@ -72,12 +72,12 @@
             queue(slog_term::FullFormat::new(decorator).build().fuse())
         }
     };
-    let counted = Counted {
+    let bounded = BoundedDrain {
         queue,
         dropped,
-        bound: lines.map(Bound::new),
+        limit: lines.map(LineLimit::new),
     };
-    let filtered = LevelFilter::new(counted, severity(level)).fuse();
+    let filtered = LevelFilter::new(bounded, severity(level)).fuse();
     (
         Logger::root(filtered, slog::o!()),
         Guard { _writer: writer },
@@ -104,25 +104,25 @@
     }
 }
 
-/// Bounds the lines in each second and counts those that were dropped, by the bound or because the
+/// Bounds the lines in each second and counts those that were dropped, by the limit or because the
 /// queue did not take them.
-struct Counted {
+struct BoundedDrain {
     queue: AsyncCore,
     dropped: Counter,
-    bound: Option<Bound>,
+    limit: Option<LineLimit>,
 }
 
-/// Bound on the lines in each second.
+/// LineLimit on the lines in each second.
 ///
 /// Each line costs processor time that requests would have. Where a request leaves a dozen of them,
 /// a storm of requests would otherwise be slowed down by the log just when that hurts most. Warnings
 /// and worse are few, and what explains the storm; they are always written.
-struct Bound {
+struct LineLimit {
     lines: u32,
     second: Mutex<(Instant, u32)>,
 }
 
-impl Bound {
+impl LineLimit {
     fn new(lines: u32) -> Self {
         Self {
             lines,
@@ -144,13 +144,13 @@
     }
 }
 
-impl Drain for Counted {
+impl Drain for BoundedDrain {
     type Ok = ();
     type Err = AsyncError;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), AsyncError> {
-        let bound = self.bound.as_ref();
-        let admitted = bound.is_none_or(|bound| bound.admits(record.level()));
+        let limit = self.limit.as_ref();
+        let admitted = limit.is_none_or(|limit| limit.admits(record.level()));
         if !admitted || self.queue.log(record, values).is_err() {
             self.dropped.inc();
         }
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -5,7 +5,7 @@
 pub(crate) mod shown;
 
 use crate::metrics::Metrics;
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use crate::service::Service;
 use bytes::Bytes;
 use console::Console;
@@ -34,7 +34,7 @@
 }
 
 impl Handler for Front {
-    async fn handle(&self, request: Request<Incoming>, _: Standing) -> Response<Full<Bytes>> {
+    async fn handle(&self, request: Request<Incoming>, _: LimitStatus) -> Response<Full<Bytes>> {
         let is_console = [console::PATH, console::DOCUMENT_PATH].contains(&request.uri().path());
         if is_console && [Method::GET, Method::POST].contains(request.method()) {
             return self.console.handle(request).await;
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -32,24 +32,24 @@
 ///
 /// Without a limit, someone at the port who needs no key to open connections would take the
 /// descriptors that callers and backend servers need; one would see accepting fail everywhere. One
-/// above the limit is closed, and one that does not finish its handshake frees its place in a second.
+/// above the limit is closed, and one that does not finish its handshake frees its permit in a second.
 pub(crate) async fn serve(
     node: Arc<Node>,
     listener: TcpListener,
     endpoint: Endpoint,
     max_connections: usize,
 ) {
-    let places = Arc::new(Semaphore::new(max_connections.min(Semaphore::MAX_PERMITS)));
+    let permits = Arc::new(Semaphore::new(max_connections.min(Semaphore::MAX_PERMITS)));
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let Ok(place) = places.clone().try_acquire_owned() else {
+                let Ok(permit) = permits.clone().try_acquire_owned() else {
                     continue;
                 };
-                let conversation = converse(node.clone(), stream, peer, endpoint.clone());
+                let connection = serve_connection(node.clone(), stream, peer, endpoint.clone());
                 tokio::spawn(async move {
-                    conversation.await;
-                    drop(place);
+                    connection.await;
+                    drop(permit);
                 });
             }
             Err(error) => {
@@ -60,7 +60,12 @@
     }
 }
 
-async fn converse(node: Arc<Node>, stream: TcpStream, peer: SocketAddr, endpoint: Endpoint) {
+async fn serve_connection(
+    node: Arc<Node>,
+    stream: TcpStream,
+    peer: SocketAddr,
+    endpoint: Endpoint,
+) {
     let stream = match endpoint.accept(stream, peer).await {
         Ok(stream) => stream,
         Err(error) => {
@@ -97,12 +102,12 @@
         self.0.probe(target, message, PROBE_TIMEOUT).await
     }
 
-    async fn page(self, _: Context, span: BucketRange) -> Option<Page> {
-        self.control().page(span).await
+    async fn page(self, _: Context, range: BucketRange) -> Option<Page> {
+        self.control().page(range).await
     }
 
-    async fn sections(self, _: Context, least: Version, base: Base) -> Option<Sections> {
-        let (version, sections) = self.control().sections(least).await?;
+    async fn sections(self, _: Context, min_version: Version, base: Base) -> Option<Sections> {
+        let (version, sections) = self.control().sections(min_version).await?;
         let parts = parts(&sections, &base);
         Some(Sections { version, parts })
     }
@@ -146,8 +151,8 @@
         self.0.run_forwarded(call, key).await
     }
 
-    async fn ask(self, _: Context, question: Lookup) -> Finding {
-        self.0.answer(&question)
+    async fn ask(self, _: Context, lookup: Lookup) -> Finding {
+        self.0.answer(&lookup)
     }
 
     async fn hear(self, _: Context, entry: fact::Entry, from: MemberId) {
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// Ends a test that hangs; no test waits for this to pass.
-const HANGS: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 // Symptom: after a restart of a peer, each daemon loses one call to it.
 // Events: a stream is open; the peer closes it; then there is something to ask.
@@ -27,11 +27,11 @@
     let pool = Pool::new(endpoint);
     let client = pool.client(peer).await.expect("it listens");
     drop(listener.accept().await);
-    let span = BucketRange { first: 0, last: 0 };
-    let failed = client.page(tarpc::context::current(), span).await;
+    let range = BucketRange { first: 0, last: 0 };
+    let failed = client.page(tarpc::context::current(), range).await;
     assert!(failed.is_err(), "the stream has ended");
     let opening = async { tokio::join!(pool.client(peer), listener.accept()) };
-    let opened = timeout(HANGS, opening).await;
+    let opened = timeout(TEST_TIMEOUT, opening).await;
     let (client, accepted) = opened.expect("a stream is opened");
     assert!(client.is_ok() && accepted.is_ok());
 }
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -129,7 +129,7 @@
     facts: Facts,
     history: Option<History>,
     route: RouteId,
-    report: backend::Report<K::Content>,
+    report: backend::EventSender<K::Content>,
     management: management::Channel,
     connections: HashMap<ConnectionId, Connection<K>>,
     waiting: HashMap<RequestId, oneshot::Sender<Ended<K::Content>>>,
@@ -141,7 +141,7 @@
     fn new(
         settings: Settings<K>,
         home: Home<K::Content>,
-        report: backend::Report<K::Content>,
+        report: backend::EventSender<K::Content>,
         management: management::Channel,
     ) -> Self {
         let gauges = Gauges::new(settings.metrics.clone(), settings.route.name.clone());
--- a/crates/daemon/src/route/management.rs
+++ b/crates/daemon/src/route/management.rs
@@ -6,7 +6,7 @@
 
 use super::controller::Settings;
 use super::poll;
-use crate::backend::{Endpoint, Report};
+use crate::backend::{Endpoint, EventSender};
 use monsoonring_configuration::document::Route;
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::attempt::{AttemptId, Failure};
@@ -45,7 +45,7 @@
     pub(crate) fn start<K, C: Content>(
         self,
         settings: &Settings<K>,
-        report: &Report<C>,
+        report: &EventSender<C>,
     ) -> Channel {
         match self {
             Self::None => Channel::None,
@@ -77,7 +77,7 @@
         &self,
         attempt: AttemptId,
         server: BackendServerId,
-        report: &Report<C>,
+        report: &EventSender<C>,
     ) {
         match self {
             Self::Endpoints { endpoint, .. } => {
--- a/crates/daemon/src/route/poll.rs
+++ b/crates/daemon/src/route/poll.rs
@@ -1,6 +1,6 @@
 //! Reading the health and load endpoints of a route's backend servers.
 
-use crate::backend::{Endpoint, Report};
+use crate::backend::{Endpoint, EventSender};
 use monsoonring_configuration::document::Route;
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::content::Content;
@@ -78,7 +78,7 @@
 pub(crate) fn spawn<C: Content>(
     servers: Servers,
     endpoint: Endpoint,
-    report: Report<C>,
+    report: EventSender<C>,
     first: usize,
 ) -> AbortOnDropHandle<()> {
     let task = tokio::spawn(async move {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -5,7 +5,7 @@
 //! when nothing is in flight. A second signal, or the bound on the whole, cuts off what is left,
 //! and the log says what that was.
 
-use crate::caller::{self, Ledger};
+use crate::caller::{self, RequestLog};
 use crate::metrics::Metrics;
 use crate::metrics::label::Side;
 use crate::operator;
@@ -69,9 +69,9 @@
 
 /// How a stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum StopOutcome {
     /// Everything in flight was finished.
-    Planned,
+    Complete,
     /// It was cut short.
     Cut {
         /// Number of callers' requests cut off.
@@ -79,11 +79,11 @@
     },
 }
 
-impl From<Ended> for ExitCode {
-    fn from(ended: Ended) -> Self {
+impl From<StopOutcome> for ExitCode {
+    fn from(ended: StopOutcome) -> Self {
         match ended {
-            Ended::Planned => Self::SUCCESS,
-            Ended::Cut { .. } => Self::from(EXIT_CODE_CUT),
+            StopOutcome::Complete => Self::SUCCESS,
+            StopOutcome::Cut { .. } => Self::from(EXIT_CODE_CUT),
         }
     }
 }
@@ -92,7 +92,7 @@
 pub struct Running {
     service: Arc<dyn Service>,
     telemetry: Telemetry,
-    ledger: Ledger,
+    request_log: RequestLog,
     stop: Control,
     operator_stop: Control,
     callers: TaskTracker,
@@ -100,7 +100,7 @@
     caller_address: SocketAddr,
     operator_address: SocketAddr,
     drain_wait: Duration,
-    stop_bound: Duration,
+    stop_timeout: Duration,
 }
 
 /// Serves until a signal to stop, and stops.
@@ -112,7 +112,7 @@
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: Telemetry,
-) -> Result<Ended> {
+) -> Result<StopOutcome> {
     let signals = signals()?;
     let running = Running::start(settings, service, telemetry).await?;
     Ok(running.until_stopped(signals).await)
@@ -155,12 +155,18 @@
             listen(Side::Operator, settings.operator_listen).await?;
         let (stop, watch) = Control::new();
         let (operator_stop, operator_watch) = Control::new();
-        let ledger = Ledger::new(
+        let request_log = RequestLog::new(
             telemetry.metrics.clone(),
             telemetry.log.clone(),
             watch.clone(),
         );
-        let callers = callers(settings, service.clone(), &telemetry, ledger.clone(), watch);
+        let callers = callers(
+            settings,
+            service.clone(),
+            &telemetry,
+            request_log.clone(),
+            watch,
+        );
         let operators = operators(settings, service.clone(), &telemetry, operator_watch);
         info!(
             telemetry.log, "serving";
@@ -177,7 +183,7 @@
         Ok(Self {
             service,
             telemetry,
-            ledger,
+            request_log,
             stop,
             operator_stop,
             callers: callers.start(caller_listener),
@@ -185,7 +191,7 @@
             caller_address,
             operator_address,
             drain_wait: settings.drain_wait(),
-            stop_bound: settings.stop_bound(),
+            stop_timeout: settings.stop_bound(),
         })
     }
 
@@ -201,26 +207,26 @@
 
     /// Waits for the first signal, stops, and tells how that ended. A second signal cuts the stop
     /// short. The end of the stream counts as no further signal.
-    pub async fn until_stopped(self, signals: impl Stream<Item = ()> + Send) -> Ended {
+    pub async fn until_stopped(self, signals: impl Stream<Item = ()> + Send) -> StopOutcome {
         let mut signals = pin!(signals.chain(futures::stream::pending()));
         signals.next().await;
         let log = &self.telemetry.log;
-        info!(log, "stop began"; "in_flight" => self.ledger.in_flight());
-        let whole = tokio::select! {
+        info!(log, "stop began"; "in_flight" => self.request_log.in_flight());
+        let drained = tokio::select! {
             () = self.finish() => true,
             _ = signals.next() => self.give_up("second signal"),
-            () = tokio::time::sleep(self.stop_bound) => self.give_up("bound reached"),
+            () = tokio::time::sleep(self.stop_timeout) => self.give_up("stop timeout reached"),
         };
         self.stop.advance(Stage::Cut);
         self.callers.wait().await;
         self.operator_stop.advance(Stage::Cut);
         self.operators.wait().await;
-        let requests = self.ledger.cut();
+        let requests = self.request_log.cut();
         info!(log, "stopped"; "cut" => requests);
-        if whole {
-            Ended::Planned
+        if drained {
+            StopOutcome::Complete
         } else {
-            Ended::Cut { requests }
+            StopOutcome::Cut { requests }
         }
     }
 
@@ -229,16 +235,16 @@
         self.stop.advance(Stage::Leaving);
         self.service.leave();
         tokio::time::sleep(self.drain_wait).await;
-        self.stop.advance(Stage::Finishing);
+        self.stop.advance(Stage::Draining);
         let log = &self.telemetry.log;
-        info!(log, "accepting ended"; "in_flight" => self.ledger.in_flight());
+        info!(log, "accepting ended"; "in_flight" => self.request_log.in_flight());
         self.callers.wait().await;
         self.service.drain().await;
     }
 
-    fn give_up(&self, why: &'static str) -> bool {
+    fn give_up(&self, reason: &'static str) -> bool {
         let log = &self.telemetry.log;
-        warn!(log, "stop cut short"; "why" => why, "in_flight" => self.ledger.in_flight());
+        warn!(log, "stop cut short"; "why" => reason, "in_flight" => self.request_log.in_flight());
         false
     }
 }
@@ -247,13 +253,13 @@
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: &Telemetry,
-    ledger: Ledger,
+    request_log: RequestLog,
     stop: Watch,
 ) -> Server<caller::Front> {
     let metrics = &telemetry.metrics;
     let handler = caller::Front::new(
         service,
-        ledger,
+        request_log,
         stop.clone(),
         settings.limits.body_timeout(),
         metrics.front.excess_connections.clone(),
--- a/crates/daemon/src/server/connection.rs
+++ b/crates/daemon/src/server/connection.rs
@@ -1,8 +1,8 @@
 //! One connection of a server.
 
-use super::socket::{Phase, Socket};
+use super::socket::{Activity, Socket};
 use super::stop::Stage;
-use super::{Handler, Server, Standing};
+use super::{Handler, LimitStatus, Server};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -24,23 +24,27 @@
 
 /// Serves the requests of a connection one after the other until either side ends it or a stop
 /// does.
-pub(super) async fn serve<H: Handler>(stream: TcpStream, server: &Server<H>, standing: Standing) {
+pub(super) async fn serve<H: Handler>(
+    stream: TcpStream,
+    server: &Server<H>,
+    limit_status: LimitStatus,
+) {
     let limits = &server.limits;
-    let phase = Arc::new(Phase::default());
-    let socket = Socket::new(stream, phase.clone(), limits);
-    let handle = service_fn(|request| handle(request, server, standing, &phase));
+    let activity = Arc::new(Activity::default());
+    let socket = Socket::new(stream, activity.clone(), limits);
+    let handle = service_fn(|request| handle(request, server, limit_status, &activity));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout())
         .max_buf_size(limits.max_header_bytes)
         .serve_connection(TokioIo::new(socket), handle);
     let mut connection = pin!(connection);
-    let mut finishing = server.stop.clone();
+    let mut draining = server.stop.clone();
     let mut cut = server.stop.clone();
-    let whole = async {
+    let serving = async {
         tokio::select! {
             ended = connection.as_mut() => return ended,
-            () = finishing.reached(Stage::Finishing) => {}
+            () = draining.reached(Stage::Draining) => {}
         }
         if let Ok(ended) = tokio::time::timeout(LINGER, connection.as_mut()).await {
             return ended;
@@ -49,9 +53,9 @@
         connection.await
     };
     let ended = tokio::select! {
-        ended = whole => ended,
+        ended = serving => ended,
         () = cut.reached(Stage::Cut) => {
-            if phase.stalled() {
+            if activity.is_write_stalled() {
                 server.handler.answer_cut();
             }
             Ok(())
@@ -65,14 +69,14 @@
 async fn handle<H: Handler>(
     request: Request<Incoming>,
     server: &Server<H>,
-    standing: Standing,
-    phase: &Phase,
+    limit_status: LimitStatus,
+    activity: &Activity,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let _working = phase.work();
-    let mut response = server.handler.handle(request, standing).await;
+    let _guard = activity.begin_request();
+    let mut response = server.handler.handle(request, limit_status).await;
     // A caller that keeps its connection during a stop would send the next request just when the
     // connection is closed, and could not tell whether it ran.
-    if standing == Standing::Excess || server.stop.stage() > Stage::Serving {
+    if limit_status == LimitStatus::Exceeded || server.stop.stage() > Stage::Serving {
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/daemon/src/server/mod.rs
+++ b/crates/daemon/src/server/mod.rs
@@ -36,11 +36,11 @@
 
 /// Whether a connection is within the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum LimitStatus {
     /// It is.
     Within,
     /// It is not; requests on it are to be refused.
-    Excess,
+    Exceeded,
 }
 
 /// Answers the requests of a server.
@@ -49,7 +49,7 @@
     fn handle(
         &self,
         request: Request<Incoming>,
-        standing: Standing,
+        limit_status: LimitStatus,
     ) -> impl Future<Output = Response<Full<Bytes>>> + Send;
 
     /// Hears that a connection was above the limit.
@@ -96,12 +96,12 @@
 
 async fn accept<H: Handler>(listener: TcpListener, shared: Arc<Shared<H>>) {
     let mut stop = shared.server.stop.clone();
-    let mut finishing = pin!(stop.reached(Stage::Finishing));
+    let mut draining = pin!(stop.reached(Stage::Draining));
     loop {
         tokio::select! {
             biased;
-            () = &mut finishing => break,
-            accepted = listener.accept() => take(accepted, &shared).await,
+            () = &mut draining => break,
+            accepted = listener.accept() => handle_accept(accepted, &shared).await,
         }
     }
     // Connections that the kernel has accepted are reset when the listener is closed, and callers
@@ -110,12 +110,12 @@
         if accepted.is_err() {
             break;
         }
-        take(accepted, &shared).await;
+        handle_accept(accepted, &shared).await;
     }
     shared.tasks.close();
 }
 
-async fn take<H: Handler>(
+async fn handle_accept<H: Handler>(
     accepted: std::io::Result<(TcpStream, SocketAddr)>,
     shared: &Arc<Shared<H>>,
 ) {
@@ -131,29 +131,29 @@
 }
 
 fn admit<H: Handler>(stream: TcpStream, shared: &Arc<Shared<H>>) {
-    let place = Place::take(shared);
+    let permit = Permit::take(shared);
     let limit = shared.server.limits.max_connections;
     let excess = MIN_EXCESS.max(limit / EXCESS_DIVISOR);
-    let standing = match place.number {
-        number if number <= limit => Standing::Within,
-        number if number <= limit + excess => Standing::Excess,
+    let limit_status = match permit.number {
+        number if number <= limit => LimitStatus::Within,
+        number if number <= limit + excess => LimitStatus::Exceeded,
         _ => return shared.server.handler.exceeded(),
     };
-    if standing == Standing::Excess {
+    if limit_status == LimitStatus::Exceeded {
         shared.server.handler.exceeded();
     }
     shared.tasks.spawn(async move {
-        connection::serve(stream, &place.shared.server, standing).await;
+        connection::serve(stream, &permit.shared.server, limit_status).await;
     });
 }
 
-/// A connection's place among the open ones; it is free again when this is dropped.
-struct Place<H> {
+/// A connection's permit among the open ones; it is free again when this is dropped.
+struct Permit<H> {
     shared: Arc<Shared<H>>,
     number: usize,
 }
 
-impl<H> Place<H> {
+impl<H> Permit<H> {
     fn take(shared: &Arc<Shared<H>>) -> Self {
         shared.server.gauge.inc();
         Self {
@@ -163,7 +163,7 @@
     }
 }
 
-impl<H> Drop for Place<H> {
+impl<H> Drop for Permit<H> {
     fn drop(&mut self) {
         self.shared.open.fetch_sub(1, Ordering::Relaxed);
         self.shared.server.gauge.dec();
--- a/crates/daemon/src/server/socket.rs
+++ b/crates/daemon/src/server/socket.rs
@@ -20,29 +20,29 @@
 
 /// What a connection is about, for both of its ends: the socket and the handler.
 #[derive(Debug, Default)]
-pub(super) struct Phase {
+pub(super) struct Activity {
     working: AtomicBool,
     stalled: AtomicBool,
     requests: AtomicU64,
 }
 
 /// A request is being worked on as long as this lives.
-pub(super) struct Working<'a>(&'a Phase);
+pub(super) struct RequestGuard<'a>(&'a Activity);
 
-impl Phase {
+impl Activity {
     /// Notes that the head of a request has come to its end.
-    pub(super) fn work(&self) -> Working<'_> {
+    pub(super) fn begin_request(&self) -> RequestGuard<'_> {
         self.requests.fetch_add(1, Ordering::Relaxed);
         self.working.store(true, Ordering::Relaxed);
-        Working(self)
+        RequestGuard(self)
     }
 
     /// Tells whether a part of an answer waits to be written.
-    pub(super) fn stalled(&self) -> bool {
+    pub(super) fn is_write_stalled(&self) -> bool {
         self.stalled.load(Ordering::Relaxed)
     }
 
-    fn working(&self) -> bool {
+    fn is_working(&self) -> bool {
         self.working.load(Ordering::Relaxed)
     }
 
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Working<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         self.0.working.store(false, Ordering::Relaxed);
     }
@@ -67,7 +67,7 @@
 /// A socket that gives up on a head that does not end and on an answer that is not read.
 pub(super) struct Socket {
     stream: TcpStream,
-    phase: Arc<Phase>,
+    activity: Arc<Activity>,
     header_timeout: Duration,
     write_timeout: Duration,
     head: Option<Head>,
@@ -76,13 +76,13 @@
 
 impl Socket {
     /// Wraps the socket of an accepted connection.
-    pub(super) fn new(stream: TcpStream, phase: Arc<Phase>, limits: &Limits) -> Self {
+    pub(super) fn new(stream: TcpStream, activity: Arc<Activity>, limits: &Limits) -> Self {
         // Answers are written whole; waiting for more to send would only delay them. A socket that
         // refuses the option is served all the same.
         let _refused = stream.set_nodelay(true);
         Self {
             stream,
-            phase,
+            activity,
             header_timeout: limits.header_timeout(),
             write_timeout: limits.write_timeout(),
             head: None,
@@ -91,18 +91,18 @@
     }
 
     /// Starts the time of a head with its first byte.
-    fn begun(&mut self) {
-        let after = self.phase.requests();
-        let known = self.head.as_ref().is_some_and(|head| head.after == after);
-        if !self.phase.working() && !known {
+    fn start_head_timer(&mut self) {
+        let after = self.activity.requests();
+        let timer_running = self.head.as_ref().is_some_and(|head| head.after == after);
+        if !self.activity.is_working() && !timer_running {
             let timer = Box::pin(sleep(self.header_timeout));
             self.head = Some(Head { after, timer });
         }
     }
 
     fn check_head(&mut self, context: &mut Context<'_>) -> Poll<Result<()>> {
-        let after = self.phase.requests();
-        if self.phase.working() {
+        let after = self.activity.requests();
+        if self.activity.is_working() {
             return Poll::Pending;
         }
         match &mut self.head {
@@ -115,12 +115,12 @@
     }
 
     /// Passes on the result of writing; where nothing was written for too long, an error.
-    fn written<T>(
+    fn check_write<T>(
         &mut self,
         context: &mut Context<'_>,
         result: Poll<Result<T>>,
     ) -> Poll<Result<T>> {
-        self.phase
+        self.activity
             .stalled
             .store(result.is_pending(), Ordering::Relaxed);
         if result.is_ready() {
@@ -134,8 +134,8 @@
     }
 }
 
-fn timed_out(what: &'static str) -> Error {
-    Error::new(ErrorKind::TimedOut, what)
+fn timed_out(reason: &'static str) -> Error {
+    Error::new(ErrorKind::TimedOut, reason)
 }
 
 impl AsyncRead for Socket {
@@ -149,7 +149,7 @@
             Poll::Pending => self.check_head(context),
             Poll::Ready(result) => {
                 if buffer.filled().len() > before {
-                    self.begun();
+                    self.start_head_timer();
                 }
                 Poll::Ready(result)
             }
@@ -164,7 +164,7 @@
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.written(context, result)
+        self.check_write(context, result)
     }
 
     fn poll_write_vectored(
@@ -173,7 +173,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.written(context, result)
+        self.check_write(context, result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/daemon/src/server/stop.rs
+++ b/crates/daemon/src/server/stop.rs
@@ -14,7 +14,7 @@
     /// Not ready any more, so that the balancer looks elsewhere; requests are still served.
     Leaving,
     /// No new connections; what is in flight is finished.
-    Finishing,
+    Draining,
     /// What is still in flight is cut off.
     Cut,
 }
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use monsoonring_daemon::run::Ended;
+use monsoonring_daemon::run::StopOutcome;
 use monsoonring_decision::outcome::{Answer, Outcome};
 use monsoonring_decision::reply::Item;
 use std::sync::atomic::Ordering;
@@ -34,7 +34,7 @@
         assert_eq!(response.status, 200, "it was answered: {response:?}");
         assert_eq!(response.header("connection"), Some("close"));
     }
-    assert_eq!(daemon.wait().await, Ended::Planned);
+    assert_eq!(daemon.wait().await, StopOutcome::Complete);
 }
 
 async fn until_closed(address: std::net::SocketAddr) {
@@ -69,7 +69,7 @@
         (200, Some("close"))
     );
     daemon.signal();
-    assert_eq!(daemon.ended().await, Ended::Cut { requests: 0 });
+    assert_eq!(daemon.ended().await, StopOutcome::Cut { requests: 0 });
 }
 
 #[test_case("--stop-bound-ms=50000", 2; "by_a_second_signal_cuts_what_is_left")]
@@ -85,7 +85,7 @@
     daemon.service.reached(1).await;
     (0..signals).for_each(|_| daemon.signal());
     assert_eq!(client.receive().await.status, 0, "it was cut off");
-    assert_eq!(daemon.ended().await, Ended::Cut { requests: 1 });
+    assert_eq!(daemon.ended().await, StopOutcome::Cut { requests: 1 });
 }
 
 #[tokio::test]
@@ -98,7 +98,7 @@
     until_closed(daemon.callers).await;
     assert!(daemon.service.left.load(Ordering::SeqCst), "it was told");
     daemon.service.held.send_replace(false);
-    assert_eq!(daemon.wait().await, Ended::Planned);
+    assert_eq!(daemon.wait().await, StopOutcome::Complete);
     assert!(
         daemon.service.drained.load(Ordering::SeqCst),
         "it has drained"
@@ -112,7 +112,7 @@
     // Cause: a count of what was cut that has the daemon's own callers only.
     let daemon = Daemon::start(Fake::holding(), &["--stop-bound-ms=300"]).await;
     daemon.signal();
-    assert_eq!(daemon.ended().await, Ended::Cut { requests: 0 });
+    assert_eq!(daemon.ended().await, StopOutcome::Cut { requests: 0 });
 }
 
 #[tokio::test]
@@ -133,5 +133,5 @@
     client.send(search("1").as_bytes()).await;
     daemon.service.reached(1).await;
     daemon.signal();
-    assert_eq!(daemon.ended().await, Ended::Cut { requests: 1 });
+    assert_eq!(daemon.ended().await, StopOutcome::Cut { requests: 1 });
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -10,7 +10,7 @@
 
 use monsoonring_daemon::launch::{Launched, launch};
 use monsoonring_daemon::metrics::Metrics;
-use monsoonring_daemon::run::{Ended, Running, Telemetry};
+use monsoonring_daemon::run::{Running, StopOutcome, Telemetry};
 use monsoonring_daemon::settings::Settings;
 use service::Fake;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     pub(crate) callers: SocketAddr,
     pub(crate) operators: SocketAddr,
     signals: mpsc::UnboundedSender<()>,
-    ended: JoinHandle<Ended>,
+    ended: JoinHandle<StopOutcome>,
 }
 
 impl Daemon {
@@ -111,12 +111,12 @@
     }
 
     /// Waits for the end.
-    pub(crate) async fn ended(self) -> Ended {
+    pub(crate) async fn ended(self) -> StopOutcome {
         within(self.ended).await.expect("the daemon does not panic")
     }
 
     /// The same, without giving the daemon away.
-    pub(crate) async fn wait(&mut self) -> Ended {
+    pub(crate) async fn wait(&mut self) -> StopOutcome {
         within(&mut self.ended)
             .await
             .expect("the daemon does not panic")
