--- a/crates/daemon/src/backend/codec/mod.rs
+++ b/crates/daemon/src/backend/codec/mod.rs
@@ -1,7 +1,6 @@
-//! Attempts to HTTP requests, HTTP responses to replies.
+//! Encodes attempts as HTTP requests and decodes the responses.
 //!
-//! Nothing here trusts a backend server: what can't be read is [`Failure::Mismatched`], never a
-//! guess.
+//! Backend servers are not trusted: a response that can't be read is [`Failure::Mismatched`].
 
 #[cfg(test)]
 mod tests;
@@ -24,26 +23,26 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Refusal of a connection beyond the limit; it comes before the request was read, so that it can't
-/// name the attempt.
+/// Reason of a refusal at the connection limit. It is sent before a request is read, so it can't
+/// carry the attempt's id.
 const CONNECTIONS: &str = "connections";
 
-/// Status of the reply to a cancelled attempt; it has no name in the registry.
+/// Non-standard status of the response to a cancelled attempt.
 const STATUS_CANCELLED: u16 = 499;
 
-/// Writes attempts as HTTP requests and reads the responses to them.
+/// Encodes attempts as HTTP requests and decodes the responses.
 pub trait Codec: Clone + Debug + marker::Send + Sync + 'static {
-    /// What requests ask and replies hold.
+    /// Types of the content of requests and replies.
     type Content: Content;
 
-    /// Writes the HTTP request of an attempt, whose reply is of use for the time that remains.
+    /// Encodes an attempt; `remaining` is the time until its deadline.
     ///
     /// # Errors
     ///
-    /// Fails where the attempt can't be written; nothing of it is sent.
+    /// Fails if the attempt can't be encoded; nothing of it is sent.
     fn request(&self, send: &Send<Self::Content>, remaining: Duration) -> EncodeResult;
 
-    /// Reads the response to an attempt; the body is whole.
+    /// Decodes the response to an attempt; `body` is complete.
     fn answer(
         &self,
         send: &Send<Self::Content>,
@@ -52,11 +51,11 @@
     ) -> Answer<Self::Content>;
 }
 
-/// An HTTP request, or why it could not be written.
+/// An HTTP request, or why it could not be encoded.
 pub type EncodeResult =
     Result<Request<Full<Bytes>>, Box<dyn std::error::Error + marker::Send + Sync>>;
 
-/// The product's own interface to backend servers.
+/// The product's own JSON interface to backend servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Json;
 
@@ -72,14 +71,14 @@
     }
 }
 
-/// What came of one attempt.
+/// Result of one attempt.
 #[derive(Debug)]
 pub enum Answer<C: Content = content::Json> {
-    /// A search was answered.
+    /// Reply to a search.
     Reply(Reply<C::Value>),
-    /// A non-idempotent request ran.
+    /// Value returned by a non-idempotent request that ran.
     Executed(C::Value, Report),
-    /// Anything else.
+    /// The attempt failed.
     Failed(Failure),
 }
 
@@ -111,11 +110,11 @@
     value: Box<RawValue>,
 }
 
-/// Writes the HTTP request of an attempt.
+/// Encodes an attempt as an HTTP request.
 ///
 /// # Errors
 ///
-/// Fails where the request's body is no JSON or a header can't be written; neither is sent.
+/// Fails if the body is not JSON or a header can't be written; nothing is sent then.
 pub(crate) fn request(send: &Send, remaining: Duration) -> EncodeResult {
     let query: &RawValue = serde_json::from_str(&send.body)?;
     let (path, body) = match &send.execute_key {
@@ -150,20 +149,20 @@
     head
 }
 
-/// Writes an attempt's id as the header carries it.
+/// Formats an attempt id as 16 hexadecimal digits.
 pub(crate) fn attempt_text(attempt: AttemptId) -> String {
     format!("{attempt:016x}")
 }
 
-/// Reads the response to an attempt.
+/// Decodes the response to an attempt.
 pub(crate) fn answer(send: &Send, head: &response::Parts, body: &[u8]) -> Answer {
     let report = report(&head.headers);
     let refusal = text(&head.headers, header::NOT_RUN);
     if refusal == Some(CONNECTIONS) && !head.headers.contains_key(header::ATTEMPT) {
         return Answer::Failed(refused(CONNECTIONS, &head.headers, report));
     }
-    // A response that belongs to another attempt would hand one caller another one's answer, or
-    // pass another one's refusal for the proof that this request did not run.
+    // The response to another attempt would give a caller the wrong answer, or its refusal would
+    // be taken as proof that this request did not run.
     if text(&head.headers, header::ATTEMPT) != Some(attempt_text(send.attempt).as_str()) {
         return Answer::Failed(Failure::Mismatched);
     }
@@ -179,8 +178,8 @@
     }
 }
 
-/// Tells whether the server stopped in the middle: cancelled, or past the deadline. Neither says how
-/// much of a request had its effect.
+/// Returns whether the server stopped part-way: cancelled, or past the deadline. The request may
+/// have taken effect in part.
 fn is_abandoned(status: StatusCode) -> bool {
     status.as_u16() == STATUS_CANCELLED || status == StatusCode::GATEWAY_TIMEOUT
 }
@@ -223,7 +222,7 @@
         },
         CONNECTIONS => Refusal::Connections,
         "malformed" => Refusal::Malformed,
-        // A reason of a later protocol: what it proves is still that the request did not run.
+        // A reason from a later protocol version still proves that the request did not run.
         _ => Refusal::Shedding,
     };
     let retry_after = number(headers, header::RETRY_AFTER_MS).map(Duration::from_millis);
@@ -234,7 +233,7 @@
     }
 }
 
-/// Reads what a backend server says of itself in the headers of any response.
+/// Reads the server's status report from the headers of any response.
 pub(crate) fn report(headers: &HeaderMap) -> Report {
     Report {
         load: text(headers, header::LOAD).and_then(load),
--- a/crates/daemon/src/backend/codec/tests.rs
+++ b/crates/daemon/src/backend/codec/tests.rs
@@ -1,4 +1,4 @@
-//! What responses of backend servers are taken to prove.
+//! Tests of what responses prove about a request.
 
 use super::{Answer, answer, attempt_text, header};
 use hyper::Response;
@@ -44,10 +44,8 @@
     failure.expect("a failure")
 }
 
-// Symptom: a repair ticket runs twice.
-// Events: the refusal of one attempt arrives late, as the response to another that is running; the
-// home takes it for the proof that this one did not run and sends it to a second server.
-// Cause: "not run" was believed without looking at whose response it is.
+// A refusal of another attempt must not count as proof that this attempt did not run; the request
+// would be sent to a second server and run twice.
 #[test_case(Some(OTHER_ATTEMPT), "shedding"; "of_another_attempt")]
 #[test_case(None, "shedding"; "of_no_attempt")]
 #[test_case(Some(OTHER_ATTEMPT), "connections"; "of_another_attempt_for_connections")]
@@ -65,9 +63,8 @@
     assert!(matches!(failure, Failure::Refused { .. }), "{failure:?}");
 }
 
-// Symptom: a caller is told that its ticket failed, files it again, and two teams are sent.
-// Events: the server's own deadline passes while the ticket runs, and it answers 504.
-// Cause: a server that gives up in the middle was taken for one that ran to the end and failed.
+// A 504 means that the server gave up while the request was running, not that it ran and failed; a
+// caller that is told "failed" would submit the request again.
 #[test]
 fn answer_deadline_while_running_is_no_result() {
     let failure = failure(&head(504, Some(ATTEMPT), None));
--- a/crates/daemon/src/backend/connection.rs
+++ b/crates/daemon/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server.
+//! A connection to a backend server.
 
 #[cfg(test)]
 mod tests;
@@ -22,21 +22,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// Largest reply of a backend server, in bytes. A longer one is a fault of the server and would
-/// otherwise fill the daemon's memory.
+/// Largest response body of a backend server, in bytes; bounds the memory for one response.
 const MAX_REPLY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Time that a connect may take. A server answers in a round trip of about a millisecond; one that
-/// is dark never does, and would hold its place among the connections being opened for minutes.
+/// Limit on a connect. An unreachable server would otherwise hold its place among the connections
+/// being opened for minutes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Time within which a server that has too many connections ends a new one: a few round trips.
+/// Time within which a server at its connection limit closes a new connection: a few round trips.
 const REJECTION_WINDOW: Duration = Duration::from_millis(3);
 
-/// Attempts that may wait for one connection: the home puts one at a time on it.
+/// Attempts queued for one connection; the home assigns one at a time.
 const QUEUED_JOBS: usize = 1;
 
-/// Returns what the failure to open a connection tells of the server.
+/// Maps the error of an open to the failure reported to the home.
 fn connect_failure(error: &client::Error) -> ConnectFailure {
     match error {
         client::Error::Connect { source, .. } => match source.kind() {
@@ -48,16 +47,16 @@
     }
 }
 
-/// An attempt for the connection to carry out.
+/// An attempt to carry out.
 pub(crate) type Job<K> = Send<<K as Codec>::Content>;
 
-/// Where a connection reports what happens to it.
+/// Channel for the events of a connection.
 pub(crate) type EventSender<C> = mpsc::UnboundedSender<Event<C>>;
 
 type Sender = client::Sender<Full<Bytes>>;
 type Driver<T> = http1::Connection<TokioIo<T>, Full<Bytes>>;
 
-/// Handle of a connection's task. Dropping it closes the connection at once.
+/// Handle of a connection's task. Dropping it closes the connection.
 #[derive(Debug)]
 pub(crate) struct Connection<K: Codec> {
     jobs: mpsc::Sender<Job<K>>,
@@ -65,7 +64,7 @@
 }
 
 impl<K: Codec> Connection<K> {
-    /// Puts an attempt on the connection; gives it back where the connection has ended.
+    /// Queues an attempt; returns it if the connection has closed.
     pub(crate) fn send(&self, job: Job<K>) -> std::result::Result<(), Box<Job<K>>> {
         self.jobs
             .try_send(job)
@@ -79,7 +78,7 @@
     }
 }
 
-/// Starts a connection; it reports `Opened`, or `Closed` where it can't be made.
+/// Starts a connection's task, which reports `Opened`, and `Closed` or `ConnectFailed` at its end.
 pub(crate) fn spawn<K: Codec>(
     id: ConnectionId,
     backend_server: BackendServerId,
@@ -109,9 +108,9 @@
     }
 }
 
-/// Waits for a moment in which a server that has too many connections ends a new one; returns none
-/// if it did. A request that was put on it at once would be lost with it, and one that may not run
-/// twice would end in doubt although it never reached the server.
+/// Waits until a server at its connection limit would have closed the connection; returns `None`
+/// if it did. A request written at once would be lost with the connection, and a non-idempotent one
+/// would end as unknown although it never reached the server.
 async fn wait_for_rejection<T: AsyncRead + AsyncWrite + Unpin>(
     mut driver: Driver<T>,
 ) -> Option<Driver<T>> {
@@ -119,8 +118,8 @@
     ended.is_err().then_some(driver)
 }
 
-/// Carries out one attempt after the other until the connection ends. An attempt that was put on it
-/// after that is reported as not sent.
+/// Carries out attempts in turn until the connection closes. Attempts queued after that are
+/// reported as not sent.
 async fn serve<T: AsyncRead + AsyncWrite + Unpin, K: Codec>(
     mut sender: Sender,
     driver: Driver<T>,
@@ -143,8 +142,8 @@
         let (answer, open) = tokio::select! {
             biased;
             answer = &mut exchange => (answer, true),
-            // The driver ends with the connection; the exchange then ends by itself, and knows
-            // better how far the request got.
+            // The driver ends with the connection; `exchange` then ends too, and its result says how far
+            // the request got.
             _ = &mut driver => (exchange.await, false),
         };
         let reusable = open && is_reusable(&answer);
@@ -156,11 +155,11 @@
     fail_queued::<K::Content>(&mut queue, report).await;
 }
 
-/// Reports attempts that were put on a connection which had ended: none of their bytes left.
+/// Reports attempts queued on a closed connection as not sent.
 ///
-/// The home puts the next attempt on a connection as soon as it sees the reply, which may be before
-/// the connection has come to its end here. Without this, such an attempt would only be seen as
-/// lost: a repair ticket that never left would end as unknown, and the server be taken for crashed.
+/// The home queues the next attempt as soon as it sees the reply, possibly before this task notices
+/// that the connection has closed. Without this report a non-idempotent request that was never sent
+/// would end as unknown, and the server would count as crashed.
 async fn fail_queued<C: Content>(queue: &mut mpsc::Receiver<Send<C>>, report: &EventSender<C>) {
     queue.close();
     while let Some(job) = queue.recv().await {
@@ -189,8 +188,8 @@
     if sender.ready().await.is_err() {
         return Answer::Failed(Failure::NotSent);
     }
-    // A process that was paused here wakes up with a request whose time is over. Sending it could
-    // run it after its caller was told that it did not run.
+    // After a pause of the process the deadline may have passed, and the caller may already have
+    // been told that the request did not run.
     let Some(remaining) = job.deadline.checked_sub(clock.now()) else {
         return Answer::Failed(Failure::NotSent);
     };
@@ -199,7 +198,7 @@
     };
     let response = match sender.try_send_request(request).await {
         Ok(response) => response,
-        // The library hands the request back only where it has not written any of it.
+        // hyper returns the request only if it has written none of it.
         Err(error) if error.message().is_some() => return Answer::Failed(Failure::NotSent),
         Err(_) => return Answer::Failed(Failure::Lost),
     };
--- a/crates/daemon/src/backend/connection/tests.rs
+++ b/crates/daemon/src/backend/connection/tests.rs
@@ -1,4 +1,4 @@
-//! What is reported of an attempt on a connection that ends.
+//! Tests of the report on an attempt whose connection closes.
 
 use super::{Event, Failure, Job, QUEUED_JOBS, Send, serve};
 use crate::backend::Json;
@@ -18,13 +18,13 @@
 
 const ATTEMPT: u64 = 7;
 
-/// More polls than a connection needs to end.
+/// Upper bound on the polls that a connection needs to finish.
 const POLLS: usize = 100;
 
-/// A reply after which the server closes the connection.
+/// A reply with which the server closes the connection.
 const LAST_REPLY: &[u8] = b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// A stream that takes all that is written; at the given read `last` arrives, and then the end.
+/// A stream that accepts all writes. The read numbered `reads_left` returns `last`, then the end.
 struct Closing {
     reads_left: usize,
     last: &'static [u8],
@@ -73,7 +73,7 @@
     }
 }
 
-/// Serves a connection until it ends, and returns what was reported.
+/// Serves a connection until it closes and returns the events it reported.
 fn ended(stream: Closing, after: Option<Job<Json>>) -> Vec<Event> {
     let opening = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream));
     let (sender, driver) = opening.now_or_never().expect("no wait").expect("opened");
@@ -93,10 +93,8 @@
     std::iter::from_fn(|| reports.try_recv().ok()).collect()
 }
 
-// Symptom: a request is told to be lost or unknown although it never left, or "not run" although it
-// may have run.
-// Events: a backend server ends a connection just as an attempt is put on it.
-// Cause: the end of the connection is seen before, while, or after the attempt is written.
+// An attempt on a connection that closes must be reported as not sent if none of it was written,
+// and as lost if it may have reached the server.
 #[test_case(1, &Failure::NotSent; "before the attempt is taken")]
 #[test_case(2, &Failure::NotSent; "while the attempt is handed over")]
 #[test_case(3, &Failure::Lost; "after the attempt has left")]
@@ -109,11 +107,8 @@
     assert_eq!(ended(stream, None), [failed]);
 }
 
-// Symptom: a repair ticket ends as unknown, and its server counts as crashed, although the server
-// is well and never saw the ticket.
-// Events: a reply arrives that is the last of its connection; the home sees it and puts the next
-// attempt on the connection, whose task is just ending.
-// Cause: the task ended without looking into its queue again.
+// An attempt queued while the connection closes after its last reply must be reported as not sent,
+// or a non-idempotent request would end as unknown and the server count as crashed.
 #[test]
 fn serve_attempt_after_last_reply_is_not_sent() {
     let stream = Closing {
--- a/crates/daemon/src/backend/endpoint/mod.rs
+++ b/crates/daemon/src/backend/endpoint/mod.rs
@@ -1,7 +1,7 @@
-//! What goes to a backend server beside its requests: cancellations, health and load.
+//! Client for the management endpoints of backend servers: cancellation, health and load.
 //!
-//! These go over one further connection for each backend server, so that they neither wait behind an
-//! attempt nor take a connection from one.
+//! Each backend server has one connection for these calls, separate from those for attempts, so
+//! that neither delays the other.
 
 #[cfg(test)]
 mod tests;
@@ -24,17 +24,17 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Time that a caller waits for an endpoint, which misleads or hangs now and then.
+/// Time that a caller waits for a response.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time after which an unanswered call closes its connection: ten times what its caller waits, more
-/// than a busy machine lets a process wait for its turn.
+/// Time after which an unanswered call closes its connection. Much longer than
+/// [`ENDPOINT_TIMEOUT`], so that a server that is stalled for a moment keeps its connection.
 const STALLED_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that a call waits for those before it. A cancellation that comes later helps nobody.
+/// Time that a call waits for earlier calls to the same server; a later cancellation is useless.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest body of an endpoint, in bytes.
+/// Largest response body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Deserialize)]
@@ -58,10 +58,10 @@
     slots: Arc<Mutex<HashMap<BackendServerId, Slot>>>,
 }
 
-/// The one connection to a server, `None` where there is none now. Who holds the lock makes a call.
+/// The connection to a server, `None` while there is none. A call holds the lock until it is done.
 type Slot = Arc<tokio::sync::Mutex<Option<Connection>>>;
 
-/// An open connection; closed when dropped.
+/// An open connection; dropping it closes it.
 #[derive(Debug)]
 struct Connection {
     sender: client::Sender<Empty<Bytes>>,
@@ -69,14 +69,14 @@
 }
 
 impl Endpoint {
-    /// Asks a backend server to cancel an attempt. Nothing rests on whether that succeeds: the
-    /// attempt's own reply tells.
+    /// Asks a backend server to cancel an attempt. The attempt's own response shows whether that
+    /// succeeded.
     pub(crate) async fn cancel(&self, backend_server: BackendServerId, attempt: AttemptId) {
         let path = format!("/attempts/{}", codec::attempt_text(attempt));
         self.call(Method::DELETE, backend_server, path).await;
     }
 
-    /// Reads health and load; `None` where the server did not answer.
+    /// Reads health and load; returns `None` if the server does not respond.
     pub(crate) async fn poll(&self, backend_server: BackendServerId) -> Option<Report> {
         let health: HealthBody = self.read(backend_server, "/health").await?;
         let draining = health.status == "draining";
@@ -104,30 +104,30 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Makes one call. Calls to one server wait for each other: with a connection for each of them,
-    /// a wave of cancellations would open as many as there are attempts, beyond the server's limit,
-    /// and the server would refuse those that requests need.
+    /// Makes one call; calls to the same server are queued. With a connection per call, many
+    /// simultaneous cancellations would exceed the server's connection limit, and it would refuse
+    /// connections for attempts.
     ///
-    /// A call that nobody waits for any longer keeps its connection. Closed and replaced, it would
-    /// count twice at a server that is stalled: three calls in 1.5 s left three connections there.
+    /// The call keeps its connection after its caller has timed out. A stalled server would count a
+    /// closed connection and its replacement as two.
     async fn call(&self, method: Method, server: BackendServerId, path: String) -> Option<Bytes> {
         let slot = self.slots().entry(server).or_default().clone();
         let mut slot = timeout(QUEUE_TIMEOUT, slot.lock_owned()).await.ok()?;
         let (answer, answered) = oneshot::channel();
         tokio::spawn(async move {
-            // Taken out meanwhile: a call that fails closes the connection.
+            // Taken out of the slot during the call, so that a failure closes the connection.
             let open = slot.take().filter(|open| !open.sender.is_closed());
             let exchange = exchange(open, method, server, &path);
             if let Ok(Some((connection, body))) = timeout(STALLED_TIMEOUT, exchange).await {
                 *slot = Some(connection);
-                // Without a receiver the answer came too late for its caller.
+                // A missing receiver means that the caller has timed out.
                 let _ = answer.send(body);
             }
         });
         timeout(ENDPOINT_TIMEOUT, answered).await.ok()?.ok()
     }
 
-    /// Closes the connections to all servers but these.
+    /// Closes the connections to all other servers.
     pub(crate) fn retain(&self, servers: &BTreeSet<BackendServerId>) {
         self.slots().retain(|server, _| servers.contains(server));
     }
--- a/crates/daemon/src/backend/endpoint/tests.rs
+++ b/crates/daemon/src/backend/endpoint/tests.rs
@@ -1,4 +1,4 @@
-//! How many connections cancellations and reports take.
+//! Tests of the number of connections that calls to endpoints take.
 
 use super::Endpoint;
 use futures::future::join_all;
@@ -6,10 +6,8 @@
 
 const CANCELLATIONS: u64 = 40;
 
-// Symptom: backend servers refuse connections for attempts, although each home keeps to its share.
-// Events: a straggler makes a home cancel many attempts at the same moment; each cancellation opens a
-// connection of its own.
-// Cause: connections beside those for attempts were not bounded.
+// Simultaneous cancellations must share one connection; with one each they would exceed the
+// server's connection limit and connections for attempts would be refused.
 #[tokio::test]
 async fn cancel_many_at_once_takes_one_connection() {
     let server = Server::start(Settings::default());
@@ -20,14 +18,11 @@
     assert_eq!(server.counters().connections_peak, 1);
 }
 
-/// Polls of a server that is not scheduled for a while.
+/// Polls while the server does not accept connections.
 const POLLS: usize = 3;
 
-// Symptom: a backend server on a busy machine counts one connection more than its limit and refuses
-// it, although each home keeps to its share.
-// Events: the server is not scheduled for a second; a home gives its call for health up, closes the
-// connection and opens another for the next call. When the server runs again, it finds both.
-// Cause: a connection that the home has closed lasts, for the server, until it reads the end of it.
+// A stalled server sees a closed connection only once it reads its end. Replacing the connection
+// after each timeout would leave several there and exceed its connection limit.
 #[tokio::test]
 async fn poll_stalled_server_takes_one_connection() {
     let server = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
--- a/crates/daemon/src/backend/header.rs
+++ b/crates/daemon/src/backend/header.rs
@@ -1,4 +1,4 @@
-//! Header names of the protocol with the backend servers (`docs/protocols.md`).
+//! Header names of the protocol with backend servers (`docs/protocols.md`).
 
 pub(crate) const ATTEMPT: &str = "monsoonring-attempt";
 pub(crate) const REQUEST: &str = "monsoonring-request";
--- a/crates/daemon/src/backend/mod.rs
+++ b/crates/daemon/src/backend/mod.rs
@@ -1,11 +1,11 @@
 //! Connections to backend servers.
 //!
-//! A connection is one task that owns one HTTP/1.1 connection and takes one attempt at a time. Which
-//! attempt goes where is decided in [`monsoonring_decision::home`]; the tasks here only carry it out
-//! and report truthfully how far the request got, because "not run" rests on that report.
+//! Each connection is a task that owns one HTTP/1.1 connection and carries out one attempt at a
+//! time. [`monsoonring_decision::home`] decides which attempt goes where. The tasks report exactly
+//! how far a request got, because an outcome of "not run" relies on that report.
 //!
-//! What is written and read on a connection is a [`Codec`]: `Json` is the product's own, and
-//! an interface that forwards requests brings another one.
+//! A [`Codec`] encodes requests and decodes responses: `Json` for the product's own interface; an
+//! interface that forwards requests brings its own.
 
 pub mod codec;
 mod connection;
--- a/crates/daemon/src/caller/answer.rs
+++ b/crates/daemon/src/caller/answer.rs
@@ -1,7 +1,7 @@
-//! Answers to callers, written from the outcomes that the service gave.
+//! Writes the responses to callers from the service's outcomes.
 //!
-//! Values of items are JSON text that came from a backend server; they are copied into the answer
-//! and not parsed again.
+//! Item values are JSON text from a backend server; they are copied into the response without
+//! parsing them again.
 
 use super::header;
 use super::problem::Problem;
@@ -18,15 +18,15 @@
 
 const MEDIA_TYPE: &str = "application/json";
 
-/// Bytes of an answer apart from the values of its items, to size the buffer.
+/// Estimated size of an answer without its item values, used to allocate the buffer.
 const HEAD_BYTES: usize = 256;
 const ITEM_BYTES: usize = 40;
 
-/// What a caller is told.
+/// Response to a caller.
 pub(crate) enum Reply {
-    /// Its answer, how the request ended, and the coverage of a search.
+    /// An answer, the outcome for logs and metrics, and the coverage of a search.
     Answer(Response<Full<Bytes>>, Ended, Option<f64>),
-    /// Why there is none.
+    /// A problem, and a value for the `idempotency-key` header.
     Problem(Problem, Option<HeaderValue>),
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Writes what became of a non-idempotent request, with the key that is offered for the next send.
+/// Writes the outcome of a non-idempotent request, with the key offered for the next send.
 pub(crate) fn execution(request: RequestId, execution: &Execution) -> Reply {
     if execution.conflict {
         return Reply::Problem(status::conflict(), None);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Writes the answer with a new key.
+/// Writes the response that issues a new key.
 pub(crate) fn issued(request: RequestId, key: &str) -> Reply {
     let body = format!(
         "{{\"request\":\"{}\",\"status\":\"issued\"}}",
@@ -152,7 +152,8 @@
     if index == 0 { "" } else { "," }
 }
 
-/// Shortest text that gives the same number; what is not finite has no JSON form and counts as 0.
+/// Returns the shortest text that parses to the same number. Non-finite numbers have no JSON form
+/// and become 0.
 fn number(value: f64) -> String {
     let finite = if value.is_finite() { value } else { 0.0 };
     format!("{finite:?}")
--- a/crates/daemon/src/caller/exchange.rs
+++ b/crates/daemon/src/caller/exchange.rs
@@ -1,7 +1,7 @@
 //! A caller's request on its way through the filters.
 //!
-//! An [`Exchange`] is typed by its stage and its body, so that each filter says what must have been
-//! found out before it and what is known after it.
+//! An [`Exchange`] is typed by its stage and its body, so that each filter's signature states what
+//! it requires and what it adds.
 
 use super::target::Action;
 use crate::service::{Call, Configuration};
@@ -13,34 +13,31 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What is known of a request from its head alone.
+/// Parts of a request that are available as soon as its head has been read.
 pub(crate) struct Head {
-    /// Its id.
     pub(crate) request: RequestId,
     /// Time at which the head was complete.
     pub(crate) arrived: Instant,
     /// Name of the route, as sent.
     pub(crate) route: String,
-    /// What to do with the route.
+    /// Operation on the route, from the path.
     pub(crate) action: Action,
-    /// All headers.
     pub(crate) headers: HeaderMap,
-    /// The configuration that was in force when it arrived; all filters see the same one.
+    /// Configuration in force on arrival; all filters of a request use the same one.
     pub(crate) configuration: Arc<Configuration>,
 }
 
-/// A request at one stage.
+/// A request at one stage of the filter chain.
 pub(crate) struct Exchange<Stage, Body = Incoming> {
-    /// What its head said.
     pub(crate) head: Head,
-    /// What the filters have found out.
+    /// Results of the filters so far.
     pub(crate) stage: Stage,
-    /// Its body, read or not.
+    /// The body, unread at first.
     pub(crate) body: Body,
 }
 
 impl<Stage, Body> Exchange<Stage, Body> {
-    /// Moves on to the next stage.
+    /// Moves to the next stage.
     pub(crate) fn advance<Next>(self, next: impl FnOnce(Stage) -> Next) -> Exchange<Next, Body> {
         Exchange {
             head: self.head,
@@ -49,7 +46,7 @@
         }
     }
 
-    /// Puts another form of the body in place of the present one.
+    /// Replaces the body.
     pub(crate) fn with_body<Other>(self, body: Other) -> Exchange<Stage, Other> {
         Exchange {
             head: self.head,
@@ -59,75 +56,69 @@
     }
 }
 
-/// Nothing is known but the head.
+/// First stage: only the head is known.
 pub(crate) struct Arrived;
 
-/// The caller is known.
+/// Stage at which the caller is identified.
 pub(crate) struct Identified {
-    /// Its name.
     pub(crate) caller: CallerId,
-    /// How much its requests count.
+    /// Priority class of its requests.
     pub(crate) class: Class,
 }
 
-/// The route is known, and the caller may use it.
+/// Stage at which the route is known and the caller is authorised to use it.
 pub(crate) struct Routed {
-    /// The caller.
     pub(crate) identified: Identified,
-    /// The route.
     pub(crate) route: Arc<Route>,
 }
 
-/// The time that remains is known.
+/// Stage at which the deadline is known.
 pub(crate) struct WithDeadline {
-    /// Caller and route.
     pub(crate) routed: Routed,
     /// Time by which the caller wants the answer.
     pub(crate) deadline: Instant,
 }
 
-/// A key is there if the action needs one.
+/// Stage at which the idempotency key, if the action needs one, has been read.
 pub(crate) struct WithKey {
-    /// Caller, route and deadline.
     pub(crate) with_deadline: WithDeadline,
-    /// What is to be done.
     pub(crate) operation: Operation,
 }
 
-/// What is to be done, with what it takes.
+/// The operation to call the service with, and its parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Operation {
-    /// Search.
+    /// Runs a search.
     Search,
-    /// Issue a key.
+    /// Issues an idempotency key.
     Mint,
-    /// Run a non-idempotent request.
+    /// Runs a non-idempotent request.
     Execute {
-        /// Its key.
+        /// Idempotency key.
         key: String,
-        /// The caller's count of its sends.
+        /// Number of this send, counted by the caller from 1.
         send: Option<u32>,
     },
 }
 
-/// A body that has been read and is JSON.
+/// A body that was read and parsed as JSON.
 pub(crate) struct Json {
-    /// The text, as sent.
+    /// Text as sent.
     pub(crate) text: Arc<str>,
-    /// What it means.
+    /// The parsed text.
     pub(crate) value: serde_json::Value,
 }
 
 /// A body with its fingerprint.
 pub(crate) struct Fingerprinted {
-    /// The text, as sent.
+    /// Text as sent.
     pub(crate) text: Arc<str>,
     /// Hash of route and body.
     pub(crate) fingerprint: Fingerprint,
 }
 
 impl Exchange<WithKey, Fingerprinted> {
-    /// Returns the call that the request amounts to.
+    /// Returns the service call and the operation for this request.
     pub(crate) fn into_call(self) -> (Call, Operation) {
         let WithKey {
             with_deadline,
--- a/crates/daemon/src/caller/filter/body.rs
+++ b/crates/daemon/src/caller/filter/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body.
+//! Reads and parses the body.
 
 use super::{Filter, Result};
 use crate::caller::exchange::{Exchange, Json, Operation, WithKey};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What stands for an empty body where one is allowed.
+/// Replaces an empty body where one is allowed.
 const NULL: &str = "null";
 
-/// Reads the body within the time and size allowed, and checks that it is JSON.
+/// Reads the body within its time and size limits and parses it as JSON.
 pub(crate) struct ReadBody {
-    /// Time that the body may take from the end of the head.
+    /// Longest time for the body, measured from the end of the head.
     pub(crate) timeout: Duration,
 }
 
@@ -53,8 +53,7 @@
     }
 }
 
-/// Reads the body up to its limit. A length that is announced above the limit is refused before
-/// anything is read.
+/// Reads a body of at most `limit` bytes. A larger announced length is refused before reading.
 async fn read_limited(body: Incoming, limit: u64) -> Result<Bytes> {
     if body.size_hint().lower() > limit {
         return Err(Problem::too_large(limit));
--- a/crates/daemon/src/caller/filter/deadline.rs
+++ b/crates/daemon/src/caller/filter/deadline.rs
@@ -1,4 +1,4 @@
-//! Finds out how much time remains.
+//! Determines the deadline.
 
 use super::{Filter, Result};
 use crate::caller::exchange::{Exchange, Routed, WithDeadline};
@@ -6,10 +6,10 @@
 use crate::caller::{header, read};
 use std::time::Duration;
 
-/// No request is kept longer, whatever its caller says.
+/// Longest remaining time that a caller can ask for.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// Turns the remaining time into a deadline on this process's clock.
+/// Converts the remaining time, or the route's default, into a deadline on this process's clock.
 pub(crate) struct Deadline;
 
 impl Filter<Exchange<Routed>> for Deadline {
--- a/crates/daemon/src/caller/filter/fingerprint.rs
+++ b/crates/daemon/src/caller/filter/fingerprint.rs
@@ -1,12 +1,10 @@
-//! Tells requests that ask the same from those that don't.
+//! Computes the fingerprint of a request, a hash of its route and body.
 //!
-//! A fingerprint decides two things: whether a request is like one that has crashed backend
-//! servers, and whether a key comes back with another request. Both go wrong if the same question
-//! can have two fingerprints, so members of objects are hashed in the operation of their names and
-//! white space not at all; some JSON libraries write both anew each time. Both go wrong, too, if a
-//! caller can make two questions with one fingerprint and so have another's refused; hence SHA-256
-//! and no faster hash without that property. The first 8 bytes of it are kept, and bodies are a few
-//! kilobytes, so the cost is some microseconds.
+//! Fingerprints identify requests like one that crashed backend servers, and keys that are reused
+//! for a different request. Equal JSON values must have equal fingerprints although some libraries
+//! write members and white space differently each time, so members are hashed in the order of
+//! their names and white space is not hashed. SHA-256 keeps a caller from constructing a request
+//! that collides with another caller's and gets that one refused.
 
 use super::{Filter, Result};
 use crate::caller::exchange::{Exchange, Fingerprinted, Json, WithKey};
@@ -14,10 +12,10 @@
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-/// Bytes of the digest that make the fingerprint.
+/// Leading bytes of the digest that form the fingerprint.
 const BYTES: usize = size_of::<Fingerprint>();
 
-/// Hashes route and body.
+/// Adds the fingerprint.
 pub(crate) struct ComputeFingerprint;
 
 impl Filter<Exchange<WithKey, Json>> for ComputeFingerprint {
@@ -45,8 +43,8 @@
     Fingerprint::from_be_bytes(bytes)
 }
 
-/// Feeds a value to the hash. Each part begins with its kind and length, so that no two values give
-/// the same bytes. The depth is bounded by the parser.
+/// Feeds a value to the hash. Each part begins with its kind and length, so that different values
+/// produce different input. The parser bounds the recursion depth.
 fn feed(hash: &mut Sha256, value: &Value) {
     match value {
         Value::Null => hash.update(b"n"),
--- a/crates/daemon/src/caller/filter/identify.rs
+++ b/crates/daemon/src/caller/filter/identify.rs
@@ -1,4 +1,4 @@
-//! Finds out who asks.
+//! Identifies the caller.
 
 use super::{Filter, Result};
 use crate::caller::exchange::{Arrived, Exchange, Identified};
@@ -11,7 +11,7 @@
 
 const SCHEME: &str = "Bearer";
 
-/// Identifies the caller by name and, where it has one, token.
+/// Identifies the caller by its name and, if one is configured, its token.
 pub(crate) struct Identify;
 
 impl Filter<Exchange<Arrived>> for Identify {
@@ -21,8 +21,7 @@
         let head = &before.head;
         let name = read::single(&head.headers, header::CALLER)?
             .ok_or_else(|| Problem::unidentified("`monsoonring-caller` is missing"))?;
-        // An unknown name and a wrong token give the same answer, so that names can't be found by
-        // trying.
+        // The same response for an unknown name and a wrong token keeps names from being probed.
         let caller = head
             .configuration
             .caller(name)
@@ -42,7 +41,7 @@
     };
     let token = read::single(headers, "authorization")?.and_then(bearer);
     let digest = token.map(digest);
-    // What is compared is the digest: how long the comparison takes tells nothing of the token.
+    // Comparing digests keeps the comparison time from revealing the token.
     if digest.is_some_and(|digest| digest.eq_ignore_ascii_case(expected)) {
         Ok(())
     } else {
--- a/crates/daemon/src/caller/filter/key.rs
+++ b/crates/daemon/src/caller/filter/key.rs
@@ -1,4 +1,4 @@
-//! Finds the key of a non-idempotent request.
+//! Reads the idempotency key of a non-idempotent request.
 
 use super::{Filter, Result};
 use crate::caller::exchange::{Exchange, Operation, WithDeadline, WithKey};
@@ -7,13 +7,13 @@
 use crate::caller::{header, read};
 use hyper::HeaderMap;
 
-/// Keys are kept for as long as they may come back, so their size is bounded.
+/// Largest key. Keys are stored for as long as they can be sent again.
 const MAX_KEY_BYTES: usize = 256;
 
-/// How a key starts that a daemon has issued.
+/// Prefix of keys issued by a daemon.
 const ISSUED: &str = monsoonring_decision::idempotency::key::PREFIX;
 
-/// Reads the key and the number of the send where the action needs them.
+/// Reads the key and the send number if the action needs them.
 pub(crate) struct Key;
 
 impl Filter<Exchange<WithDeadline>> for Key {
@@ -51,12 +51,11 @@
     })
 }
 
-/// Tells whether an earlier send of a non-idempotent request may have run under the same key.
+/// Returns whether an earlier send of a non-idempotent request may have run under the same key.
 ///
-/// A caller that is told "not run" may file its request anew under another key. That speaks of the
-/// request, so a refusal of one send must not say it where an earlier send may have run; it would
-/// show as a request run twice under two keys. A key of the caller's own has had no run before its
-/// send number 1, and none at all while the sends have no number.
+/// A caller that receives `not_run` may submit the request again under another key. If an earlier
+/// send may have run, refusing this one must not report `not_run`, or the request could run twice.
+/// A key chosen by the caller has no earlier send if this is send number 1 or has no number.
 pub(crate) fn may_be_repeated(headers: &HeaderMap) -> bool {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let Some(key) = text(header::IDEMPOTENCY_KEY) else {
@@ -66,8 +65,8 @@
     unquoted(key.trim()).starts_with(ISSUED) || number.is_some_and(|number| number > 1)
 }
 
-/// Takes off the quotes that the header's draft standard asks for. A caller whose library adds them
-/// on one send and not on the next would otherwise have two keys, and two runs.
+/// Strips the quotes that the `Idempotency-Key` draft standard requires. Without this, a caller
+/// whose library adds them on some sends only would use two keys and could run the request twice.
 fn unquoted(text: &str) -> &str {
     text.strip_prefix('"')
         .and_then(|rest| rest.strip_suffix('"'))
--- a/crates/daemon/src/caller/filter/mod.rs
+++ b/crates/daemon/src/caller/filter/mod.rs
@@ -1,4 +1,4 @@
-//! The filters, in the operation in which a request meets them.
+//! The filters, in the order in which they are applied.
 
 mod body;
 mod deadline;
@@ -16,18 +16,18 @@
 
 use super::problem::Problem;
 
-/// Result of a filter: the next stage, or the answer.
+/// Result of a filter: the next stage, or the problem to respond with.
 pub(crate) type Result<T, E = Problem> = std::result::Result<T, E>;
 
-/// Takes a request from one stage to the next, or answers it.
+/// Moves a request from one stage to the next, or refuses it.
 pub(crate) trait Filter<Before> {
     /// The next stage.
     type After;
 
-    /// Passes the request on, or refuses it.
+    /// Applies the filter.
     ///
     /// # Errors
     ///
-    /// What the caller is told. This send has not run.
+    /// Returns the problem to respond with. This send of the request has not run.
     fn apply(&self, before: Before) -> impl Future<Output = Result<Self::After>> + Send;
 }
--- a/crates/daemon/src/caller/filter/route.rs
+++ b/crates/daemon/src/caller/filter/route.rs
@@ -6,7 +6,7 @@
 use crate::caller::target::Action;
 use monsoonring_configuration::document::{Kind, Route};
 
-/// Finds the route.
+/// Finds the route by name and authorises the caller.
 pub(crate) struct FindRoute;
 
 impl Filter<Exchange<Identified>> for FindRoute {
@@ -29,8 +29,8 @@
     }
 }
 
-/// A search sent as an execution would run at one backend server only, and an execution sent as a
-/// search would run at all of them.
+/// Checks that the action fits the kind of route. An execution run as a search would run on every
+/// group, and a search run as an execution only on one backend server.
 fn check_kind(route: &Route, action: Action) -> Result<()> {
     let name = &route.name;
     match (route.kind, action) {
--- a/crates/daemon/src/caller/front.rs
+++ b/crates/daemon/src/caller/front.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request from its head to its answer.
+//! Handles callers' requests: filters, service call and response.
 
 use super::answer::{self, Reply};
 use super::exchange::{Arrived, Exchange, Head, Operation};
@@ -26,10 +26,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time after its deadline that the service gets to say how a request ended.
+/// Time after the deadline that the service has to report the outcome.
 const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
-/// The callers' side of the daemon.
+/// Request handler for callers.
 pub(crate) struct Front {
     service: Arc<dyn Service>,
     request_log: RequestLog,
@@ -40,7 +40,7 @@
 }
 
 impl Front {
-    /// Puts the filters before a service. `seed` makes the request ids the same in each run.
+    /// Creates the handler for a service. `seed` makes the request ids reproducible.
     pub(crate) fn new(
         service: Arc<dyn Service>,
         request_log: RequestLog,
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Makes the id of a request.
+    /// Generates a request id.
     ///
-    /// The trace id of `traceparent` does not serve as one: a caller that asks two questions for
-    /// one dispatch sends both under one trace, and daemons that know requests by their ids would
-    /// give the answer of the one to the other. It is logged beside the id instead.
+    /// The trace id of `traceparent` can't be used: a caller may send several requests under one
+    /// trace, and daemons that identify requests by id would mix up their answers. It is logged beside
+    /// the request id.
     fn new_request_id(&self) -> RequestId {
         let mut ids = self.ids.lock().unwrap_or_else(PoisonError::into_inner);
         ids.random()
@@ -138,7 +138,7 @@
         })
     }
 
-    /// The chain of filters.
+    /// Applies the filters in order.
     async fn apply_filters(
         &self,
         exchange: Exchange<Arrived>,
@@ -158,7 +158,7 @@
         Ok(exchange.into_call())
     }
 
-    /// The end of the chain.
+    /// Calls the service and writes its outcome.
     async fn dispatch(&self, call: Call, operation: Operation) -> Reply {
         let request = call.request;
         let last = (call.deadline + ANSWER_GRACE).into();
@@ -184,9 +184,9 @@
     }
 }
 
-// The service answers by the deadline. Should it ever not, its caller would wait for good, and a
-// stop would too; the requests that these outcomes end show as a duration of `ANSWER_GRACE` over the
-// deadline. A search can be said to have failed, a non-idempotent request may have run.
+// Outcomes for requests that the service has not answered `ANSWER_GRACE` after their deadline;
+// without them the caller, and a stop, could wait forever. A search can be reported as failed; a
+// non-idempotent request may have run.
 const OVERDUE_SEARCH: Outcome = Outcome::Failed {
     reason: Reason::Deadline,
     retry_after: None,
--- a/crates/daemon/src/caller/mod.rs
+++ b/crates/daemon/src/caller/mod.rs
@@ -1,11 +1,10 @@
-//! The port of the callers.
+//! HTTP interface for callers.
 //!
-//! A request goes through a chain of filters, each of which knows one thing: who asks, for which
-//! route, until when, with which body. A filter takes the exchange of one stage and gives that of
-//! the next, or a problem; the types keep the operation, as a filter that needs the route can't be put
-//! before the one that finds it. The chain ends in a call to the service, and the service's outcome
-//! is written out as an answer or a problem. No filter sends anything anywhere, which is why each
-//! of their problems says that the request did not run.
+//! A request passes through a chain of filters, each of which checks or adds one thing: caller,
+//! route, deadline, key, body. A filter takes the [`exchange::Exchange`] of one stage and returns
+//! that of the next, or a problem; the stage types enforce the order. At the end of the chain the
+//! service is called, and its outcome is written as an answer or a problem. Filters send nothing,
+//! so their problems report that the request did not run.
 
 mod answer;
 mod exchange;
--- a/crates/daemon/src/caller/problem.rs
+++ b/crates/daemon/src/caller/problem.rs
@@ -1,8 +1,8 @@
-//! Problem documents (RFC 9457): every refusal and failure that a caller is told of.
+//! Problem documents (RFC 9457) for refusals and failures.
 //!
-//! The member `outcome` is the part that matters: it says whether the request run_status. The
-//! constructors for what the filters find all say `not_run`, which a send that may not be its key's
-//! first takes back; only [`super::status`] makes other ones, from the outcome that the service gave.
+//! The member `outcome` tells the caller whether the request ran. The constructors used by filters
+//! all report `not_run`, which [`Problem::of_repeated_send`] changes if an earlier send may have
+//! run; only [`super::status`] creates other outcomes, from those of the service.
 
 use super::header;
 use bytes::Bytes;
@@ -16,16 +16,16 @@
 const TYPE_PREFIX: &str = "urn:monsoonring:problem:";
 const MEDIA_TYPE: &str = "application/problem+json";
 
-/// When to come back after a refusal that says nothing of its own.
+/// Time after which to retry if a refusal gives none.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Whether a request run_status.
+/// Whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RunStatus {
-    /// It did not.
+    /// It did not run.
     NotRun,
-    /// It run_status and failed, or running it again does no harm.
+    /// It ran and failed, or running it again is harmless.
     Failed,
     /// It may have run.
     Unknown,
@@ -34,19 +34,17 @@
 /// A refusal or failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Problem {
-    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// Last part of the type.
+    /// Last part of the `type` URN.
     pub(crate) kind: &'static str,
-    /// What is the same for all problems of the type.
+    /// Summary, the same for all problems of a kind.
     pub(crate) title: &'static str,
-    /// What is particular to this one.
+    /// Explanation of this occurrence.
     pub(crate) detail: String,
-    /// Whether the request run_status.
     pub(crate) run_status: RunStatus,
-    /// When to come back.
+    /// Time after which to retry.
     pub(crate) retry_after: Option<Duration>,
-    /// One more header that the status asks for, by name and value.
+    /// Additional header that the status requires, as name and value.
     pub(crate) header: Option<(&'static str, &'static str)>,
 }
 
@@ -61,7 +59,7 @@
 }
 
 impl Problem {
-    /// Makes a problem of a request that did not run.
+    /// Creates a problem for a request that did not run.
     pub(crate) fn not_run(
         status: StatusCode,
         kind: &'static str,
@@ -79,7 +77,7 @@
         }
     }
 
-    /// Takes back that the request did not run, which holds for this send alone.
+    /// Reports that the request may have run, because of an earlier send under the same key.
     pub(crate) fn of_repeated_send(mut self) -> Self {
         self.run_status = RunStatus::Unknown;
         self.detail
@@ -97,33 +95,33 @@
         self
     }
 
-    /// There is nothing at the path.
+    /// The path does not exist.
     pub(crate) fn no_such_path(path: &str) -> Self {
         let detail = format!("there is nothing at `{path}`");
         Self::not_run(StatusCode::NOT_FOUND, "path", "Unknown path", detail)
     }
 
-    /// The path takes another method.
+    /// The path does not allow the method.
     pub(crate) fn wrong_method(method: &Method, allowed: &'static str) -> Self {
         let detail = format!("the path takes {allowed}, not {method}");
         let status = StatusCode::METHOD_NOT_ALLOWED;
         Self::not_run(status, "method", "Wrong method", detail).with_header("allow", allowed)
     }
 
-    /// A header is wrong.
+    /// A header is missing or invalid.
     pub(crate) fn bad_header(name: &str, detail: &str) -> Self {
         let detail = format!("`{name}` {detail}");
         Self::not_run(StatusCode::BAD_REQUEST, "header", "Wrong header", detail)
     }
 
-    /// The caller did not prove who it is.
+    /// The caller is unknown or its token is wrong.
     pub(crate) fn unidentified(detail: &str) -> Self {
         let status = StatusCode::UNAUTHORIZED;
         Self::not_run(status, "caller", "Unknown caller", detail)
             .with_header("www-authenticate", "Bearer")
     }
 
-    /// The caller may not use the route.
+    /// The caller is not authorised to use the route.
     pub(crate) fn unauthorised(caller: &str, route: &str) -> Self {
         let detail = format!("`{caller}` may not use the route `{route}`");
         Self::not_run(
@@ -134,17 +132,17 @@
         )
     }
 
-    /// There is no such route, or it is of another kind.
+    /// The route does not exist, or is of another kind.
     pub(crate) fn unknown_route(detail: String) -> Self {
         Self::not_run(StatusCode::NOT_FOUND, "route", "Unknown route", detail)
     }
 
-    /// The body is no JSON value.
+    /// The body is not valid JSON.
     pub(crate) fn malformed(detail: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, "body", "Body is not JSON", detail)
     }
 
-    /// The body is larger than the route takes.
+    /// The body exceeds the route's size limit.
     pub(crate) fn too_large(limit: u64) -> Self {
         let detail = format!("the route takes at most {limit} bytes");
         Self::not_run(
@@ -155,7 +153,7 @@
         )
     }
 
-    /// The body did not come to its end in time.
+    /// The body was not complete in time.
     pub(crate) fn slow_body(limit: Duration) -> Self {
         let detail = format!("the body took more than {} ms", limit.as_millis());
         Self::not_run(
@@ -166,7 +164,7 @@
         )
     }
 
-    /// The deadline passed before anything was done.
+    /// The deadline passed before the request was dispatched.
     pub(crate) fn deadline_passed(detail: &str) -> Self {
         Self::not_run(
             StatusCode::GATEWAY_TIMEOUT,
@@ -176,7 +174,7 @@
         )
     }
 
-    /// The caller has too many connections open, or all callers have.
+    /// The limit on connections is reached.
     pub(crate) fn too_many_connections() -> Self {
         let detail = "the limit on connections is reached";
         Self::not_run(
@@ -188,7 +186,7 @@
         .with_default_retry_after()
     }
 
-    /// No configuration is in force yet.
+    /// The daemon has no configuration yet.
     pub(crate) fn starting() -> Self {
         let detail = "no configuration is in force yet";
         Self::not_run(
@@ -200,7 +198,7 @@
         .with_default_retry_after()
     }
 
-    /// Writes the problem document for a request.
+    /// Writes the response with the problem document.
     pub(crate) fn response(&self, request: RequestId) -> Response<Full<Bytes>> {
         let document = Document {
             r#type: format!("{TYPE_PREFIX}{}", self.kind),
@@ -229,7 +227,7 @@
     }
 }
 
-/// Rounded up: a caller that comes back too early is refused again.
+/// Rounds up to seconds; a caller that retries too early is refused again.
 fn whole_seconds(time: Duration) -> u64 {
     time.as_secs() + u64::from(time.subsec_nanos() > 0)
 }
--- a/crates/daemon/src/caller/read.rs
+++ b/crates/daemon/src/caller/read.rs
@@ -1,13 +1,13 @@
-//! Reading the headers of callers' requests.
+//! Reads the headers of callers' requests.
 
 use super::header::TRACEPARENT;
 use super::problem::Problem;
 use hyper::HeaderMap;
 
-/// Returns the value of a header that is given once at most.
+/// Returns the value of a header that may occur at most once.
 ///
-/// A header that is given twice is refused: two programs on the way might each heed another one of
-/// the two, and the request would run for another caller, or under another key, than was checked.
+/// Duplicates are refused: a proxy could act on one value and the daemon on the other, and the
+/// request would run for another caller or key than the one that was checked.
 pub(crate) fn single<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -35,7 +35,7 @@
     (supported && trace != 0 && parent != 0).then_some(trace)
 }
 
-/// The number that a text of exactly so many lower-case hexadecimal digits stands for.
+/// Parses exactly `digits` lower-case hexadecimal digits.
 fn hexadecimal(text: &str, digits: usize) -> Option<u128> {
     let valid = text.len() == digits
         && text
--- a/crates/daemon/src/caller/request_log.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -1,8 +1,8 @@
-//! What becomes of callers' requests: in flight, ended, cut off.
+//! Counts and logs callers' requests.
 //!
-//! Each request has an entry from its arrival until its answer is made. An entry that is dropped
-//! before then belongs to a request whose caller went away, or that a stop cut off; both are told
-//! by the stage of the stop.
+//! Each request has an [`Entry`] from its arrival until its response is made. An entry dropped
+//! earlier belongs to a request whose caller disconnected, or that a stop cut off; the stage of
+//! the stop tells which.
 
 use super::header::request_text;
 use super::problem::{Problem, RunStatus};
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// Counts requests and writes a line for each that ended.
+/// Counts requests and writes a log line for each that ended.
 #[derive(Clone)]
 pub(crate) struct RequestLog {
     shared: Arc<Shared>,
@@ -31,7 +31,7 @@
     cut: AtomicUsize,
 }
 
-/// One request.
+/// A request in flight.
 pub(crate) struct Entry {
     request_log: RequestLog,
     request: RequestId,
@@ -43,7 +43,7 @@
 }
 
 impl RequestLog {
-    /// Makes an empty request_log.
+    /// Creates a log without requests.
     pub(crate) fn new(metrics: Arc<Metrics>, log: Logger, stop: Watch) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -66,8 +66,8 @@
         self.shared.cut.load(Ordering::Relaxed)
     }
 
-    /// Notes that a stop cut an answer off while it was written. The entry of its request is closed
-    /// by then, as an entry ends when the answer is made.
+    /// Records that a stop cut off a response while it was being written. Its entry is already
+    /// closed by then.
     pub(crate) fn answer_cut(&self) {
         self.shared.cut.fetch_add(1, Ordering::Relaxed);
         warn!(self.shared.log, "answer cut");
@@ -90,12 +90,10 @@
 }
 
 impl Entry {
-    /// Notes the caller's class.
     pub(crate) fn set_class(&mut self, class: Class) {
         self.class = Some(class);
     }
 
-    /// Notes the route.
     pub(crate) fn set_route(&mut self, route: &RouteId) {
         self.route = Some(route.clone());
     }
@@ -143,7 +141,7 @@
         front.ended(self.route.as_ref(), self.class, outcome, duration);
     }
 
-    /// Notes that the request was dropped before its answer was made.
+    /// Records that the request was dropped before its response was made.
     fn dropped(&self) {
         let shared = &self.request_log.shared;
         let ended = if shared.stop.stage() == Stage::Cut {
--- a/crates/daemon/src/caller/status.rs
+++ b/crates/daemon/src/caller/status.rs
@@ -1,10 +1,10 @@
-//! From the outcome of a request to the problem that its caller is told.
+//! Maps outcomes of the service to problems.
 //!
-//! The status is for programs that know nothing of `outcome`: balancers, client libraries. `503`
-//! with `retry-after` invites them to send again, so it is used only where that does no harm. What
-//! may have run is `502` or `504`, which they don't repeat for a `POST`, and has no `retry-after`.
-//! A request that crashes backend servers is `422`: the fault lies in the request, and sending it
-//! to another daemon is just what must not happen.
+//! The status serves clients that don't know the member `outcome`, such as load balancers and HTTP
+//! libraries. `503` with `retry-after` invites a retry, so it is used only where that is harmless.
+//! A request that may have run gets `502` or `504` without `retry-after`, which they don't retry
+//! for a `POST`. A request that crashes backend servers gets `422`, so that it is not sent to
+//! another daemon.
 
 use super::problem::{DEFAULT_RETRY_AFTER, Problem, RunStatus};
 use crate::metrics::label;
@@ -12,25 +12,25 @@
 use monsoonring_decision::outcome::Reason;
 use std::time::Duration;
 
-/// Status of a request whose caller is gone; nobody reads it.
+/// Non-standard status for a request whose caller has disconnected.
 const CLIENT_CLOSED: u16 = 499;
 
-/// The problem of a request that did not run.
+/// Returns the problem for a request that did not run.
 pub(crate) fn not_run(reason: Reason, retry_after: Option<Duration>) -> Problem {
     problem(reason, RunStatus::NotRun, retry_after)
 }
 
-/// The problem of a request that run_status and failed.
+/// Returns the problem for a request that ran and failed.
 pub(crate) fn failed(reason: Reason, retry_after: Option<Duration>) -> Problem {
     problem(reason, RunStatus::Failed, retry_after)
 }
 
-/// The problem of a request that may have run.
+/// Returns the problem for a request that may have run.
 pub(crate) fn unknown(reason: Reason) -> Problem {
     problem(reason, RunStatus::Unknown, None)
 }
 
-/// The problem of a key that was used for another request before.
+/// Returns the problem for a key that was used for another request.
 pub(crate) fn conflict() -> Problem {
     Problem::not_run(
         StatusCode::UNPROCESSABLE_ENTITY,
--- a/crates/daemon/src/caller/target.rs
+++ b/crates/daemon/src/caller/target.rs
@@ -1,37 +1,36 @@
-//! What a caller's request is directed at, by method and path.
+//! Parses method and path of a caller's request.
 
 use super::problem::Problem;
 use hyper::Method;
 
-/// What is asked for.
+/// What a request addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Target {
-    /// Whether the process lives.
+    /// Liveness check.
     Health,
-    /// Whether it should be sent requests.
+    /// Readiness check.
     Ready,
-    /// Something of a route.
+    /// An operation on a route.
     Route {
-        /// The route's name, as sent.
+        /// Name of the route, as sent.
         name: String,
-        /// What to do.
         action: Action,
     },
 }
 
-/// What to do with a route.
+/// Operation on a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    /// Search.
+    /// Run a search.
     Query,
-    /// Issue a key.
+    /// Issue an idempotency key.
     Keys,
     /// Run a non-idempotent request.
     Execute,
 }
 
 impl Target {
-    /// Finds the target of a request.
+    /// Returns the target of a method and path.
     pub(crate) fn find(method: &Method, path: &str) -> Result<Self, Problem> {
         let target = Self::by_path(path).ok_or_else(|| Problem::no_such_path(path))?;
         let allowed = target.method();
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,6 +1,6 @@
-//! Connections over which the daemon asks others: one TCP connection, HTTP/1.1, no pool.
+//! Opens single HTTP/1.1 client connections, without a pool.
 //!
-//! Whoever asks decides how long opening may take and what a failure means; this only opens.
+//! Timeouts for opening, and the handling of failures, are up to the caller.
 
 use bytes::Bytes;
 use hyper::body::Body;
@@ -14,46 +14,45 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Probes of an idle connection without an answer until it counts as ended, and the shortest time between two
-/// that the system knows.
+/// Unanswered TCP keepalive probes after which an idle connection is closed.
 const KEEPALIVE_PROBES: f64 = 2.0;
 const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a connection could not be opened.
+/// Failure to open a connection.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Nobody took it.
+    /// The TCP connection failed.
     #[snafu(display("connecting to {peer}: {source}"))]
     Connect {
-        /// Who should have.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It was taken and ended.
+    /// The peer accepted the connection, but the HTTP handshake failed.
     #[snafu(display("HTTP handshake with {peer}: {source}"))]
     Handshake {
-        /// Who took it.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What the library says.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
 }
 
-/// Result of opening.
+/// Result of opening a connection.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Sends requests over a connection.
 pub type Sender<B> = http1::SendRequest<B>;
 
-/// Moves the bytes of a connection, as long as it is polled.
+/// Performs the I/O of a connection while it is polled.
 pub type Driver<B> = http1::Connection<TokioIo<TcpStream>, B>;
 
 /// Opens a connection.
 ///
 /// # Errors
 ///
-/// It could not be opened.
+/// Fails if the peer does not accept the connection or the handshake fails.
 pub async fn open<B>(peer: SocketAddr) -> Result<(Sender<B>, Driver<B>)>
 where
     B: Body<Data = Bytes, Error = Infallible> + 'static,
@@ -61,12 +60,12 @@
     handshake(connect(peer).await?, peer).await
 }
 
-/// Opens a connection that ends when what is sent over it is not acknowledged within a time, or when the other
-/// end is gone while nothing is sent.
+/// Opens a connection that closes if data is not acknowledged within `ack_timeout`, or if the peer
+/// does not answer keepalive probes while the connection is idle.
 ///
 /// # Errors
 ///
-/// It could not be opened.
+/// Fails if the peer does not accept the connection, an option can't be set, or the handshake fails.
 pub async fn open_with_keepalive<B>(
     peer: SocketAddr,
     ack_timeout: Duration,
@@ -78,7 +77,7 @@
     let socket = socket2::SockRef::from(&stream);
     let set = socket.set_tcp_user_timeout(Some(ack_timeout));
     set.context(ConnectSnafu { peer })?;
-    // The system asks the other end while nothing is sent; it counts whole seconds.
+    // Keepalive intervals are in whole seconds, at least one.
     let interval = ack_timeout
         .div_f64(KEEPALIVE_PROBES)
         .max(MIN_KEEPALIVE_INTERVAL);
@@ -106,13 +105,13 @@
     opened.context(HandshakeSnafu { peer })
 }
 
-/// Drives a connection in a task of its own, which ends with the handle.
+/// Drives a connection in a task, which is aborted when the handle is dropped.
 pub fn drive<B>(driver: Driver<B>) -> AbortOnDropHandle<()>
 where
     B: Body<Data = Bytes, Error = Infallible> + Send + 'static,
 {
     AbortOnDropHandle::new(tokio::spawn(async move {
-        // An error ends the connection, which the next request on it finds closed.
+        // An error closes the connection; the next request on it finds it closed.
         let _ = driver.await;
     }))
 }
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,19 +1,19 @@
-//! The one clock of the process.
+//! The process's monotonic clock.
 //!
-//! Decisions take the time as a duration since the start; this is where that duration comes from.
+//! Decisions take the time as a duration since the start of the process.
 
 use monsoonring_configuration::id::Incarnation;
 use monsoonring_decision::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Monotonic clock that starts with the process.
+/// Monotonic clock that starts at zero.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
@@ -25,19 +25,20 @@
         self.start.elapsed()
     }
 
-    /// Returns the time at which `instant` lies; instants before the start are the start.
+    /// Converts an instant to a time; instants before the start become zero.
     pub fn time(&self, instant: Instant) -> Time {
         instant.saturating_duration_since(self.start)
     }
 
-    /// Returns the instant of a time.
+    /// Converts a time to an instant.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + time
     }
 }
 
-/// Returns the start number of this process: higher than that of any earlier one on this address, as long as the
-/// host's clock does not go back by more than the time that a restart takes.
+/// Returns the start number of this process, in milliseconds since the Unix epoch. It is higher than
+/// that of any earlier process on this address, unless the host's clock has gone back by more than a
+/// restart takes.
 pub(crate) fn start_number() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/daemon/src/launch.rs
+++ b/crates/daemon/src/launch.rs
@@ -1,4 +1,4 @@
-//! A whole daemon: the front and the controllers behind it.
+//! Starts a complete daemon: the front and the controllers behind it.
 
 use crate::metrics::label::Side;
 use crate::node;
@@ -10,9 +10,9 @@
 
 /// A daemon that serves callers, operators and peers.
 pub struct Launched {
-    /// The front.
+    /// Serves callers and operators.
     pub running: Running,
-    /// The address on which peers are served.
+    /// Address on which peers are served.
     pub peer_address: SocketAddr,
 }
 
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// One of the addresses can't be listened on.
+/// Fails if one of the addresses can't be listened on.
 pub async fn launch(settings: &Settings, telemetry: Telemetry) -> Result<Launched> {
     let (peers, peer_address) = run::listen(Side::Peer, settings.peer_listen).await?;
     let advertised = settings.advertise.unwrap_or(peer_address);
@@ -40,11 +40,11 @@
     })
 }
 
-/// Serves until a signal to stop, and stops.
+/// Serves until a stop signal arrives, and stops.
 ///
 /// # Errors
 ///
-/// One of the addresses or the signals can't be listened on.
+/// Fails if one of the addresses can't be listened on or signals can't be received.
 pub async fn run(settings: &Settings, telemetry: Telemetry) -> Result<StopOutcome> {
     let signals = run::signals()?;
     let launched = launch(settings, telemetry).await?;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,8 @@
-//! The daemon around the decisions.
+//! The daemon that drives the decisions of `monsoonring-decision`.
 //!
-//! Everything here is input and output: sockets, tasks, clocks and logs. The crate falls into a
-//! front, which takes requests from callers and operators, and the controllers behind it, which
-//! drive the decisions of `monsoonring-decision`. The two meet in [`service::Service`] alone, so
-//! that each can be tested without the other.
+//! This crate does the input and output: sockets, tasks, clocks and logs. A front takes requests
+//! from callers and operators; controllers behind it drive the decisions. They meet only in
+//! [`service::Service`], so that each can be tested without the other.
 
 pub mod backend;
 mod caller;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,8 +1,8 @@
-//! The log: one line for each thing that an operator may have to understand afterwards.
+//! The log: one line for each event that an operator may need to understand later.
 //!
-//! Lines are written to standard error by a thread of their own, so that a terminal or pipe that
-//! nobody reads can't hold up a request. The queue to that thread is bounded; lines that do not fit
-//! are dropped and bounded in `monsoonring_log_lines_dropped_total`.
+//! A separate thread writes the lines to standard error, so that a blocked terminal or pipe can't
+//! delay requests. Its queue is bounded; lines that don't fit are dropped and counted in
+//! `monsoonring_log_lines_dropped_total`.
 
 use crate::settings::{LogFormat, LogLevel};
 use monsoonring_configuration::Range;
@@ -16,27 +16,27 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that wait for the writing thread.
+/// Capacity of the writing thread's queue, in lines.
 const QUEUE_LINES: usize = 8_192;
 
-/// Time over which lines are bounded against a limit.
+/// Interval of the limit on lines.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Bytes of a line that are written at once.
+/// Size of the write buffer, in bytes.
 const LINE_BYTES: usize = 4_096;
 
-/// Keeps the writing thread; when it is dropped, the lines that wait are written first.
+/// Owns the writing thread; dropping it writes the queued lines and ends the thread.
 #[must_use = "dropping the guard ends the log"]
 pub struct Guard {
     _writer: AsyncGuard,
 }
 
-/// Starts the log to standard error. Lines that don't fit into the queue are bounded in `dropped`.
+/// Starts the log to standard error. Lines that don't fit into the queue are counted in `dropped`.
 pub fn start(format: LogFormat, level: LogLevel, dropped: Counter) -> (Logger, Guard) {
     start_to(std::io::stderr(), format, level, dropped)
 }
 
-/// Starts the log to `output`.
+/// Starts the log to `output`. Lines that don't fit into the queue are counted in `dropped`.
 pub fn start_to<W>(
     output: W,
     format: LogFormat,
@@ -49,7 +49,8 @@
     start_bounded(output, format, level, dropped, None)
 }
 
-/// Starts the log to `output`, with at most `lines` in each second below warnings.
+/// Starts the log to `output`, with at most `lines` lines per second below the level of warnings.
+/// Dropped lines are counted in `dropped`.
 pub fn start_bounded<W>(
     output: W,
     format: LogFormat,
@@ -62,8 +63,8 @@
 {
     let (queue, writer) = match format {
         LogFormat::Json => {
-            // The format writes token by token, and standard error does not collect: without this
-            // each line would take dozens of system calls.
+            // The JSON formatter writes token by token, and standard error is unbuffered: without this
+            // buffer each line would take dozens of system calls.
             let lines = LineWriter::with_capacity(LINE_BYTES, output);
             queue(slog_json::Json::default(lines).fuse())
         }
@@ -104,19 +105,18 @@
     }
 }
 
-/// Bounds the lines in each second and counts those that were dropped, by the limit or because the
-/// queue did not take them.
+/// Applies the limit on lines and counts those dropped by the limit or a full queue.
 struct BoundedDrain {
     queue: AsyncCore,
     dropped: Counter,
     limit: Option<LineLimit>,
 }
 
-/// LineLimit on the lines in each second.
+/// Limit on lines per second below the level of warnings.
 ///
-/// Each line costs processor time that requests would have. Where a request leaves a dozen of them,
-/// a storm of requests would otherwise be slowed down by the log just when that hurts most. Warnings
-/// and worse are few, and what explains the storm; they are always written.
+/// A request can write a dozen lines, so under a burst of requests logging would take processor time
+/// just when requests need it. Warnings and errors are few and explain the burst; they are always
+/// written.
 struct LineLimit {
     lines: u32,
     second: Mutex<(Instant, u32)>,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Counts a line; tells whether it may be written.
+    /// Counts a line and returns whether it may be written.
     fn admits(&self, level: Level) -> bool {
         if level.is_at_least(Level::Warning) {
             return true;
@@ -158,20 +158,20 @@
     }
 }
 
-/// A routing or placement decision, for one line of the log.
+/// A routing or placement decision, written as one log line.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision<'a, R: ?Sized> {
-    /// The request decided on, if it is about one.
+    /// The request, if the decision concerns one.
     pub request: Option<RequestId>,
-    /// The route concerned.
+    /// Name of the route.
     pub route: &'a str,
-    /// The shard range concerned, if there is one.
+    /// The shard's key range, if the decision concerns one.
     pub range: Option<Range>,
-    /// The backend server concerned, if there is one.
+    /// The backend server, if the decision concerns one.
     pub backend_server: Option<BackendServerId>,
-    /// What was decided: `send`, `hedge`, `retry`, `refuse`, …
+    /// Kind of decision: `send`, `hedge`, `retry`, `refuse`, …
     pub what: &'a str,
-    /// Why, with the numbers that decided; written out only if the line is.
+    /// The reason, with the figures behind it; formatted only if the line is written.
     pub reason: &'a R,
 }
 
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -1,7 +1,7 @@
-//! Open clients to peers.
+//! Pool of clients for peers.
 //!
-//! One stream to a peer carries all calls to it. A stream that fails is thrown away and opened anew
-//! at the next call; whoever called decides whether the call may be made again.
+//! One stream to each peer carries all calls to it. A failed stream is discarded and opened again by
+//! the next call; whether a failed call may be repeated is up to its caller.
 
 use monsoonring_wire::channel::{self, Endpoint};
 use monsoonring_wire::peer::{self, Line, PeerClient};
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::OnceCell;
 
-/// A client, or the place where the first caller is opening one.
+/// A client, or the cell in which the first caller is opening one.
 type Slot = Arc<OnceCell<Line>>;
 
-/// Clients by peer.
+/// Clients by peer address; clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     endpoint: Endpoint,
@@ -28,34 +28,34 @@
         }
     }
 
-    /// Returns the client for a peer, opening it where there is none.
+    /// Returns the client for a peer, opening one if needed.
     ///
     /// # Errors
     ///
-    /// Fails where the peer can't be reached or does not hold a key.
+    /// Fails if the peer can't be reached or does not have a matching key.
     pub(crate) async fn client(&self, peer: SocketAddr) -> channel::Result<PeerClient> {
         let slot = self.slot(peer);
-        // Callers that come at the same time wait for the one who opens, so that a restart of a peer
-        // does not meet as many connections as there are queries.
+        // Concurrent callers wait for the one that opens the stream, so that a restarted peer gets one
+        // connection and not one for each query.
         let line = slot
             .get_or_try_init(|| peer::connect(peer, &self.endpoint))
             .await?;
         Ok(line.client().clone())
     }
 
-    /// Throws a failed client away.
+    /// Discards a failed client.
     pub(crate) fn forget(&self, peer: SocketAddr) {
         self.lock().remove(&peer);
     }
 
-    /// Keeps only the clients of the given peers.
+    /// Keeps only the clients of peers for which `keep` returns true.
     pub(crate) fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|peer, _| keep(peer));
     }
 
-    /// A peer that has ended, as in each planned stop, or was idle leaves a closed connection here. A call on it
-    /// fails just like one that the peer took and never answered: a non-idempotent request that was
-    /// not even sent would be `unknown`. So a closed one is replaced before the call.
+    /// Returns the slot of a peer, emptied if its stream has closed, as after a planned stop or an idle
+    /// time. A call on a closed stream fails like one that the peer received and never answered, so a
+    /// non-idempotent request that was never sent would end as `unknown`.
     fn slot(&self, peer: SocketAddr) -> Slot {
         let mut slots = self.lock();
         let slot = slots.entry(peer).or_default();
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! What this daemon does for its peers.
+//! Serves the calls of other daemons.
 
 use crate::control;
 use crate::node::Node;
@@ -21,18 +21,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// Pause after a failed accept: the process is out of descriptors, and trying at once again would
-/// only take processor time from those who could give some back.
+/// Pause after a failed accept. `accept` fails if the process is out of file descriptors; retrying
+/// at once would only use up processor time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time that a probe on behalf of another member may take.
+/// Timeout of a probe on behalf of another member.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves peers until the process ends.
+/// Serves peers until the process exits.
 ///
-/// Without a limit, someone at the port who needs no key to open connections would take the
-/// descriptors that callers and backend servers need; one would see accepting fail everywhere. One
-/// above the limit is closed, and one that does not finish its handshake frees its permit in a second.
+/// Opening a connection needs no key, so without a limit anyone who can reach the port could use up
+/// the file descriptors that callers and backend servers need. Connections above the limit are
+/// closed, and one that does not finish its handshake within a second frees its permit.
 pub(crate) async fn serve(
     node: Arc<Node>,
     listener: TcpListener,
@@ -164,7 +164,7 @@
     }
 }
 
-/// Returns the deadline of the request that a call carries.
+/// Returns the deadline of the request in a call, which is `GRACE` before that of the call.
 fn deadline(context: &Context) -> Instant {
     context
         .deadline
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -8,12 +8,11 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Ends a test that hangs; no test waits for this to pass.
+/// Fails a test that hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-// Symptom: after a restart of a peer, each daemon loses one call to it.
-// Events: a stream is open; the peer closes it; then there is something to ask.
-// Cause: a client that is kept although its stream has ended.
+// A client whose stream the peer has closed must be replaced before the next call, or each daemon
+// loses one call after a restart of a peer.
 #[tokio::test]
 async fn client_of_ended_stream_is_opened_anew() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
--- a/crates/daemon/src/platform/client.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to the platform.
+//! HTTP client for the platform.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Largest value of the configuration service, in bytes, with room for its wrapping.
+/// Largest response body in bytes: the largest value of the configuration service and its envelope.
 const MAX_BODY_BYTES: usize = 2 * 1024 * 1024;
 
-/// Why a call to the platform failed.
+/// Failure of a call to the platform.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
@@ -55,7 +55,7 @@
 /// Result of a call to the platform.
 pub(crate) type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Calls one server of the platform.
+/// Client for one server of the platform.
 #[derive(Clone, Debug)]
 pub(crate) struct Client {
     peer: SocketAddr,
@@ -70,7 +70,7 @@
         Self { peer, http }
     }
 
-    /// Makes one call; `limit` bounds it, because the platform hangs at times.
+    /// Sends a GET request. `limit` is its timeout, as the platform can hang.
     pub(crate) async fn get(&self, path: &str, limit: Duration) -> Result<(Parts, Bytes)> {
         let (peer, path) = (self.peer, path.to_owned());
         let exchange = timeout(limit, self.exchange(&path)).await;
@@ -102,7 +102,7 @@
         Ok((head, body.to_bytes()))
     }
 
-    /// Makes the error for an unexpected status.
+    /// Returns the error for an unexpected status.
     pub(crate) fn status(&self, path: &str, head: &Parts) -> Error {
         Error::Status {
             peer: self.peer,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Makes the error for an unreadable answer.
+    /// Returns the error for an unreadable response.
     pub(crate) fn unreadable(&self, path: &str, reason: &dyn Display) -> Error {
         Error::Body {
             peer: self.peer,
--- a/crates/daemon/src/platform/configuration.rs
+++ b/crates/daemon/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration service.
+//! Client for the configuration service.
 
 use super::client::{Client, Result};
 use bytes::Bytes;
@@ -7,25 +7,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Name of the value that holds the document.
+/// Path of the value that holds the document.
 const VALUE: &str = "/values/monsoonring";
 
 /// Header with the revision of a value.
 const REVISION: &str = "monsoonring-revision";
 
-/// Time that a read may take; the service answers in milliseconds when it is well.
+/// Timeout of a read; added to the wait of a long poll.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A value as the service gave it.
+/// A value and its revision.
 #[derive(Clone, Debug)]
 pub(crate) struct Value {
-    /// Its revision.
     pub(crate) revision: Revision,
-    /// The document, not checked yet.
+    /// The document, not validated.
     pub(crate) bytes: Bytes,
 }
 
-/// Reads the document.
+/// Reads the configuration document.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
     client: Client,
@@ -38,13 +37,13 @@
         }
     }
 
-    /// Reads the value as it is now.
+    /// Reads the current value.
     pub(crate) async fn read(&self) -> Result<Value> {
         let value = self.call(VALUE, READ_TIMEOUT).await?;
         value.ok_or_else(|| self.client.unreadable(VALUE, &"no value"))
     }
 
-    /// Waits as long as `wait` for a revision above `after`; `None` where none came.
+    /// Waits up to `wait` for a revision above `after`; returns `None` if there was none.
     pub(crate) async fn watch(&self, after: Revision, wait: Duration) -> Result<Option<Value>> {
         let path = format!("{VALUE}?after={after}&wait_ms={}", wait.as_millis());
         self.call(&path, wait + READ_TIMEOUT).await
--- a/crates/daemon/src/platform/hosts.rs
+++ b/crates/daemon/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The lagging list of hosts.
+//! Client for the platform's host list, which lags behind the real state.
 
 use super::client::{Client, Result};
 use hyper::StatusCode;
@@ -6,28 +6,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Path of the list.
 const HOSTS: &str = "/hosts";
 
-/// Time that a read may take.
+/// Timeout of a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// State of a host as the list has it.
+/// State of a host in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum State {
-    /// It is there.
+    /// In service.
     Live,
-    /// It is going away.
+    /// About to be removed.
     Leaving,
 }
 
-/// One line of the list: a daemon's peer address or a backend server's address.
+/// An entry of the list: the peer address of a daemon or the address of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub(crate) struct Host {
-    /// The address.
     pub(crate) address: SocketAddr,
-    /// The state.
     pub(crate) state: State,
 }
 
@@ -36,7 +33,7 @@
     hosts: Vec<Host>,
 }
 
-/// Reads the list.
+/// Reads the host list.
 #[derive(Clone, Debug)]
 pub(crate) struct List {
     client: Client,
@@ -49,7 +46,7 @@
         }
     }
 
-    /// Reads the list as it is now.
+    /// Reads the current list.
     pub(crate) async fn read(&self) -> Result<Vec<Host>> {
         let (head, bytes) = self.client.get(HOSTS, READ_TIMEOUT).await?;
         if head.status != StatusCode::OK {
--- a/crates/daemon/src/platform/mod.rs
+++ b/crates/daemon/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform gives: the configuration service and the host list. Both can only be read.
+//! Read-only clients for the platform's configuration service and host list.
 
 mod client;
 mod configuration;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,9 +1,9 @@
-//! The life of the process: start, serve, stop.
+//! Starts, runs and stops the process.
 //!
-//! A planned stop cuts nothing off. First the daemon says that it is not ready, and still serves
-//! everything, until the balancer has had time to look elsewhere; then it accepts no more, and ends
-//! when nothing is in flight. A second signal, or the bound on the whole, cuts off what is left,
-//! and the log says what that was.
+//! A planned stop cuts nothing off. The daemon first reports that it is not ready but still serves
+//! requests until load balancers have had time to react; then it stops accepting connections and
+//! ends when no request is in flight. A second signal or the stop timeout cuts off the remaining
+//! requests, and the log shows how many.
 
 use crate::caller::{self, RequestLog};
 use crate::metrics::Metrics;
@@ -25,56 +25,56 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::task::TaskTracker;
 
-/// Exit code of a process that could not start.
+/// Exit code of a process that failed to start.
 pub const EXIT_CODE_FAILED: u8 = 1;
 
 /// Exit code of a process whose stop was cut short.
 pub const EXIT_CODE_CUT: u8 = 3;
 
-/// Connections of operators at the same time.
+/// Limit on simultaneous operator connections.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// Why the daemon did not start.
+/// Failure to start the daemon.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address could not be listened on.
+    /// An address can't be listened on.
     #[snafu(display("cannot listen for {side}s on {address}: {source}"))]
     Listen {
-        /// Who should have been served.
+        /// Who is served on the address.
         side: Side,
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A signal could not be listened for.
+    /// Signals can't be received.
     #[snafu(display("cannot listen for signals: {source}"))]
     Signal {
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Result of starting.
+/// Result of starting the daemon.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Where the daemon writes what it does.
+/// Log and metrics of a daemon.
 #[derive(Clone, Debug)]
 pub struct Telemetry {
-    /// The log.
+    /// Root logger.
     pub log: Logger,
-    /// The metrics.
+    /// Metrics of the whole daemon.
     pub metrics: Arc<Metrics>,
 }
 
 /// How a stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// Everything in flight was finished.
+    /// All requests in flight were finished.
     Complete,
-    /// It was cut short.
+    /// The stop was cut short.
     Cut {
-        /// Number of callers' requests cut off.
+        /// Number of callers' requests that were cut off.
         requests: usize,
     },
 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// A daemon that serves.
+/// A daemon that serves callers and operators.
 pub struct Running {
     service: Arc<dyn Service>,
     telemetry: Telemetry,
@@ -103,11 +103,11 @@
     stop_timeout: Duration,
 }
 
-/// Serves until a signal to stop, and stops.
+/// Serves until a stop signal arrives, and stops.
 ///
 /// # Errors
 ///
-/// An address or the signals can't be listened on.
+/// Fails if an address can't be listened on or signals can't be received.
 pub async fn run(
     settings: &Settings,
     service: Arc<dyn Service>,
@@ -118,11 +118,11 @@
     Ok(running.until_stopped(signals).await)
 }
 
-/// Returns the signals that ask the process to stop, SIGTERM and SIGINT.
+/// Returns a stream of the stop signals, SIGTERM and SIGINT.
 ///
 /// # Errors
 ///
-/// The operating system refuses to deliver them.
+/// Fails if the operating system refuses a signal handler.
 pub fn signals() -> Result<impl Stream<Item = ()> + Send> {
     let terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
     let interrupt = signal(SignalKind::interrupt()).context(SignalSnafu)?;
@@ -140,11 +140,11 @@
 }
 
 impl Running {
-    /// Listens for callers and operators.
+    /// Starts to serve callers and operators.
     ///
     /// # Errors
     ///
-    /// One of the addresses can't be listened on.
+    /// Fails if one of the addresses can't be listened on.
     pub async fn start(
         settings: &Settings,
         service: Arc<dyn Service>,
@@ -205,8 +205,8 @@
         self.operator_address
     }
 
-    /// Waits for the first signal, stops, and tells how that ended. A second signal cuts the stop
-    /// short. The end of the stream counts as no further signal.
+    /// Waits for the first signal, stops, and returns how the stop ended. A second signal cuts the stop
+    /// short; the end of the stream does not count as a signal.
     pub async fn until_stopped(self, signals: impl Stream<Item = ()> + Send) -> StopOutcome {
         let mut signals = pin!(signals.chain(futures::stream::pending()));
         signals.next().await;
@@ -230,7 +230,7 @@
         }
     }
 
-    /// The stages of a stop that cuts nothing off.
+    /// Runs a stop through all stages that cut nothing off.
     async fn finish(&self) {
         self.stop.advance(Stage::Leaving);
         self.service.leave();
--- a/crates/daemon/src/server/connection.rs
+++ b/crates/daemon/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a server.
+//! Serves one connection.
 
 use super::socket::{Activity, Socket};
 use super::stop::Stage;
@@ -18,12 +18,11 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time that an idle connection is kept after the end of accepting. A request that was on its way
-/// when the stop went on would otherwise meet a closed connection.
+/// Time that an idle connection stays open after accepting has ended, for requests that were
+/// already on their way.
 const LINGER: Duration = Duration::from_millis(250);
 
-/// Serves the requests of a connection one after the other until either side ends it or a stop
-/// does.
+/// Serves the requests of a connection in turn until either side closes it or a stop ends it.
 pub(super) async fn serve<H: Handler>(
     stream: TcpStream,
     server: &Server<H>,
@@ -74,8 +73,8 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let _guard = activity.begin_request();
     let mut response = server.handler.handle(request, limit_status).await;
-    // A caller that keeps its connection during a stop would send the next request just when the
-    // connection is closed, and could not tell whether it ran.
+    // A caller that reused its connection during a stop could send a request just as the connection
+    // closes, and could not tell whether it ran.
     if limit_status == LimitStatus::Exceeded || server.stop.stage() > Stage::Serving {
         response
             .headers_mut()
--- a/crates/daemon/src/server/mod.rs
+++ b/crates/daemon/src/server/mod.rs
@@ -1,9 +1,8 @@
-//! An HTTP/1.1 server with bounds on everything that the other side controls.
+//! An HTTP/1.1 server with limits on everything that the client controls.
 //!
-//! The library reads and writes the messages. What is added here is when to give up: a limit on
-//! connections, the timeouts of [`socket::Socket`], and the stages of a stop. Each connection is
-//! one task, and a request is handled inside it, so that a connection that ends drops the request
-//! with it and nothing has to be told to anybody.
+//! hyper reads and writes the messages. This module adds a limit on connections, the timeouts of
+//! [`socket::Socket`], and the stages of a stop. Each connection is one task that also handles its
+//! requests, so a connection that closes drops the request in flight.
 
 pub(crate) mod connection;
 pub(crate) mod socket;
@@ -25,51 +24,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::task::TaskTracker;
 
-/// Connections above the limit that still get a refusal in words, as a divisor of the limit.
+/// Connections above the limit that still get a response with a refusal, as a divisor of the limit.
 const EXCESS_DIVISOR: usize = 8;
 
-/// Connections above the limit that get a refusal in words even where the limit is tiny.
+/// Minimum number of connections above the limit that get a response with a refusal.
 const MIN_EXCESS: usize = 8;
 
-/// Pause after a failure to accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Whether a connection is within the limit.
+/// Whether a connection is within the limit on connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitStatus {
-    /// It is.
+    /// Within the limit.
     Within,
-    /// It is not; requests on it are to be refused.
+    /// Above the limit; its requests are refused.
     Exceeded,
 }
 
-/// Answers the requests of a server.
+/// Handles the requests of a server.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers one request. The future is dropped when the other side goes away.
+    /// Handles one request. The future is dropped if the client disconnects.
     fn handle(
         &self,
         request: Request<Incoming>,
         limit_status: LimitStatus,
     ) -> impl Future<Output = Response<Full<Bytes>>> + Send;
 
-    /// Hears that a connection was above the limit.
+    /// Records that a connection was above the limit.
     fn exceeded(&self) {}
 
-    /// Hears that a stop cut an answer off that had not been written whole.
+    /// Records that a stop cut off a response before all of it was written.
     fn answer_cut(&self) {}
 }
 
-/// A server before it is started.
+/// Configuration of a server.
 pub(crate) struct Server<H> {
-    /// Answers the requests.
+    /// Handles the requests.
     pub(crate) handler: H,
-    /// Bounds on what the other side can take.
+    /// Limits and timeouts for clients.
     pub(crate) limits: Limits,
-    /// Stages of the stop.
+    /// Stage of the stop.
     pub(crate) stop: Watch,
-    /// Number of open connections.
     pub(crate) gauge: Gauge,
-    /// The log.
     pub(crate) log: Logger,
 }
 
@@ -80,8 +77,8 @@
 }
 
 impl<H: Handler> Server<H> {
-    /// Serves until the stop has come to its end. The tracker that is returned is done when no
-    /// connection is left.
+    /// Serves until the stop reaches its last stage. The returned tracker completes when all
+    /// connections are closed.
     pub(crate) fn start(self, listener: TcpListener) -> TaskTracker {
         let tasks = TaskTracker::new();
         let shared = Arc::new(Shared {
@@ -104,8 +101,8 @@
             accepted = listener.accept() => handle_accept(accepted, &shared).await,
         }
     }
-    // Connections that the kernel has accepted are reset when the listener is closed, and callers
-    // that were told of no stop would see their requests cut off. They are served to the end.
+    // Closing the listener resets connections that the kernel has already accepted, so these are
+    // served first.
     while let Some(accepted) = futures::FutureExt::now_or_never(listener.accept()) {
         if accepted.is_err() {
             break;
@@ -122,8 +119,8 @@
     match accepted {
         Ok((stream, _)) => admit(stream, shared),
         Err(error) => {
-            // Without file descriptors, `accept` fails again at once: the loop would spin and the
-            // log fill up. The pause leaves time for connections to end.
+            // `accept` keeps failing while file descriptors are exhausted; without the pause this loop would
+            // spin and fill the log.
             warn!(shared.server.log, "accepting failed"; "error" => %error);
             tokio::time::sleep(ACCEPT_PAUSE).await;
         }
@@ -147,7 +144,7 @@
     });
 }
 
-/// A connection's permit among the open ones; it is free again when this is dropped.
+/// Counts an open connection until dropped.
 struct Permit<H> {
     shared: Arc<Shared<H>>,
     number: usize,
--- a/crates/daemon/src/server/socket.rs
+++ b/crates/daemon/src/server/socket.rs
@@ -1,11 +1,10 @@
-//! A connection's socket with the timeouts that the HTTP library lacks.
+//! A socket with the timeouts that hyper lacks.
 //!
-//! The library bounds the time from the end of one request to the end of the next one's head,
-//! which is the idle timeout here. Two more bounds are needed: a head that has begun must come to
-//! its end soon, and an answer must be read. Without the first, a caller that sends a byte now and
-//! then holds a connection for the whole idle timeout; without the second, one that never reads
-//! holds it for good, in a stop too. Either shows as connections that stay open while no request
-//! is in flight.
+//! hyper limits the time from the end of one request to the end of the next head, which serves as
+//! the idle timeout. This socket adds a timeout for a head once its first byte has arrived, and one
+//! for a client that does not read its response. Without the first, a client that sends single
+//! bytes occupies a connection for the whole idle timeout; without the second, one that never reads
+//! occupies it for good and blocks a stop.
 
 use crate::settings::Limits;
 use std::io::{Error, ErrorKind, IoSlice, Result};
@@ -18,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// What a connection is about, for both of its ends: the socket and the handler.
+/// State of a connection, shared by its socket and its handler.
 #[derive(Debug, Default)]
 pub(super) struct Activity {
     working: AtomicBool,
@@ -26,18 +25,18 @@
     requests: AtomicU64,
 }
 
-/// A request is being worked on as long as this lives.
+/// Marks a request as in progress until dropped.
 pub(super) struct RequestGuard<'a>(&'a Activity);
 
 impl Activity {
-    /// Notes that the head of a request has come to its end.
+    /// Records that the head of a request is complete.
     pub(super) fn begin_request(&self) -> RequestGuard<'_> {
         self.requests.fetch_add(1, Ordering::Relaxed);
         self.working.store(true, Ordering::Relaxed);
         RequestGuard(self)
     }
 
-    /// Tells whether a part of an answer waits to be written.
+    /// Returns whether part of a response is waiting to be written.
     pub(super) fn is_write_stalled(&self) -> bool {
         self.stalled.load(Ordering::Relaxed)
     }
@@ -57,14 +56,14 @@
     }
 }
 
-/// The time that the present head may take.
+/// Timeout of the head that is being read.
 struct Head {
-    /// Number of requests before it.
+    /// Number of requests before this one, which identifies it.
     after: u64,
     timer: Pin<Box<Sleep>>,
 }
 
-/// A socket that gives up on a head that does not end and on an answer that is not read.
+/// A socket that fails if a head is not completed or a response is not read in time.
 pub(super) struct Socket {
     stream: TcpStream,
     activity: Arc<Activity>,
@@ -77,8 +76,8 @@
 impl Socket {
     /// Wraps the socket of an accepted connection.
     pub(super) fn new(stream: TcpStream, activity: Arc<Activity>, limits: &Limits) -> Self {
-        // Answers are written whole; waiting for more to send would only delay them. A socket that
-        // refuses the option is served all the same.
+        // Each response is written in one piece, so Nagle's algorithm would only delay it. A socket that
+        // refuses the option works without it.
         let _refused = stream.set_nodelay(true);
         Self {
             stream,
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Starts the time of a head with its first byte.
+    /// Starts the timeout of a head at its first byte.
     fn start_head_timer(&mut self) {
         let after = self.activity.requests();
         let timer_running = self.head.as_ref().is_some_and(|head| head.after == after);
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Passes on the result of writing; where nothing was written for too long, an error.
+    /// Returns the result of a write, or an error if no progress was made within the write timeout.
     fn check_write<T>(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/daemon/src/server/stop.rs
+++ b/crates/daemon/src/server/stop.rs
@@ -1,40 +1,39 @@
-//! The stages of a planned stop.
+//! Stages of a planned stop.
 //!
-//! A stage only ever follows an earlier one. Everything that takes part in a stop watches the
-//! stage; nobody is called, so nobody can be forgotten or hold the stop up.
+//! Stages only advance. Participants watch the stage and are not called, so none can block the stop.
 
 use tokio::sync::watch;
 
-/// How far a stop has come.
+/// Stage of a stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stage {
-    /// No stop is planned.
+    /// No stop has begun.
     #[default]
     Serving,
-    /// Not ready any more, so that the balancer looks elsewhere; requests are still served.
+    /// Readiness checks fail, so that load balancers stop sending; requests are still served.
     Leaving,
-    /// No new connections; what is in flight is finished.
+    /// No new connections are accepted; requests in flight are finished.
     Draining,
-    /// What is still in flight is cut off.
+    /// Requests still in flight are cut off.
     Cut,
 }
 
-/// Moves a stop on.
+/// Advances a stop.
 #[derive(Debug)]
 pub(crate) struct Control(watch::Sender<Stage>);
 
-/// Sees how far a stop has come.
+/// Watches the stage of a stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Watch(watch::Receiver<Stage>);
 
 impl Control {
-    /// Makes the two ends.
+    /// Creates a connected pair.
     pub(crate) fn new() -> (Self, Watch) {
         let (sender, receiver) = watch::channel(Stage::default());
         (Self(sender), Watch(receiver))
     }
 
-    /// Moves on to `stage`; an earlier stage than the present one is ignored.
+    /// Advances to `stage`; does nothing if the stop is already at or past it.
     pub(crate) fn advance(&self, stage: Stage) {
         self.0.send_if_modified(|present| {
             let later = stage > *present;
@@ -47,13 +46,12 @@
 }
 
 impl Watch {
-    /// Returns the present stage.
+    /// Returns the current stage.
     pub(crate) fn stage(&self) -> Stage {
         *self.0.borrow()
     }
 
-    /// Waits until `stage` or a later one has come. A control that is gone counts as the last
-    /// stage: nobody is left who could end the wait.
+    /// Waits until the stop reaches `stage`. A dropped [`Control`] counts as the last stage.
     pub(crate) async fn reached(&mut self, stage: Stage) {
         let _gone = self.0.wait_for(|present| *present >= stage).await;
     }
--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -1,8 +1,8 @@
-//! The seam between the front of the daemon and what answers requests.
+//! Interface between the front, which knows HTTP, callers and tokens, and the service behind it,
+//! which knows homes, peers and backend servers.
 //!
-//! The front knows HTTP, callers and their tokens; a [`Service`] knows homes, peers and backend
-//! servers. A request crosses the seam as a [`Call`] only after every filter has passed it, and
-//! comes back as one [`Outcome`], so the truth on whether it ran has a single source.
+//! A request is passed on as a [`Call`] after all filters have accepted it, and returns as one
+//! [`Outcome`], the only source for whether it ran.
 
 use futures::future::BoxFuture;
 use monsoonring_configuration::Document;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The configuration in force, with what a request needs of it ready to be looked up.
+/// The configuration in force, indexed by route and caller.
 #[derive(Debug)]
 pub struct Configuration {
     revision: Revision,
@@ -24,7 +24,7 @@
 }
 
 impl Configuration {
-    /// Indexes a document that has been validated.
+    /// Indexes a validated document.
     pub fn new(revision: Revision, document: Document) -> Self {
         let routes = document
             .routes
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Returns the revision that the configuration service gave the document.
+    /// Returns the revision that the configuration service assigned to the document.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the whole document.
+    /// Returns the complete document.
     pub fn document(&self) -> &Document {
         &self.document
     }
@@ -65,34 +65,34 @@
     }
 }
 
-/// A request that passed the caller's filters.
+/// A request that passed all filters.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// The route that it asked for, as configured when it arrived.
+    /// The route, as configured when the request arrived.
     pub route: Arc<Route>,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// How much it counts.
+    /// Priority class of the caller.
     pub class: Class,
     /// Time by which the caller wants the answer.
     pub deadline: Instant,
     /// Hash of route and body.
     pub fingerprint: Fingerprint,
-    /// JSON text that goes to the backend servers.
+    /// JSON text for the backend servers.
     pub body: Arc<str>,
 }
 
-/// What became of a non-idempotent request.
+/// Result of a non-idempotent request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
     /// How the request ended.
     pub outcome: Outcome,
-    /// A key that the caller can use from now on in place of its own.
+    /// A key that the caller can use from now on instead of its own.
     pub offered_key: Option<String>,
-    /// Whether the key was used before for a request with another fingerprint; the outcome then
-    /// says that this one did not run.
+    /// Whether the key was used before for a request with another fingerprint; the outcome is then
+    /// that this request did not run.
     pub conflict: bool,
 }
 
@@ -106,54 +106,54 @@
     }
 }
 
-/// What an operator wants explained.
+/// Subject of an operator's `explain` query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Explain {
     /// The decisions on one request.
     Request(RequestId),
-    /// The standing of one backend server in one route.
+    /// The status of one backend server in one route.
     BackendServer {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The server.
+        /// Address of the backend server.
         backend_server: BackendServerId,
     },
 }
 
-/// What the filters end in. Dropping the returned future means that the caller went away.
+/// Answers the requests that passed the filters. Dropping a returned future means that the caller
+/// has disconnected.
 pub trait Service: Send + Sync + 'static {
-    /// Returns the configuration in force, `None` before the first.
+    /// Returns the configuration in force, `None` before the first one.
     fn document(&self) -> Option<Arc<Configuration>>;
 
-    /// Returns why the daemon should not be sent requests, if that is so.
+    /// Checks whether the daemon is ready for requests.
     ///
     /// # Errors
     ///
-    /// The reason, in a word or two.
+    /// Returns the reason, in a word or two, if it is not.
     fn ready(&self) -> Result<(), &'static str>;
 
-    /// Answers a search.
+    /// Runs a search.
     fn search(&self, call: Call) -> BoxFuture<'_, Outcome>;
 
     /// Issues a key for one non-idempotent request.
     fn mint(&self, call: Call) -> BoxFuture<'_, Result<String, Outcome>>;
 
-    /// Runs a non-idempotent request under `key`. `send` is the caller's count of its sends, which
-    /// a key of the caller's own needs.
+    /// Runs a non-idempotent request under `key`. `send` is the caller's count of its sends, required
+    /// for a key that the caller chose itself.
     fn execute(&self, call: Call, key: String, send: Option<u32>) -> BoxFuture<'_, Execution>;
 
     /// Describes the state of the daemon for operators.
     fn state(&self) -> BoxFuture<'_, serde_json::Value>;
 
-    /// Explains a request or the standing of a backend server; `None` where nothing is known.
+    /// Explains a request or the status of a backend server; `None` if nothing is known of it.
     fn explain(&self, query: Explain) -> BoxFuture<'_, Option<serde_json::Value>>;
 
-    /// Hears that a planned stop has begun. New requests still arrive for a while and are still
-    /// to be served; peers should be told.
+    /// Starts a planned stop. Peers should be notified; requests still arrive for a while and must be
+    /// served.
     fn leave(&self) {}
 
-    /// Resolves when nothing that peers passed on is in flight any more. Called after the callers'
-    /// port has closed.
+    /// Completes when no request from a peer is in flight. Called after the callers' port has closed.
     fn drain(&self) -> BoxFuture<'_, ()> {
         Box::pin(async {})
     }
