--- a/crates/daemon/src/backend/codec/mod.rs
+++ b/crates/daemon/src/backend/codec/mod.rs
@@ -63,11 +63,11 @@
     type Content = content::Json;
 
     fn request(&self, send: &Send, remaining: Duration) -> EncodeResult {
-        request(send, remaining)
+        encode_request(send, remaining)
     }
 
     fn answer(&self, send: &Send, head: &response::Parts, body: Bytes) -> Answer {
-        answer(send, head, &body)
+        decode_answer(send, head, &body)
     }
 }
 
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// Fails if the body is not JSON or a header can't be written; nothing is sent then.
-pub(crate) fn request(send: &Send, remaining: Duration) -> EncodeResult {
+pub(crate) fn encode_request(send: &Send, remaining: Duration) -> EncodeResult {
     let query: &RawValue = serde_json::from_str(&send.body)?;
     let (path, body) = match &send.execute_key {
         None => (
@@ -127,11 +127,11 @@
         ),
         Some(_) => ("/execute", serde_json::to_vec(&ExecuteBody { query })?),
     };
-    let head = head(send, path, remaining);
+    let head = request_head(send, path, remaining);
     Ok(head.body(Full::new(body.into()))?)
 }
 
-fn head(send: &Send, path: &str, remaining: Duration) -> request::Builder {
+fn request_head(send: &Send, path: &str, remaining: Duration) -> request::Builder {
     let mut head = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -155,23 +155,23 @@
 }
 
 /// Decodes the response to an attempt.
-pub(crate) fn answer(send: &Send, head: &response::Parts, body: &[u8]) -> Answer {
-    let report = report(&head.headers);
-    let refusal = text(&head.headers, header::NOT_RUN);
+pub(crate) fn decode_answer(send: &Send, head: &response::Parts, body: &[u8]) -> Answer {
+    let report = parse_report(&head.headers);
+    let refusal = header_text(&head.headers, header::NOT_RUN);
     if refusal == Some(CONNECTIONS) && !head.headers.contains_key(header::ATTEMPT) {
-        return Answer::Failed(refused(CONNECTIONS, &head.headers, report));
+        return Answer::Failed(decode_refusal(CONNECTIONS, &head.headers, report));
     }
     // The response to another attempt would give a caller the wrong answer, or its refusal would
     // be taken as proof that this request did not run.
-    if text(&head.headers, header::ATTEMPT) != Some(attempt_text(send.attempt).as_str()) {
+    if header_text(&head.headers, header::ATTEMPT) != Some(attempt_text(send.attempt).as_str()) {
         return Answer::Failed(Failure::Mismatched);
     }
     if let Some(reason) = refusal {
-        return Answer::Failed(refused(reason, &head.headers, report));
+        return Answer::Failed(decode_refusal(reason, &head.headers, report));
     }
     match head.status {
-        StatusCode::OK if send.execute_key.is_some() => executed(body, report),
-        StatusCode::OK => reply(&head.headers, body, report),
+        StatusCode::OK if send.execute_key.is_some() => decode_executed(body, report),
+        StatusCode::OK => decode_reply(&head.headers, body, report),
         status if is_abandoned(status) => Answer::Failed(Failure::Cancelled { report }),
         status if status.is_server_error() => Answer::Failed(Failure::ServerError { report }),
         _ => Answer::Failed(Failure::Mismatched),
@@ -184,14 +184,14 @@
     status.as_u16() == STATUS_CANCELLED || status == StatusCode::GATEWAY_TIMEOUT
 }
 
-fn executed(body: &[u8], report: Report) -> Answer {
+fn decode_executed(body: &[u8], report: Report) -> Answer {
     match serde_json::from_slice::<ExecutedBody>(body) {
         Ok(body) => Answer::Executed(body.value.into(), report),
         Err(_) => Answer::Failed(Failure::Mismatched),
     }
 }
 
-fn reply(headers: &HeaderMap, body: &[u8], report: Report) -> Answer {
+fn decode_reply(headers: &HeaderMap, body: &[u8], report: Report) -> Answer {
     let Ok(body) = serde_json::from_slice::<ReplyBody>(body) else {
         return Answer::Failed(Failure::Mismatched);
     };
@@ -202,7 +202,7 @@
             value: item.value.into(),
         })
         .collect();
-    let index_version = number(headers, header::INDEX_VERSION);
+    let index_version = header_number(headers, header::INDEX_VERSION);
     Answer::Reply(Reply {
         index_version,
         ranges: body.ranges,
@@ -211,7 +211,7 @@
     })
 }
 
-fn refused(reason: &str, headers: &HeaderMap, report: Report) -> Failure {
+fn decode_refusal(reason: &str, headers: &HeaderMap, report: Report) -> Failure {
     let refusal = match reason {
         "shedding" => Refusal::Shedding,
         "draining" => Refusal::Draining,
@@ -225,7 +225,7 @@
         // A reason from a later protocol version still proves that the request did not run.
         _ => Refusal::Shedding,
     };
-    let retry_after = number(headers, header::RETRY_AFTER_MS).map(Duration::from_millis);
+    let retry_after = header_number(headers, header::RETRY_AFTER_MS).map(Duration::from_millis);
     Failure::Refused {
         refusal,
         retry_after,
@@ -234,18 +234,18 @@
 }
 
 /// Reads the server's status report from the headers of any response.
-pub(crate) fn report(headers: &HeaderMap) -> Report {
+pub(crate) fn parse_report(headers: &HeaderMap) -> Report {
     Report {
-        load: text(headers, header::LOAD).and_then(load),
-        index_versions: text(headers, header::INDEX_VERSIONS)
-            .map(versions)
+        load: header_text(headers, header::LOAD).and_then(parse_load),
+        index_versions: header_text(headers, header::INDEX_VERSIONS)
+            .map(parse_versions)
             .unwrap_or_default(),
-        start: number(headers, header::START),
-        draining: text(headers, header::DRAINING) == Some("true"),
+        start: header_number(headers, header::START),
+        draining: header_text(headers, header::DRAINING) == Some("true"),
     }
 }
 
-fn load(text: &str) -> Option<Load> {
+fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text
         .split('/')
         .map(|number| number.trim().parse::<u32>().ok());
@@ -259,16 +259,16 @@
     })
 }
 
-fn versions(text: &str) -> Vec<IndexVersion> {
+fn parse_versions(text: &str) -> Vec<IndexVersion> {
     text.split(',')
         .filter_map(|version| version.trim().parse().ok())
         .collect()
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn number<T: FromStr<Err: Display>>(headers: &HeaderMap, name: &str) -> Option<T> {
-    text(headers, name)?.trim().parse().ok()
+fn header_number<T: FromStr<Err: Display>>(headers: &HeaderMap, name: &str) -> Option<T> {
+    header_text(headers, name)?.trim().parse().ok()
 }
--- a/crates/daemon/src/backend/connection.rs
+++ b/crates/daemon/src/backend/connection.rs
@@ -84,15 +84,15 @@
     backend_server: BackendServerId,
     clock: Clock,
     codec: K,
-    report: EventSender<K::Content>,
+    events: EventSender<K::Content>,
 ) -> Connection<K> {
     let (jobs, queue) = mpsc::channel(QUEUED_JOBS);
     let task = tokio::spawn(async move {
-        let ended = match timeout(CONNECT_TIMEOUT, client::open(backend_server)).await {
+        let last_event = match timeout(CONNECT_TIMEOUT, client::open(backend_server)).await {
             Ok(Ok((sender, driver))) => match wait_for_rejection(driver).await {
                 Some(driver) => {
-                    let _ = report.send(Event::Opened(id));
-                    serve(sender, driver, queue, clock, &codec, &report).await;
+                    let _ = events.send(Event::Opened(id));
+                    serve(sender, driver, queue, clock, &codec, &events).await;
                     Event::Closed(id)
                 }
                 None => Event::ConnectFailed(id, ConnectFailure::Closed),
@@ -100,7 +100,7 @@
             Ok(Err(error)) => Event::ConnectFailed(id, connect_failure(&error)),
             Err(_) => Event::ConnectFailed(id, ConnectFailure::TimedOut),
         };
-        let _ = report.send(ended);
+        let _ = events.send(last_event);
     });
     Connection {
         jobs,
@@ -126,7 +126,7 @@
     mut queue: mpsc::Receiver<Job<K>>,
     clock: Clock,
     codec: &K,
-    report: &EventSender<K::Content>,
+    events: &EventSender<K::Content>,
 ) {
     let mut driver = std::pin::pin!(driver);
     loop {
@@ -142,17 +142,17 @@
         let (answer, open) = tokio::select! {
             biased;
             answer = &mut exchange => (answer, true),
-            // The driver ends with the connection; `exchange` then ends too, and its result says how far
-            // the request got.
+            // The driver ends with the connection; `exchange` then ends too, and its result says
+            // how far the request got.
             _ = &mut driver => (exchange.await, false),
         };
         let reusable = open && is_reusable(&answer);
-        let _ = report.send(event(attempt, answer));
+        let _ = events.send(event(attempt, answer));
         if !reusable {
             break;
         }
     }
-    fail_queued::<K::Content>(&mut queue, report).await;
+    fail_queued::<K::Content>(&mut queue, events).await;
 }
 
 /// Reports attempts queued on a closed connection as not sent.
@@ -160,10 +160,10 @@
 /// The home queues the next attempt as soon as it sees the reply, possibly before this task notices
 /// that the connection has closed. Without this report a non-idempotent request that was never sent
 /// would end as unknown, and the server would count as crashed.
-async fn fail_queued<C: Content>(queue: &mut mpsc::Receiver<Send<C>>, report: &EventSender<C>) {
+async fn fail_queued<C: Content>(queue: &mut mpsc::Receiver<Send<C>>, events: &EventSender<C>) {
     queue.close();
     while let Some(job) = queue.recv().await {
-        let _ = report.send(Event::Failed(job.attempt, Failure::NotSent));
+        let _ = events.send(Event::Failed(job.attempt, Failure::NotSent));
     }
 }
 
--- a/crates/daemon/src/backend/connection/tests.rs
+++ b/crates/daemon/src/backend/connection/tests.rs
@@ -25,12 +25,12 @@
 const LAST_REPLY: &[u8] = b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// A stream that accepts all writes. The read numbered `reads_left` returns `last`, then the end.
-struct Closing {
+struct ClosingStream {
     reads_left: usize,
     last: &'static [u8],
 }
 
-impl AsyncRead for Closing {
+impl AsyncRead for ClosingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -45,7 +45,7 @@
     }
 }
 
-impl AsyncWrite for Closing {
+impl AsyncWrite for ClosingStream {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         Poll::Ready(Ok(bytes.len()))
     }
@@ -74,48 +74,51 @@
 }
 
 /// Serves a connection until it closes and returns the events it reported.
-fn ended(stream: Closing, after: Option<Job<Json>>) -> Vec<Event> {
+fn serve_until_closed(stream: ClosingStream, second: Option<Job<Json>>) -> Vec<Event> {
     let opening = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream));
-    let (sender, driver) = opening.now_or_never().expect("no wait").expect("opened");
+    let (sender, driver) = opening
+        .now_or_never()
+        .expect("the handshake does not wait")
+        .expect("the handshake succeeds");
     let (jobs, queue) = mpsc::channel(QUEUED_JOBS);
-    let (report, mut reports) = mpsc::unbounded_channel();
-    jobs.try_send(job(ATTEMPT)).expect("an empty queue");
-    let mut serving = pin!(serve(sender, driver, queue, Clock::start(), &Json, &report));
+    let (events, mut received) = mpsc::unbounded_channel();
+    jobs.try_send(job(ATTEMPT)).expect("the queue is empty");
+    let mut serving = pin!(serve(sender, driver, queue, Clock::start(), &Json, &events));
     let mut context = Context::from_waker(Waker::noop());
-    let mut is_over = serving.as_mut().poll(&mut context).is_ready();
-    if let Some(job) = after {
-        jobs.try_send(job).expect("the first attempt was taken");
+    let mut is_done = serving.as_mut().poll(&mut context).is_ready();
+    if let Some(job) = second {
+        jobs.try_send(job).expect("the first attempt was dequeued");
     }
     for _ in 0..POLLS {
-        is_over = is_over || serving.as_mut().poll(&mut context).is_ready();
+        is_done = is_done || serving.as_mut().poll(&mut context).is_ready();
     }
-    assert!(is_over, "the connection is still held");
-    std::iter::from_fn(|| reports.try_recv().ok()).collect()
+    assert!(is_done, "the connection has not been closed");
+    std::iter::from_fn(|| received.try_recv().ok()).collect()
 }
 
 // An attempt on a connection that closes must be reported as not sent if none of it was written,
 // and as lost if it may have reached the server.
-#[test_case(1, &Failure::NotSent; "before the attempt is taken")]
-#[test_case(2, &Failure::NotSent; "while the attempt is handed over")]
-#[test_case(3, &Failure::Lost; "after the attempt has left")]
+#[test_case(1, &Failure::NotSent; "before the attempt is dequeued")]
+#[test_case(2, &Failure::NotSent; "before the request is written")]
+#[test_case(3, &Failure::Lost; "after the request was written")]
 fn serve_connection_ends_reports_attempt(reads: usize, expected: &Failure) {
-    let stream = Closing {
+    let stream = ClosingStream {
         reads_left: reads,
         last: &[],
     };
     let failed = Event::Failed(ATTEMPT, expected.clone());
-    assert_eq!(ended(stream, None), [failed]);
+    assert_eq!(serve_until_closed(stream, None), [failed]);
 }
 
 // An attempt queued while the connection closes after its last reply must be reported as not sent,
 // or a non-idempotent request would end as unknown and the server count as crashed.
 #[test]
 fn serve_attempt_after_last_reply_is_not_sent() {
-    let stream = Closing {
+    let stream = ClosingStream {
         reads_left: 3,
         last: LAST_REPLY,
     };
-    let reports = ended(stream, Some(job(ATTEMPT + 1)));
+    let events = serve_until_closed(stream, Some(job(ATTEMPT + 1)));
     let not_sent = Event::Failed(ATTEMPT + 1, Failure::NotSent);
-    assert_eq!(reports.last(), Some(&not_sent), "{reports:?}");
+    assert_eq!(events.last(), Some(&not_sent), "{events:?}");
 }
--- a/crates/daemon/src/backend/endpoint/tests.rs
+++ b/crates/daemon/src/backend/endpoint/tests.rs
@@ -14,7 +14,7 @@
     let endpoint = Endpoint::default();
     let cancelling = (0..CANCELLATIONS).map(|attempt| endpoint.cancel(server.address(), attempt));
     let (_, report) = tokio::join!(join_all(cancelling), endpoint.poll(server.address()));
-    assert!(report.is_some(), "the report was read");
+    assert!(report.is_some(), "the server reports health and load");
     assert_eq!(server.counters().connections_peak, 1);
 }
 
--- a/crates/daemon/src/caller/answer.rs
+++ b/crates/daemon/src/caller/answer.rs
@@ -18,7 +18,8 @@
 
 const MEDIA_TYPE: &str = "application/json";
 
-/// Estimated size of an answer without its item values, used to allocate the buffer.
+/// Estimated sizes of an answer's head and of an item without its value, used to allocate the
+/// buffer.
 const HEAD_BYTES: usize = 256;
 const ITEM_BYTES: usize = 40;
 
@@ -39,9 +40,15 @@
             } else {
                 Ended::Partial
             };
-            Reply::Answer(answered(request, answer), ended, Some(answer.coverage))
+            Reply::Answer(
+                answer_response(request, answer),
+                ended,
+                Some(answer.coverage),
+            )
+        }
+        Outcome::Executed(value) => {
+            Reply::Answer(executed_response(request, value), Ended::Executed, None)
         }
-        Outcome::Executed(value) => Reply::Answer(executed(request, value), Ended::Executed, None),
         Outcome::NotRun {
             reason,
             retry_after,
@@ -79,16 +86,16 @@
         "{{\"request\":\"{}\",\"status\":\"issued\"}}",
         header::request_text(request)
     );
-    let mut response = json(request, StatusCode::CREATED, body);
+    let mut response = json_response(request, StatusCode::CREATED, body);
     if let Ok(key) = HeaderValue::from_str(key) {
         response.headers_mut().insert(header::IDEMPOTENCY_KEY, key);
     }
     Reply::Answer(response, Ended::Issued, None)
 }
 
-fn answered(request: RequestId, answer: &Answer) -> Response<Full<Bytes>> {
-    let coverage = number(answer.coverage);
-    let mut response = json(request, StatusCode::OK, answer_body(request, answer));
+fn answer_response(request: RequestId, answer: &Answer) -> Response<Full<Bytes>> {
+    let coverage = format_number(answer.coverage);
+    let mut response = json_response(request, StatusCode::OK, answer_body(request, answer));
     let headers = response.headers_mut();
     if let Ok(value) = HeaderValue::from_str(&coverage) {
         headers.insert(header::COVERAGE, value);
@@ -106,7 +113,7 @@
     let values: usize = answer.items.iter().map(|item| item.value.len()).sum();
     let mut body = String::with_capacity(HEAD_BYTES + values + ITEM_BYTES * answer.items.len());
     let request = header::request_text(request);
-    let coverage = number(answer.coverage);
+    let coverage = format_number(answer.coverage);
     let version = answer.index_version;
     // Writing to a string does not fail.
     let _written = write!(
@@ -129,15 +136,15 @@
     body
 }
 
-fn executed(request: RequestId, value: &str) -> Response<Full<Bytes>> {
+fn executed_response(request: RequestId, value: &str) -> Response<Full<Bytes>> {
     let body = format!(
         "{{\"request\":\"{}\",\"status\":\"executed\",\"value\":{value}}}",
         header::request_text(request)
     );
-    json(request, StatusCode::OK, body)
+    json_response(request, StatusCode::OK, body)
 }
 
-fn json(request: RequestId, status: StatusCode, body: String) -> Response<Full<Bytes>> {
+fn json_response(request: RequestId, status: StatusCode, body: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     let headers = response.headers_mut();
@@ -154,7 +161,7 @@
 
 /// Returns the shortest text that parses to the same number. Non-finite numbers have no JSON form
 /// and become 0.
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     let finite = if value.is_finite() { value } else { 0.0 };
     format!("{finite:?}")
 }
--- a/crates/daemon/src/caller/filter/key.rs
+++ b/crates/daemon/src/caller/filter/key.rs
@@ -11,7 +11,7 @@
 const MAX_KEY_BYTES: usize = 256;
 
 /// Prefix of keys issued by a daemon.
-const ISSUED: &str = monsoonring_decision::idempotency::key::PREFIX;
+const ISSUED_PREFIX: &str = monsoonring_decision::idempotency::key::PREFIX;
 
 /// Reads the key and the send number if the action needs them.
 pub(crate) struct Key;
@@ -62,7 +62,7 @@
         return false;
     };
     let number = text(header::SEND).and_then(|number| number.trim().parse::<u32>().ok());
-    unquoted(key.trim()).starts_with(ISSUED) || number.is_some_and(|number| number > 1)
+    unquoted(key.trim()).starts_with(ISSUED_PREFIX) || number.is_some_and(|number| number > 1)
 }
 
 /// Strips the quotes that the `Idempotency-Key` draft standard requires. Without this, a caller
--- a/crates/daemon/src/caller/front.rs
+++ b/crates/daemon/src/caller/front.rs
@@ -66,8 +66,8 @@
     /// Generates a request id.
     ///
     /// The trace id of `traceparent` can't be used: a caller may send several requests under one
-    /// trace, and daemons that identify requests by id would mix up their answers. It is logged beside
-    /// the request id.
+    /// trace, and daemons that identify requests by id would mix up their answers. It is logged
+    /// beside the request id.
     fn new_request_id(&self) -> RequestId {
         let mut ids = self.ids.lock().unwrap_or_else(PoisonError::into_inner);
         ids.random()
@@ -93,13 +93,13 @@
             .request_log
             .open(id, read::trace_id(request.headers()), arrived);
         let repeated = action == Action::Execute && filter::may_be_repeated(request.headers());
-        let filtered = async {
+        let processing = async {
             let exchange =
                 self.open_exchange(id, arrived, request, (name, action), limit_status)?;
             let (call, operation) = self.apply_filters(exchange, &mut entry).await?;
             Ok(self.dispatch(call, operation).await)
         };
-        let reply = filtered.await.unwrap_or_else(|problem: Problem| {
+        let reply = processing.await.unwrap_or_else(|problem: Problem| {
             let problem = if repeated {
                 problem.of_repeated_send()
             } else {
@@ -121,7 +121,7 @@
         if limit_status == LimitStatus::Exceeded {
             return Err(Problem::too_many_connections());
         }
-        let configuration = self.service.document().ok_or_else(Problem::starting)?;
+        let configuration = self.service.configuration().ok_or_else(Problem::starting)?;
         let (parts, body) = request.into_parts();
         let head = Head {
             request: id,
@@ -161,20 +161,21 @@
     /// Calls the service and writes its outcome.
     async fn dispatch(&self, call: Call, operation: Operation) -> Reply {
         let request = call.request;
-        let last = (call.deadline + ANSWER_GRACE).into();
+        let latest = (call.deadline + ANSWER_GRACE).into();
         match operation {
             Operation::Search => {
-                let outcome = tokio::time::timeout_at(last, self.service.search(call)).await;
+                let outcome = tokio::time::timeout_at(latest, self.service.search(call)).await;
                 answer::outcome(request, &outcome.unwrap_or(OVERDUE_SEARCH))
             }
-            Operation::Mint => match tokio::time::timeout_at(last, self.service.mint(call)).await {
+            Operation::Mint => match tokio::time::timeout_at(latest, self.service.mint(call)).await
+            {
                 Ok(Ok(key)) => answer::issued(request, &key),
                 Ok(Err(outcome)) => answer::outcome(request, &outcome),
                 Err(_) => Reply::Problem(status::not_run(Reason::Deadline, None), None),
             },
             Operation::Execute { key, send } => {
                 let execution = self.service.execute(call, key, send);
-                let execution = tokio::time::timeout_at(last, execution).await;
+                let execution = tokio::time::timeout_at(latest, execution).await;
                 answer::execution(
                     request,
                     &execution.unwrap_or_else(|_| OVERDUE_EXECUTION.into()),
@@ -201,7 +202,7 @@
         request: Request<Incoming>,
         limit_status: LimitStatus,
     ) -> Response<Full<Bytes>> {
-        match Target::find(request.method(), request.uri().path()) {
+        match Target::parse(request.method(), request.uri().path()) {
             Ok(Target::Health) => plain(StatusCode::OK, "alive"),
             Ok(Target::Ready) => match self.ready() {
                 Ok(()) => plain(StatusCode::OK, "ready"),
@@ -218,19 +219,19 @@
         }
     }
 
-    fn exceeded(&self) {
+    fn limit_exceeded(&self) {
         self.exceeded.inc();
     }
 
-    fn answer_cut(&self) {
-        self.request_log.answer_cut();
+    fn response_cut(&self) {
+        self.request_log.response_cut();
     }
 }
 
 fn finish(id: RequestId, reply: Reply, entry: Entry) -> Response<Full<Bytes>> {
     match reply {
         Reply::Answer(response, ended, coverage) => {
-            entry.answered(ended, coverage);
+            entry.record_answer(ended, coverage);
             response
         }
         Reply::Problem(problem, key) => {
@@ -238,7 +239,7 @@
             if let Some(key) = key {
                 response.headers_mut().insert(IDEMPOTENCY_KEY, key);
             }
-            entry.refused(&problem);
+            entry.record_problem(&problem);
             response
         }
     }
--- a/crates/daemon/src/caller/request_log.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -68,7 +68,7 @@
 
     /// Records that a stop cut off a response while it was being written. Its entry is already
     /// closed by then.
-    pub(crate) fn answer_cut(&self) {
+    pub(crate) fn response_cut(&self) {
         self.shared.cut.fetch_add(1, Ordering::Relaxed);
         warn!(self.shared.log, "answer cut");
     }
@@ -99,7 +99,7 @@
     }
 
     /// Closes the entry of a request that was answered.
-    pub(crate) fn answered(mut self, ended: Ended, coverage: Option<f64>) {
+    pub(crate) fn record_answer(mut self, ended: Ended, coverage: Option<f64>) {
         if let Some(coverage) = coverage {
             let front = &self.request_log.shared.metrics.front;
             front.covered(self.route.as_ref(), self.class, coverage);
@@ -108,7 +108,7 @@
     }
 
     /// Closes the entry of a request that was refused or failed.
-    pub(crate) fn refused(mut self, problem: &Problem) {
+    pub(crate) fn record_problem(mut self, problem: &Problem) {
         let ended = match problem.run_status {
             RunStatus::NotRun => Ended::NotRun,
             RunStatus::Failed => Ended::Failed,
@@ -121,7 +121,7 @@
 
     fn close(&mut self, ended: Ended, reason: &'static str) {
         self.ended = true;
-        self.count(ended);
+        self.record_metrics(ended);
         let shared = &self.request_log.shared;
         info!(
             shared.log, "request";
@@ -135,14 +135,14 @@
         );
     }
 
-    fn count(&self, outcome: Ended) {
+    fn record_metrics(&self, outcome: Ended) {
         let front = &self.request_log.shared.metrics.front;
         let duration = self.arrived.elapsed();
         front.ended(self.route.as_ref(), self.class, outcome, duration);
     }
 
     /// Records that the request was dropped before its response was made.
-    fn dropped(&self) {
+    fn record_drop(&self) {
         let shared = &self.request_log.shared;
         let ended = if shared.stop.stage() == Stage::Cut {
             shared.cut.fetch_add(1, Ordering::Relaxed);
@@ -150,7 +150,7 @@
         } else {
             Ended::Abandoned
         };
-        self.count(ended);
+        self.record_metrics(ended);
         warn!(
             shared.log, "request dropped";
             "request" => request_text(self.request),
@@ -166,7 +166,7 @@
 impl Drop for Entry {
     fn drop(&mut self) {
         if !self.ended {
-            self.dropped();
+            self.record_drop();
         }
         let shared = &self.request_log.shared;
         shared.in_flight.fetch_sub(1, Ordering::Relaxed);
--- a/crates/daemon/src/caller/target.rs
+++ b/crates/daemon/src/caller/target.rs
@@ -31,9 +31,9 @@
 
 impl Target {
     /// Returns the target of a method and path.
-    pub(crate) fn find(method: &Method, path: &str) -> Result<Self, Problem> {
-        let target = Self::by_path(path).ok_or_else(|| Problem::no_such_path(path))?;
-        let allowed = target.method();
+    pub(crate) fn parse(method: &Method, path: &str) -> Result<Self, Problem> {
+        let target = Self::parse_path(path).ok_or_else(|| Problem::no_such_path(path))?;
+        let allowed = target.allowed_method();
         if method.as_str() == allowed {
             Ok(target)
         } else {
@@ -41,7 +41,7 @@
         }
     }
 
-    fn by_path(path: &str) -> Option<Self> {
+    fn parse_path(path: &str) -> Option<Self> {
         match path {
             "/health" => return Some(Self::Health),
             "/ready" => return Some(Self::Ready),
@@ -60,7 +60,7 @@
         })
     }
 
-    fn method(&self) -> &'static str {
+    fn allowed_method(&self) -> &'static str {
         match self {
             Self::Health | Self::Ready => "GET",
             Self::Route { .. } => "POST",
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -65,7 +65,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the peer does not accept the connection, an option can't be set, or the handshake fails.
+/// Fails if the peer does not accept the connection, an option can't be set, or the handshake
+/// fails.
 pub async fn open_with_keepalive<B>(
     peer: SocketAddr,
     ack_timeout: Duration,
@@ -75,8 +76,8 @@
 {
     let stream = connect(peer).await?;
     let socket = socket2::SockRef::from(&stream);
-    let set = socket.set_tcp_user_timeout(Some(ack_timeout));
-    set.context(ConnectSnafu { peer })?;
+    let result = socket.set_tcp_user_timeout(Some(ack_timeout));
+    result.context(ConnectSnafu { peer })?;
     // Keepalive intervals are in whole seconds, at least one.
     let interval = ack_timeout
         .div_f64(KEEPALIVE_PROBES)
@@ -85,8 +86,8 @@
         .with_time(interval)
         .with_interval(interval)
         .with_retries(KEEPALIVE_PROBES as u32);
-    let set = socket.set_tcp_keepalive(&keepalive);
-    set.context(ConnectSnafu { peer })?;
+    let result = socket.set_tcp_keepalive(&keepalive);
+    result.context(ConnectSnafu { peer })?;
     handshake(stream, peer).await
 }
 
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// Returns the start number of this process, in milliseconds since the Unix epoch. It is higher than
-/// that of any earlier process on this address, unless the host's clock has gone back by more than a
-/// restart takes.
+/// Returns the start number of this process, in milliseconds since the Unix epoch. It is higher
+/// than that of any earlier process on this address, unless the host's clock has gone back by more
+/// than a restart takes.
 pub(crate) fn start_number() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -49,22 +49,22 @@
     start_bounded(output, format, level, dropped, None)
 }
 
-/// Starts the log to `output`, with at most `lines` lines per second below the level of warnings.
-/// Dropped lines are counted in `dropped`.
+/// Starts the log to `output`, with at most `max_lines` lines per second below the level of
+/// warnings. Dropped lines are counted in `dropped`.
 pub fn start_bounded<W>(
     output: W,
     format: LogFormat,
     level: LogLevel,
     dropped: Counter,
-    lines: Option<u32>,
+    max_lines: Option<u32>,
 ) -> (Logger, Guard)
 where
     W: Write + Send + 'static,
 {
     let (queue, writer) = match format {
         LogFormat::Json => {
-            // The JSON formatter writes token by token, and standard error is unbuffered: without this
-            // buffer each line would take dozens of system calls.
+            // The JSON formatter writes token by token, and standard error is unbuffered: without
+            // this buffer each line would take dozens of system calls.
             let lines = LineWriter::with_capacity(LINE_BYTES, output);
             queue(slog_json::Json::default(lines).fuse())
         }
@@ -76,7 +76,7 @@
     let bounded = BoundedDrain {
         queue,
         dropped,
-        limit: lines.map(LineLimit::new),
+        limit: max_lines.map(LineLimit::new),
     };
     let filtered = LevelFilter::new(bounded, severity(level)).fuse();
     (
@@ -114,19 +114,19 @@
 
 /// Limit on lines per second below the level of warnings.
 ///
-/// A request can write a dozen lines, so under a burst of requests logging would take processor time
-/// just when requests need it. Warnings and errors are few and explain the burst; they are always
-/// written.
+/// A request can write a dozen lines, so under a burst of requests logging would take processor
+/// time just when requests need it. Warnings and errors are few and explain the burst; they are
+/// always written.
 struct LineLimit {
-    lines: u32,
-    second: Mutex<(Instant, u32)>,
+    max_lines: u32,
+    window: Mutex<(Instant, u32)>,
 }
 
 impl LineLimit {
-    fn new(lines: u32) -> Self {
+    fn new(max_lines: u32) -> Self {
         Self {
-            lines,
-            second: Mutex::new((Instant::now(), 0)),
+            max_lines,
+            window: Mutex::new((Instant::now(), 0)),
         }
     }
 
@@ -135,12 +135,12 @@
         if level.is_at_least(Level::Warning) {
             return true;
         }
-        let mut second = self.second.lock().unwrap_or_else(PoisonError::into_inner);
-        if second.0.elapsed() >= SECOND {
-            *second = (Instant::now(), 0);
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
+        if window.0.elapsed() >= SECOND {
+            *window = (Instant::now(), 0);
         }
-        second.1 += 1;
-        second.1 <= self.lines
+        window.1 += 1;
+        window.1 <= self.max_lines
     }
 }
 
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -102,7 +102,7 @@
 pub(crate) struct Front(Arc<Node>);
 
 impl Service for Front {
-    fn document(&self) -> Option<Arc<Configuration>> {
+    fn configuration(&self) -> Option<Arc<Configuration>> {
         self.0.control.view().configuration
     }
 
--- a/crates/daemon/src/operator/console/mod.rs
+++ b/crates/daemon/src/operator/console/mod.rs
@@ -130,7 +130,7 @@
     }
 
     fn base(&self) -> Base {
-        let configuration = self.service.document();
+        let configuration = self.service.configuration();
         Base {
             revision: configuration.as_ref().map(|found| found.revision()),
             document: configuration.map(|found| found.document().clone()),
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -1,7 +1,7 @@
 //! Pool of clients for peers.
 //!
-//! One stream to each peer carries all calls to it. A failed stream is discarded and opened again by
-//! the next call; whether a failed call may be repeated is up to its caller.
+//! One stream to each peer carries all calls to it. A failed stream is discarded and opened again
+//! by the next call; whether a failed call may be repeated is up to its caller.
 
 use monsoonring_wire::channel::{self, Endpoint};
 use monsoonring_wire::peer::{self, Line, PeerClient};
@@ -35,8 +35,8 @@
     /// Fails if the peer can't be reached or does not have a matching key.
     pub(crate) async fn client(&self, peer: SocketAddr) -> channel::Result<PeerClient> {
         let slot = self.slot(peer);
-        // Concurrent callers wait for the one that opens the stream, so that a restarted peer gets one
-        // connection and not one for each query.
+        // Concurrent callers wait for the one that opens the stream, so that a restarted peer gets
+        // one connection and not one for each query.
         let line = slot
             .get_or_try_init(|| peer::connect(peer, &self.endpoint))
             .await?;
@@ -53,9 +53,9 @@
         self.lock().retain(|peer, _| keep(peer));
     }
 
-    /// Returns the slot of a peer, emptied if its stream has closed, as after a planned stop or an idle
-    /// time. A call on a closed stream fails like one that the peer received and never answered, so a
-    /// non-idempotent request that was never sent would end as `unknown`.
+    /// Returns the slot of a peer, emptied if its stream has closed, as after a planned stop or an
+    /// idle time. A call on a closed stream fails like one that the peer received and never
+    /// answered, so a non-idempotent request that was never sent would end as `unknown`.
     fn slot(&self, peer: SocketAddr) -> Slot {
         let mut slots = self.lock();
         let slot = slots.entry(peer).or_default();
--- a/crates/daemon/src/peer/tests.rs
+++ b/crates/daemon/src/peer/tests.rs
@@ -14,23 +14,23 @@
 // A client whose stream the peer has closed must be replaced before the next call, or each daemon
 // loses one call after a restart of a peer.
 #[tokio::test]
-async fn client_of_ended_stream_is_opened_anew() {
+async fn client_replaces_closed_stream() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-    let listener = listener.expect("a free port");
-    let peer = listener.local_addr().expect("a bound address");
+    let listener = listener.expect("a port is free");
+    let peer = listener.local_addr().expect("the listener has an address");
     let endpoint = Endpoint::new(
         Ipv4Addr::LOCALHOST.into(),
         Ring::default(),
         Meter::default(),
     );
     let pool = Pool::new(endpoint);
-    let client = pool.client(peer).await.expect("it listens");
+    let client = pool.client(peer).await.expect("the peer listens");
     drop(listener.accept().await);
     let range = BucketRange { first: 0, last: 0 };
     let failed = client.page(tarpc::context::current(), range).await;
-    assert!(failed.is_err(), "the stream has ended");
+    assert!(failed.is_err(), "the stream is closed");
     let opening = async { tokio::join!(pool.client(peer), listener.accept()) };
     let opened = timeout(TEST_TIMEOUT, opening).await;
-    let (client, accepted) = opened.expect("a stream is opened");
+    let (client, accepted) = opened.expect("a new stream is opened");
     assert!(client.is_ok() && accepted.is_ok());
 }
--- a/crates/daemon/src/platform/client.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -32,19 +32,19 @@
         path: String,
         source: hyper::http::Error,
     },
-    #[snafu(display("calling {peer}{path}: no answer within {limit:?}"))]
+    #[snafu(display("calling {peer}{path}: no response within {limit:?}"))]
     Timeout {
         peer: SocketAddr,
         path: String,
         limit: Duration,
     },
-    #[snafu(display("reading the answer of {peer}{path}: {reason}"))]
+    #[snafu(display("reading the response of {peer}{path}: {reason}"))]
     Body {
         peer: SocketAddr,
         path: String,
         reason: String,
     },
-    #[snafu(display("{peer}{path} answered with status {status}"))]
+    #[snafu(display("{peer}{path}: unexpected status {status}"))]
     Status {
         peer: SocketAddr,
         path: String,
--- a/crates/daemon/src/platform/configuration.rs
+++ b/crates/daemon/src/platform/configuration.rs
@@ -40,7 +40,7 @@
     /// Reads the current value.
     pub(crate) async fn read(&self) -> Result<Value> {
         let value = self.call(VALUE, READ_TIMEOUT).await?;
-        value.ok_or_else(|| self.client.unreadable(VALUE, &"no value"))
+        value.ok_or_else(|| self.client.unreadable(VALUE, &"the value is missing"))
     }
 
     /// Waits up to `wait` for a revision above `after`; returns `None` if there was none.
@@ -61,7 +61,10 @@
             .get(REVISION)
             .and_then(|value| value.to_str().ok());
         let revision = revision.and_then(|text| text.parse().ok());
-        let revision = revision.ok_or_else(|| self.client.unreadable(path, &"no revision"))?;
+        let revision = revision.ok_or_else(|| {
+            self.client
+                .unreadable(path, &"the revision is missing or invalid")
+        })?;
         Ok(Some(Value { revision, bytes }))
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -160,14 +160,14 @@
             telemetry.log.clone(),
             watch.clone(),
         );
-        let callers = callers(
+        let callers = caller_server(
             settings,
             service.clone(),
             &telemetry,
             request_log.clone(),
             watch,
         );
-        let operators = operators(settings, service.clone(), &telemetry, operator_watch);
+        let operators = operator_server(settings, service.clone(), &telemetry, operator_watch);
         info!(
             telemetry.log, "serving";
             "callers" => %caller_address,
@@ -205,8 +205,8 @@
         self.operator_address
     }
 
-    /// Waits for the first signal, stops, and returns how the stop ended. A second signal cuts the stop
-    /// short; the end of the stream does not count as a signal.
+    /// Waits for the first signal, stops, and returns how the stop ended. A second signal cuts the
+    /// stop short; the end of the stream does not count as a signal.
     pub async fn until_stopped(self, signals: impl Stream<Item = ()> + Send) -> StopOutcome {
         let mut signals = pin!(signals.chain(futures::stream::pending()));
         signals.next().await;
@@ -249,7 +249,7 @@
     }
 }
 
-fn callers(
+fn caller_server(
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: &Telemetry,
@@ -274,7 +274,7 @@
     }
 }
 
-fn operators(
+fn operator_server(
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: &Telemetry,
--- a/crates/daemon/src/server/connection.rs
+++ b/crates/daemon/src/server/connection.rs
@@ -55,7 +55,7 @@
         ended = serving => ended,
         () = cut.reached(Stage::Cut) => {
             if activity.is_write_stalled() {
-                server.handler.answer_cut();
+                server.handler.response_cut();
             }
             Ok(())
         }
--- a/crates/daemon/src/server/mod.rs
+++ b/crates/daemon/src/server/mod.rs
@@ -51,11 +51,11 @@
         limit_status: LimitStatus,
     ) -> impl Future<Output = Response<Full<Bytes>>> + Send;
 
-    /// Records that a connection was above the limit.
-    fn exceeded(&self) {}
+    /// Called when a connection is above the limit.
+    fn limit_exceeded(&self) {}
 
-    /// Records that a stop cut off a response before all of it was written.
-    fn answer_cut(&self) {}
+    /// Called when a stop cuts off a response before all of it was written.
+    fn response_cut(&self) {}
 }
 
 /// Configuration of a server.
@@ -77,8 +77,7 @@
 }
 
 impl<H: Handler> Server<H> {
-    /// Serves until the stop reaches its last stage. The returned tracker completes when all
-    /// connections are closed.
+    /// Serves until the stop ends. The returned tracker completes when all connections are closed.
     pub(crate) fn start(self, listener: TcpListener) -> TaskTracker {
         let tasks = TaskTracker::new();
         let shared = Arc::new(Shared {
@@ -119,8 +118,8 @@
     match accepted {
         Ok((stream, _)) => admit(stream, shared),
         Err(error) => {
-            // `accept` keeps failing while file descriptors are exhausted; without the pause this loop would
-            // spin and fill the log.
+            // `accept` keeps failing while file descriptors are exhausted; without the pause this
+            // loop would spin and fill the log.
             warn!(shared.server.log, "accepting failed"; "error" => %error);
             tokio::time::sleep(ACCEPT_PAUSE).await;
         }
@@ -134,10 +133,10 @@
     let limit_status = match permit.number {
         number if number <= limit => LimitStatus::Within,
         number if number <= limit + excess => LimitStatus::Exceeded,
-        _ => return shared.server.handler.exceeded(),
+        _ => return shared.server.handler.limit_exceeded(),
     };
     if limit_status == LimitStatus::Exceeded {
-        shared.server.handler.exceeded();
+        shared.server.handler.limit_exceeded();
     }
     shared.tasks.spawn(async move {
         connection::serve(stream, &permit.shared.server, limit_status).await;
--- a/crates/daemon/src/server/socket.rs
+++ b/crates/daemon/src/server/socket.rs
@@ -76,8 +76,8 @@
 impl Socket {
     /// Wraps the socket of an accepted connection.
     pub(super) fn new(stream: TcpStream, activity: Arc<Activity>, limits: &Limits) -> Self {
-        // Each response is written in one piece, so Nagle's algorithm would only delay it. A socket that
-        // refuses the option works without it.
+        // Each response is written in one piece, so Nagle's algorithm would only delay it. A socket
+        // that refuses the option works without it.
         let _refused = stream.set_nodelay(true);
         Self {
             stream,
@@ -129,7 +129,7 @@
         let timeout = self.write_timeout;
         let timer = self.stalled.get_or_insert_with(|| Box::pin(sleep(timeout)));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(Err(timed_out("the answer was not read")))
+        Poll::Ready(Err(timed_out("the client did not read the response")))
     }
 }
 
--- a/crates/daemon/src/server/stop.rs
+++ b/crates/daemon/src/server/stop.rs
@@ -1,6 +1,7 @@
 //! Stages of a planned stop.
 //!
-//! Stages only advance. Participants watch the stage and are not called, so none can block the stop.
+//! Stages only advance. Participants watch the stage and are not called, so none can block the
+//! stop.
 
 use tokio::sync::watch;
 
--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -124,7 +124,7 @@
 /// has disconnected.
 pub trait Service: Send + Sync + 'static {
     /// Returns the configuration in force, `None` before the first one.
-    fn document(&self) -> Option<Arc<Configuration>>;
+    fn configuration(&self) -> Option<Arc<Configuration>>;
 
     /// Checks whether the daemon is ready for requests.
     ///
@@ -139,8 +139,8 @@
     /// Issues a key for one non-idempotent request.
     fn mint(&self, call: Call) -> BoxFuture<'_, Result<String, Outcome>>;
 
-    /// Runs a non-idempotent request under `key`. `send` is the caller's count of its sends, required
-    /// for a key that the caller chose itself.
+    /// Runs a non-idempotent request under `key`. `send` is the caller's count of its sends,
+    /// required for a key that the caller chose itself.
     fn execute(&self, call: Call, key: String, send: Option<u32>) -> BoxFuture<'_, Execution>;
 
     /// Describes the state of the daemon for operators.
@@ -149,11 +149,12 @@
     /// Explains a request or the status of a backend server; `None` if nothing is known of it.
     fn explain(&self, query: Explain) -> BoxFuture<'_, Option<serde_json::Value>>;
 
-    /// Starts a planned stop. Peers should be notified; requests still arrive for a while and must be
-    /// served.
+    /// Starts a planned stop. Peers should be notified; requests still arrive for a while and must
+    /// be served.
     fn leave(&self) {}
 
-    /// Completes when no request from a peer is in flight. Called after the callers' port has closed.
+    /// Completes when no request from a peer is in flight. Called after the callers' port has
+    /// closed.
     fn drain(&self) -> BoxFuture<'_, ()> {
         Box::pin(async {})
     }
--- a/crates/daemon/tests/support/service.rs
+++ b/crates/daemon/tests/support/service.rs
@@ -102,7 +102,7 @@
 }
 
 impl Service for Fake {
-    fn document(&self) -> Option<Arc<Configuration>> {
+    fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.clone()
     }
 
