--- a/crates/daemon/src/backend/endpoint/mod.rs
+++ b/crates/daemon/src/backend/endpoint/mod.rs
@@ -55,11 +55,11 @@
 /// Client for the endpoints of all backend servers of a route; clones share its connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Endpoint {
-    slots: Arc<Mutex<HashMap<BackendServerId, Slot>>>,
+    connections: Arc<Mutex<HashMap<BackendServerId, SharedConnection>>>,
 }
 
 /// The connection to a server, `None` while there is none. A call holds the lock until it is done.
-type Slot = Arc<tokio::sync::Mutex<Option<Connection>>>;
+type SharedConnection = Arc<tokio::sync::Mutex<Option<Connection>>>;
 
 /// An open connection; dropping it closes it.
 #[derive(Debug)]
@@ -78,9 +78,9 @@
 
     /// Reads health and load; returns `None` if the server does not respond.
     pub(crate) async fn poll(&self, backend_server: BackendServerId) -> Option<Report> {
-        let health: HealthBody = self.read(backend_server, "/health").await?;
+        let health: HealthBody = self.get(backend_server, "/health").await?;
         let draining = health.status == "draining";
-        let load: Option<LoadBody> = self.read(backend_server, "/load").await;
+        let load: Option<LoadBody> = self.get(backend_server, "/load").await;
         let Some(load) = load else {
             return Some(Report {
                 draining,
@@ -99,7 +99,7 @@
         })
     }
 
-    async fn read<T: DeserializeOwned>(&self, server: BackendServerId, path: &str) -> Option<T> {
+    async fn get<T: DeserializeOwned>(&self, server: BackendServerId, path: &str) -> Option<T> {
         let body = self.call(Method::GET, server, path.to_owned()).await?;
         serde_json::from_slice(&body).ok()
     }
@@ -111,29 +111,32 @@
     /// The call keeps its connection after its caller has timed out. A stalled server would count a
     /// closed connection and its replacement as two.
     async fn call(&self, method: Method, server: BackendServerId, path: String) -> Option<Bytes> {
-        let slot = self.slots().entry(server).or_default().clone();
-        let mut slot = timeout(QUEUE_TIMEOUT, slot.lock_owned()).await.ok()?;
-        let (answer, answered) = oneshot::channel();
+        let shared = self.connections().entry(server).or_default().clone();
+        let mut shared = timeout(QUEUE_TIMEOUT, shared.lock_owned()).await.ok()?;
+        let (tx, rx) = oneshot::channel();
         tokio::spawn(async move {
-            // Taken out of the slot during the call, so that a failure closes the connection.
-            let open = slot.take().filter(|open| !open.sender.is_closed());
+            // Taken out of its slot during the call, so that a failure closes the connection.
+            let open = shared.take().filter(|open| !open.sender.is_closed());
             let exchange = exchange(open, method, server, &path);
             if let Ok(Some((connection, body))) = timeout(STALLED_TIMEOUT, exchange).await {
-                *slot = Some(connection);
+                *shared = Some(connection);
                 // A missing receiver means that the caller has timed out.
-                let _ = answer.send(body);
+                let _ = tx.send(body);
             }
         });
-        timeout(ENDPOINT_TIMEOUT, answered).await.ok()?.ok()
+        timeout(ENDPOINT_TIMEOUT, rx).await.ok()?.ok()
     }
 
     /// Closes the connections to all other servers.
     pub(crate) fn retain(&self, servers: &BTreeSet<BackendServerId>) {
-        self.slots().retain(|server, _| servers.contains(server));
+        self.connections()
+            .retain(|server, _| servers.contains(server));
     }
 
-    fn slots(&self) -> MutexGuard<'_, HashMap<BackendServerId, Slot>> {
-        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> MutexGuard<'_, HashMap<BackendServerId, SharedConnection>> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/daemon/src/caller/filter/deadline.rs
+++ b/crates/daemon/src/caller/filter/deadline.rs
@@ -10,9 +10,9 @@
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
 /// Converts the remaining time, or the route's default, into a deadline on this process's clock.
-pub(crate) struct Deadline;
+pub(crate) struct ReadDeadline;
 
-impl Filter<Exchange<Routed>> for Deadline {
+impl Filter<Exchange<Routed>> for ReadDeadline {
     type After = Exchange<WithDeadline>;
 
     async fn apply(&self, before: Exchange<Routed>) -> Result<Self::After> {
--- a/crates/daemon/src/caller/filter/key.rs
+++ b/crates/daemon/src/caller/filter/key.rs
@@ -14,9 +14,9 @@
 const ISSUED_PREFIX: &str = monsoonring_decision::idempotency::key::PREFIX;
 
 /// Reads the key and the send number if the action needs them.
-pub(crate) struct Key;
+pub(crate) struct ReadKey;
 
-impl Filter<Exchange<WithDeadline>> for Key {
+impl Filter<Exchange<WithDeadline>> for ReadKey {
     type After = Exchange<WithKey>;
 
     async fn apply(&self, before: Exchange<WithDeadline>) -> Result<Self::After> {
--- a/crates/daemon/src/caller/filter/mod.rs
+++ b/crates/daemon/src/caller/filter/mod.rs
@@ -8,10 +8,10 @@
 mod route;
 
 pub(crate) use body::ReadBody;
-pub(crate) use deadline::Deadline;
+pub(crate) use deadline::ReadDeadline;
 pub(crate) use fingerprint::ComputeFingerprint;
 pub(crate) use identify::Identify;
-pub(crate) use key::{Key, may_be_repeated};
+pub(crate) use key::{ReadKey, may_be_repeated};
 pub(crate) use route::FindRoute;
 
 use super::problem::Problem;
--- a/crates/daemon/src/caller/front.rs
+++ b/crates/daemon/src/caller/front.rs
@@ -3,7 +3,7 @@
 use super::answer::{self, Reply};
 use super::exchange::{Arrived, Exchange, Head, Operation};
 use super::filter::{
-    self, ComputeFingerprint, Deadline, Filter, FindRoute, Identify, Key, ReadBody, Result,
+    self, ComputeFingerprint, Filter, FindRoute, Identify, ReadBody, ReadDeadline, ReadKey, Result,
 };
 use super::header::IDEMPOTENCY_KEY;
 use super::problem::Problem;
@@ -35,7 +35,7 @@
     request_log: RequestLog,
     stop: Watch,
     body_timeout: Duration,
-    exceeded: Counter,
+    excess_connections: Counter,
     ids: Mutex<ChaCha12Rng>,
 }
 
@@ -46,7 +46,7 @@
         request_log: RequestLog,
         stop: Watch,
         body_timeout: Duration,
-        exceeded: Counter,
+        excess_connections: Counter,
         seed: Option<u64>,
     ) -> Self {
         let ids = match seed {
@@ -58,7 +58,7 @@
             request_log,
             stop,
             body_timeout,
-            exceeded,
+            excess_connections,
             ids: Mutex::new(ids),
         }
     }
@@ -107,7 +107,7 @@
             };
             Reply::Problem(problem, None)
         });
-        finish(id, reply, entry)
+        respond(id, reply, entry)
     }
 
     fn open_exchange(
@@ -148,8 +148,8 @@
         entry.set_class(exchange.stage.class);
         let exchange = FindRoute.apply(exchange).await?;
         entry.set_route(&exchange.stage.route.name);
-        let exchange = Deadline.apply(exchange).await?;
-        let exchange = Key.apply(exchange).await?;
+        let exchange = ReadDeadline.apply(exchange).await?;
+        let exchange = ReadKey.apply(exchange).await?;
         let read = ReadBody {
             timeout: self.body_timeout,
         };
@@ -214,13 +214,13 @@
             Err(problem) => {
                 let id = self.new_request_id();
                 let entry = self.request_log.open(id, None, Instant::now());
-                finish(id, Reply::Problem(problem, None), entry)
+                respond(id, Reply::Problem(problem, None), entry)
             }
         }
     }
 
     fn limit_exceeded(&self) {
-        self.exceeded.inc();
+        self.excess_connections.inc();
     }
 
     fn response_cut(&self) {
@@ -228,7 +228,7 @@
     }
 }
 
-fn finish(id: RequestId, reply: Reply, entry: Entry) -> Response<Full<Bytes>> {
+fn respond(id: RequestId, reply: Reply, entry: Entry) -> Response<Full<Bytes>> {
     match reply {
         Reply::Answer(response, ended, coverage) => {
             entry.record_answer(ended, coverage);
--- a/crates/daemon/src/caller/request_log.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the number of requests that a stop cut off.
-    pub(crate) fn cut(&self) -> usize {
+    pub(crate) fn cut_requests(&self) -> usize {
         self.shared.cut.load(Ordering::Relaxed)
     }
 
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -75,9 +75,9 @@
     };
     let open = node.open_connections();
     open.inc();
-    let answer = async |call| drop(tokio::spawn(call));
+    let spawn = async |call| drop(tokio::spawn(call));
     wire::calls(stream, Server(node).serve())
-        .for_each(answer)
+        .for_each(spawn)
         .await;
     open.dec();
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -213,7 +213,7 @@
         let log = &self.telemetry.log;
         info!(log, "stop began"; "in_flight" => self.request_log.in_flight());
         let drained = tokio::select! {
-            () = self.finish() => true,
+            () = self.drain_and_stop() => true,
             _ = signals.next() => self.give_up("second signal"),
             () = tokio::time::sleep(self.stop_timeout) => self.give_up("stop timeout reached"),
         };
@@ -221,7 +221,7 @@
         self.callers.wait().await;
         self.operator_stop.advance(Stage::Cut);
         self.operators.wait().await;
-        let requests = self.request_log.cut();
+        let requests = self.request_log.cut_requests();
         info!(log, "stopped"; "cut" => requests);
         if drained {
             StopOutcome::Complete
@@ -231,7 +231,7 @@
     }
 
     /// Runs a stop through all stages that cut nothing off.
-    async fn finish(&self) {
+    async fn drain_and_stop(&self) {
         self.stop.advance(Stage::Leaving);
         self.service.leave();
         tokio::time::sleep(self.drain_wait).await;
--- a/crates/daemon/src/server/mod.rs
+++ b/crates/daemon/src/server/mod.rs
@@ -127,7 +127,7 @@
 }
 
 fn admit<H: Handler>(stream: TcpStream, shared: &Arc<Shared<H>>) {
-    let permit = Permit::take(shared);
+    let permit = Permit::acquire(shared);
     let limit = shared.server.limits.max_connections;
     let excess = MIN_EXCESS.max(limit / EXCESS_DIVISOR);
     let limit_status = match permit.number {
@@ -150,7 +150,7 @@
 }
 
 impl<H> Permit<H> {
-    fn take(shared: &Arc<Shared<H>>) -> Self {
+    fn acquire(shared: &Arc<Shared<H>>) -> Self {
         shared.server.gauge.inc();
         Self {
             number: shared.open.fetch_add(1, Ordering::Relaxed) + 1,
