--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -1,4 +1,4 @@
-//! The control task.
+//! The control task: drives the member table, the configuration's holder and the fact table.
 
 use super::document::LoadedDocument;
 use super::handle::{Handle, Input};
@@ -26,26 +26,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Time between two ticks: a fraction of the shortest time that the members count in.
+/// Interval between ticks: a fraction of the shortest membership timer.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Bytes of facts on one message.
-const FACT_BYTES: usize = 400;
+/// Maximum size of the facts in one message, in bytes.
+const MAX_FACT_BYTES: usize = 400;
 
-/// Time between two readings of the host list by a reader of the data centre.
+/// Interval at which a reader of the data centre reads the host list.
 const LIST_PERIOD: Duration = Duration::from_secs(2);
 
-/// Time between two counts of the members.
-const COUNT_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between updates of the member metrics.
+const METRICS_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time between two readings by any other daemon. What the list says of backend servers reaches it
-/// as facts; the list itself only matters to find members after a long partition.
+/// Interval at which other daemons read the host list. They learn of leaving backend servers
+/// through facts and need the list only to find members after a long partition.
 const LIST_PERIOD_OTHERS: Duration = Duration::from_secs(300);
 
-/// Time for which the members remember that a backend server is leaving.
+/// Lifetime of the fact that a backend server is leaving.
 pub(crate) const LEAVING_LIFE: Duration = Duration::from_secs(30 * 60);
 
-/// What the control task is started with.
+/// Configuration and dependencies of the control task.
 pub(crate) struct Settings {
     pub(crate) own: Member,
     pub(crate) start: Incarnation,
@@ -58,14 +58,14 @@
     pub(crate) peers: Pool,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
-    /// Where facts go that this daemon has not known before.
-    pub(crate) news: mpsc::UnboundedSender<NewFact>,
+    /// Queue of the facts that are new to this daemon.
+    pub(crate) new_facts: mpsc::UnboundedSender<NewFact>,
 }
 
-/// A fact that this daemon has not known before.
+/// A fact that is new to this daemon.
 pub(crate) struct NewFact {
     pub(crate) entry: fact::Entry,
-    /// Whether it was found here.
+    /// Whether this daemon found the fact.
     pub(crate) own: bool,
 }
 
@@ -89,7 +89,7 @@
     clock: Clock,
     log: Logger,
     metrics: Arc<Metrics>,
-    news: mpsc::UnboundedSender<NewFact>,
+    new_facts: mpsc::UnboundedSender<NewFact>,
     table: Table,
     holder: Holder,
     facts: fact::Table,
@@ -98,16 +98,17 @@
     view: watch::Sender<View>,
     pause_detector: Arc<Detector>,
     /// The document that the holder is deciding on.
-    read: Option<LoadedDocument>,
+    candidate: Option<LoadedDocument>,
     /// The document in force.
     in_force: Option<(LoadedDocument, Arc<Configuration>)>,
     members: Arc<[Member]>,
     suspects: Arc<BTreeSet<MemberId>>,
+    /// Whether this daemon reads the platform's services for its data centre.
     reader: bool,
-    /// Whether the holder knows of the members.
-    announced: bool,
+    /// Whether the holder has been informed of the members.
+    holder_informed: bool,
     next_list: monsoonring_decision::Time,
-    next_count: monsoonring_decision::Time,
+    next_metrics: monsoonring_decision::Time,
 }
 
 impl Controller {
@@ -134,7 +135,7 @@
             clock: settings.clock,
             log: settings.log,
             metrics: settings.metrics,
-            news: settings.news,
+            new_facts: settings.new_facts,
             table,
             holder,
             facts: fact::Table::default(),
@@ -142,14 +143,14 @@
             list: settings.list,
             view,
             pause_detector,
-            read: None,
+            candidate: None,
             in_force: None,
             members: Arc::default(),
             suspects: Arc::default(),
             reader: true,
-            announced: false,
+            holder_informed: false,
             next_list: now,
-            next_count: now,
+            next_metrics: now,
         }
     }
 
@@ -159,7 +160,7 @@
             .iter()
             .map(|&id| member::Seed { id, leaving: false })
             .collect();
-        self.member(member::Event::Listed(seeds), None);
+        self.handle_member(member::Event::Listed(seeds), None);
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -167,7 +168,7 @@
                 biased;
                 _ = ticks.tick() => self.tick(),
                 input = queue.recv() => match input {
-                    Some(input) => self.input(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
             }
@@ -175,16 +176,16 @@
     }
 
     fn tick(&mut self) {
-        self.member(member::Event::Tick, None);
-        if self.announced != self.table.is_current() {
+        self.handle_member(member::Event::Tick, None);
+        if self.holder_informed != self.table.is_current() {
             self.members = self.table.members().into();
-            self.announce();
+            self.update_holder();
         }
-        self.configuration(configuration::Event::Tick);
+        self.handle_configuration(configuration::Event::Tick);
         let now = self.clock.now();
         self.facts.expire(now);
-        if now >= self.next_count {
-            self.next_count = now + COUNT_PERIOD;
+        if now >= self.next_metrics {
+            self.next_metrics = now + METRICS_PERIOD;
             let states = self.table.iter().map(|change| change.state);
             self.metrics.control.set_members(states);
         }
@@ -202,18 +203,18 @@
         self.pause_detector.record_tick();
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Probed(message, reply) => {
-                let message = self.received(message);
-                self.member(member::Event::Probed(message), Some(reply));
+                let message = self.process_attachment(message);
+                self.handle_member(member::Event::Probed(message), Some(reply));
             }
             Input::Message(to, reply) => {
                 let message = self.table.message(to);
                 let _ = reply.send(self.attach(message));
             }
-            Input::Page(span, reply) => drop(reply.send(self.table.page(span))),
-            Input::Sections(least, reply) => drop(reply.send(self.sections(least))),
+            Input::Page(range, reply) => drop(reply.send(self.table.page(range))),
+            Input::Sections(min_version, reply) => drop(reply.send(self.sections(min_version))),
             Input::Start(member, reply) => {
                 let change = self.table.get(member);
                 let _ = reply.send(change.map(|change| change.incarnation.start));
@@ -223,35 +224,37 @@
                 let facts = self.facts.iter(self.clock.now()).collect();
                 let _ = reply.send(facts);
             }
-            Input::Member(event) => self.member_event(event),
-            Input::Configuration(event) => self.configuration(event),
-            Input::Document(peer, read) => self.read(peer, *read),
+            Input::Member(event) => self.receive_member_event(event),
+            Input::Configuration(event) => self.handle_configuration(event),
+            Input::Document(peer, document) => self.handle_document(peer, *document),
             Input::LeavingServers(leaving) => {
                 for server in leaving {
                     self.learn(fact::Key::Leaving(server), 0, LEAVING_LIFE);
                 }
             }
-            Input::RemoteFact(entry, from) => self.heard(vec![entry], from),
-            Input::LocalFact(key, version, life) => self.learn(key, version, life),
+            Input::RemoteFact(entry, from) => self.receive_facts(vec![entry], from),
+            Input::LocalFact(key, version, lifetime) => self.learn(key, version, lifetime),
         }
         self.publish();
     }
 
-    fn member_event(&mut self, event: member::Event) {
+    fn receive_member_event(&mut self, event: member::Event) {
         let event = match event {
             member::Event::Acked(probe, message) => {
-                member::Event::Acked(probe, self.received(message))
+                member::Event::Acked(probe, self.process_attachment(message))
+            }
+            member::Event::Overheard(message) => {
+                member::Event::Overheard(self.process_attachment(message))
             }
-            member::Event::Overheard(message) => member::Event::Overheard(self.received(message)),
             event => event,
         };
-        self.member(event, None);
+        self.handle_member(event, None);
     }
 
-    /// Takes what rides on a message to those whom it concerns, and returns the message.
-    fn received(&mut self, mut message: Message) -> Message {
+    /// Processes and removes a message's attachment, and returns the message.
+    fn process_attachment(&mut self, mut message: Message) -> Message {
         let attachment = std::mem::take(&mut message.attachment);
-        self.configuration(configuration::Event::Peer(
+        self.handle_configuration(configuration::Event::Peer(
             message.from,
             attachment.configuration,
         ));
@@ -260,21 +263,23 @@
             .filter(|contact| contact.by != self.own.id)
         {
             let outranks = outranks(contact.by, self.own.id);
-            self.configuration(configuration::Event::Contacted(contact, outranks));
+            self.handle_configuration(configuration::Event::Contacted(contact, outranks));
         }
-        self.heard(attachment.facts, message.from);
+        self.receive_facts(attachment.facts, message.from);
         message
     }
 
-    fn heard(&mut self, entries: Vec<fact::Entry>, from: MemberId) {
+    fn receive_facts(&mut self, entries: Vec<fact::Entry>, from: MemberId) {
         for entry in self.facts.receive(entries, self.clock.now()) {
             self.metrics.control.fact(&entry.key, "heard");
             info!(self.log, "fact"; "what" => "heard", "fact" => format!("{:?}", entry.key),
                 "from" => %from, "life_ms" => entry.life.as_millis());
-            let _ = self.news.send(NewFact { entry, own: false });
+            let _ = self.new_facts.send(NewFact { entry, own: false });
         }
     }
 
+    /// Attaches the configuration's version, the last contact with the service and facts to a
+    /// message.
     fn attach(&mut self, mut message: Message) -> Message {
         let now = self.clock.now();
         message.attachment.configuration = self.holder.in_force();
@@ -282,31 +287,32 @@
             by: by.unwrap_or(self.own.id),
             age,
         });
-        message.attachment.facts = self.facts.pick(FACT_BYTES, now);
+        message.attachment.facts = self.facts.pick(MAX_FACT_BYTES, now);
         message
     }
 
-    fn learn(&mut self, key: fact::Key, version: u64, life: Duration) {
+    /// Adds a fact found by this daemon.
+    fn learn(&mut self, key: fact::Key, version: u64, lifetime: Duration) {
         let now = self.clock.now();
-        let Some(entry) = self.facts.learn(key, version, life, now) else {
+        let Some(entry) = self.facts.learn(key, version, lifetime, now) else {
             return;
         };
         self.metrics.control.fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
-        let _ = self.news.send(NewFact { entry, own: true });
-        self.member(member::Event::Burst, None);
+        let _ = self.new_facts.send(NewFact { entry, own: true });
+        self.handle_member(member::Event::Burst, None);
     }
 
-    fn member(&mut self, event: member::Event, reply: Option<probe::Reply>) {
+    fn handle_member(&mut self, event: member::Event, reply: Option<probe::Reply>) {
         let mut reply = reply;
         let actions = self.table.handle(event, self.clock.now());
         for action in actions {
-            self.carry_out(action, &mut reply);
+            self.perform(action, &mut reply);
         }
     }
 
-    fn carry_out(&mut self, action: member::Action, reply: &mut Option<probe::Reply>) {
+    fn perform(&mut self, action: member::Action, reply: &mut Option<probe::Reply>) {
         match action {
             member::Action::Probe {
                 probe,
@@ -331,13 +337,13 @@
                     let _ = reply.send(message);
                 }
             }
-            member::Action::Pull(from, span) => self.driver.pull(from, span),
-            member::Action::Changed(member, state) => self.changed(member, state),
+            member::Action::Pull(from, range) => self.driver.pull(from, range),
+            member::Action::Changed(member, state) => self.handle_state_change(member, state),
             member::Action::Paused(gap) => {
                 self.metrics.control.pauses.inc();
                 warn!(self.log, "member"; "what" => "paused", "gap_ms" => gap.as_millis());
                 self.pause_detector.record_pause();
-                self.configuration(configuration::Event::Paused);
+                self.handle_configuration(configuration::Event::Paused);
             }
             member::Action::Leaving => {
                 warn!(self.log, "member"; "what" => "listed as leaving", "member" => %self.own.id);
@@ -349,46 +355,46 @@
         }
     }
 
-    fn changed(&mut self, member: MemberId, state: State) {
+    fn handle_state_change(&mut self, member: MemberId, state: State) {
         self.metrics.control.changed(state);
         if !state.is_serving() {
-            // A stream to a dead process would be used for the next call to its successor on the
-            // same address, and fail that call.
+            // Drop the connection to a dead process: it would be reused for the next call to a new
+            // process on the same address, and that call would fail.
             self.driver.forget(member);
         }
         self.members = self.table.members().into();
         self.suspects = Arc::new(self.table.suspects().collect());
         self.facts.set_members(self.members.len());
-        self.announce();
+        self.update_holder();
     }
 
-    /// Tells the configuration's holder of the members, once the table is current.
+    /// Informs the configuration's holder of the members once the table is current.
     ///
-    /// Before that a daemon that starts seems to be alone. It would believe a service that is stale,
-    /// adopt an older document than its peers hold, and be ready with it.
-    fn announce(&mut self) {
-        self.announced = self.table.is_current();
-        if !self.announced {
+    /// Until then a starting daemon appears to be alone. It would trust a stale service, adopt an
+    /// older document than its peers have, and become ready with it.
+    fn update_holder(&mut self) {
+        self.holder_informed = self.table.is_current();
+        if !self.holder_informed {
             return;
         }
         self.reader = is_reader(&self.own, &self.members);
         let peers = self.members.len().saturating_sub(1);
         let reader = self.reader;
-        self.configuration(configuration::Event::Members { reader, peers });
+        self.handle_configuration(configuration::Event::Members { reader, peers });
     }
 
-    /// Takes a document that the service or a peer gave.
-    fn read(&mut self, peer: Option<MemberId>, read: LoadedDocument) {
-        let (version, faults) = (read.version, read.faults());
-        self.read = Some(read);
-        self.configuration(match peer {
+    /// Passes a document from the service or a peer to the holder.
+    fn handle_document(&mut self, peer: Option<MemberId>, document: LoadedDocument) {
+        let (version, faults) = (document.version, document.faults());
+        self.candidate = Some(document);
+        self.handle_configuration(match peer {
             None => configuration::Event::Served(version, faults),
             Some(peer) => configuration::Event::Fetched(peer, version, faults),
         });
-        self.read = None;
+        self.candidate = None;
     }
 
-    fn configuration(&mut self, event: configuration::Event) {
+    fn handle_configuration(&mut self, event: configuration::Event) {
         if event == configuration::Event::ServiceFailed {
             self.metrics.control.service_failures.inc();
         }
@@ -398,7 +404,7 @@
                 configuration::Action::Read => self.driver.read(),
                 configuration::Action::Watch { after, wait } => self.driver.watch(after, wait),
                 configuration::Action::Fetch(peer, version) => {
-                    self.driver.fetch(peer, version, self.held());
+                    self.driver.fetch(peer, version, self.local_sections());
                 }
                 configuration::Action::Adopt(version, _) => self.adopt(version),
                 configuration::Action::Log(line) => {
@@ -412,32 +418,36 @@
     }
 
     fn adopt(&mut self, version: Version) {
-        let Some(read) = self.read.take_if(|read| read.version == version) else {
+        let Some(document) = self
+            .candidate
+            .take_if(|document| document.version == version)
+        else {
             return;
         };
-        let Some(configuration) = read.configuration() else {
+        let Some(configuration) = document.configuration() else {
             return;
         };
         self.metrics.control.set_revision(version.revision);
-        self.in_force = Some((read, configuration));
-        self.member(member::Event::Burst, None);
+        self.in_force = Some((document, configuration));
+        self.handle_member(member::Event::Burst, None);
     }
 
-    fn sections(&self, least: Version) -> Option<(Version, Arc<[Section]>)> {
-        let (read, _) = self.in_force.as_ref()?;
-        (read.version >= least).then(|| (read.version, read.sections.clone()))
+    fn sections(&self, min_version: Version) -> Option<(Version, Arc<[Section]>)> {
+        let (document, _) = self.in_force.as_ref()?;
+        (document.version >= min_version).then(|| (document.version, document.sections.clone()))
     }
 
-    /// Returns the sections of the document in force, none before the first.
-    fn held(&self) -> Arc<[Section]> {
-        let held = self.in_force.as_ref();
-        held.map(|(read, _)| read.sections.clone())
+    /// Returns the sections of the document in force; empty until the first is adopted.
+    fn local_sections(&self) -> Arc<[Section]> {
+        let in_force = self.in_force.as_ref();
+        in_force
+            .map(|(document, _)| document.sections.clone())
             .unwrap_or_default()
     }
 
     /// Publishes the view if it has changed.
     fn publish(&self) {
-        let view = self.current();
+        let view = self.build_view();
         let control = &self.metrics.control;
         control.set_standing(view.ready().is_ok(), view.isolated, view.conflicts);
         self.view.send_if_modified(|published| {
@@ -449,7 +459,7 @@
         });
     }
 
-    fn current(&self) -> View {
+    fn build_view(&self) -> View {
         View {
             configuration: self
                 .in_force
--- a/crates/daemon/src/control/document.rs
+++ b/crates/daemon/src/control/document.rs
@@ -1,11 +1,11 @@
-//! Documents as they arrive: checked, identified, ready for adoption.
+//! Parses and validates configuration documents from the service and from peers.
 //!
-//! A document's identity is the digest over its sections wherever it came from, so that two texts
-//! which differ only in white space or in the order of their lists are one document: an operator who
-//! publishes the same again, or a service that writes it out anew, causes no change and no conflict.
+//! A document is identified by the digest of its sections. Texts that differ only in white space or
+//! in the order of their lists are the same document, so that publishing an equal document again,
+//! or a service that reformats it, causes no change and no conflict.
 //!
-//! Invariant: the digest of the version is that of the sections that are kept. What a peer sent is
-//! held against what the peers announced before anything of it is used.
+//! Invariant: the version's digest is the digest of the stored sections. Sections from a peer are
+//! verified against the announced digest before they are used.
 
 use crate::service::Configuration;
 use monsoonring_configuration::id::Revision;
@@ -15,45 +15,45 @@
 use snafu::{ResultExt, Snafu, ensure};
 use std::sync::Arc;
 
-/// Why what a peer sent is not the document that it announced.
+/// Reason why a peer's sections are not the announced document.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
-    /// The parts don't fit what is held here.
-    #[snafu(display("joining the parts: {source}"))]
+    /// The parts can't be combined with the local sections.
+    #[snafu(display("failed to combine the parts with the local sections: {source}"))]
     Join {
-        /// What does not fit.
+        /// The part or section at fault.
         source: section::Error,
     },
-    /// The sections are others than those of the version.
-    #[snafu(display("the sections have the digest {found:032x} and should have {expected:032x}"))]
+    /// The digest of the sections differs from the version's.
+    #[snafu(display("section digest is {found:032x}, expected {expected:032x}"))]
     Digest {
-        /// What was announced.
+        /// Digest that the peer announced.
         expected: Digest,
-        /// What came.
+        /// Digest of the received sections.
         found: Digest,
     },
 }
 
-/// Result of taking a document from a peer.
+/// Result of reading a document from a peer.
 pub(crate) type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A document with the sections that it was read from.
+/// A parsed document and its sections.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedDocument {
-    /// Its identity.
+    /// Revision and digest, which identify the document.
     pub(crate) version: Version,
-    /// The document, or the faults found in it.
+    /// The document, or the faults found by validation.
     document: Result<Document, Vec<String>>,
-    /// Its sections, for peers that ask for them; none of a faulty text.
+    /// Sections to serve to peers; empty if the text is invalid.
     pub(crate) sections: Arc<[Section]>,
 }
 
 impl LoadedDocument {
-    /// Checks a text that the service gave with a revision.
+    /// Parses and validates a text that the service returned with a revision.
     pub(crate) fn from_text(revision: Revision, bytes: &[u8]) -> Self {
         let (digest, document, sections) = match parse(bytes) {
             Ok((document, sections)) => (digest(&sections), Ok(document), sections),
-            // A faulty text has no sections. Its own digest tells it from the next one.
+            // An invalid text has no sections; the digest of the text identifies it.
             Err(faults) => (section::Digest::of(bytes).half(), Err(faults), Vec::new()),
         };
         Self {
@@ -63,19 +63,20 @@
         }
     }
 
-    /// Takes the parts that a peer sent as those of a version, given the sections held when it was
-    /// asked.
+    /// Assembles the document of a version from a peer's parts and the `local` sections that the
+    /// fetch was based on.
     ///
     /// # Errors
     ///
-    /// Fails if the sections are not those of the version. Sections that are, but are no valid
-    /// document for this build, are no error: they are faults of that version.
+    /// Fails if the parts can't be combined or if the digest of the sections is not the version's.
+    /// A document that this build considers invalid is not an error; see
+    /// [`LoadedDocument::faults`].
     pub(crate) fn from_parts(
         version: Version,
         parts: Vec<section::transfer::Part>,
-        held: &[Section],
+        local: &[Section],
     ) -> Result<Self> {
-        let sections = section::transfer::join(parts, held).context(JoinSnafu)?;
+        let sections = section::transfer::join(parts, local).context(JoinSnafu)?;
         let index = Index::of(&sections);
         let (expected, found) = (version.digest, index.digest().half());
         ensure!(expected == found, DigestSnafu { expected, found });
@@ -86,12 +87,12 @@
         })
     }
 
-    /// Returns the faults, none for a valid document.
+    /// Returns the faults found by validation; empty for a valid document.
     pub(crate) fn faults(&self) -> Vec<String> {
         self.document.as_ref().err().cloned().unwrap_or_default()
     }
 
-    /// Returns the configuration of a valid document.
+    /// Returns the configuration, `None` if the document is invalid.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         let document = self.document.as_ref().ok()?.clone();
         Some(Arc::new(Configuration::new(
--- a/crates/daemon/src/control/handle.rs
+++ b/crates/daemon/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! The other end of the control task's queue.
+//! The handle through which the daemon queries the control task and sends it events.
 
 use super::document::LoadedDocument;
 use super::pause::Detector;
@@ -14,37 +14,37 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Something for the control task.
+/// A message to the control task.
 pub(crate) enum Input {
-    /// A peer probes; the answer goes back to it.
+    /// A peer's probe, and the sender for the reply.
     Probed(Message, oneshot::Sender<Message>),
-    /// A message to a member is wanted, for a probe on behalf of another.
+    /// Requests a message to a member, for a probe on behalf of another member.
     Message(MemberId, oneshot::Sender<Message>),
-    /// A peer wants a page of the table.
+    /// Requests a page of the member table, for a peer.
     Page(BucketRange, oneshot::Sender<Page>),
-    /// A peer wants a document that is not lesser than this version.
+    /// Requests the document in force if it has at least this version, for a peer.
     Sections(Version, oneshot::Sender<Option<(Version, Arc<[Section]>)>>),
-    /// The start number of a member is wanted.
+    /// Requests the start number of a member.
     Start(MemberId, oneshot::Sender<Option<Incarnation>>),
-    /// All that is known of members is wanted, for operators.
+    /// Requests the entries of the member table, for operators.
     Members(oneshot::Sender<Vec<Change>>),
-    /// All facts that hold are wanted, for a home that starts.
+    /// Requests the facts in force, for operators and for homes that start.
     Facts(oneshot::Sender<Vec<fact::Entry>>),
-    /// Something happened to members.
+    /// An event for the member table.
     Member(MemberEvent),
-    /// Something happened to the configuration.
+    /// An event for the configuration's holder.
     Configuration(ConfigurationEvent),
-    /// A document was read; at a peer, if one is named.
+    /// A document that was read from a peer, or from the configuration service if no peer is given.
     Document(Option<MemberId>, Box<LoadedDocument>),
-    /// The host list says that these backend servers are leaving.
+    /// Backend servers that the host list marks as leaving.
     LeavingServers(Vec<BackendServerId>),
-    /// Another home found something out just now.
+    /// A fact that a peer pushed.
     RemoteFact(fact::Entry, MemberId),
-    /// This daemon found something out: key, version and life.
+    /// A fact that this daemon found: key, version and lifetime.
     LocalFact(fact::Key, u64, Duration),
 }
 
-/// Gives the control task its work, and shows its view.
+/// Sends messages to the control task and reads its published view.
 #[derive(Clone, Debug)]
 pub(crate) struct Handle {
     inputs: mpsc::UnboundedSender<Input>,
@@ -65,18 +65,18 @@
         }
     }
 
-    /// Returns why no new work may be taken, if that is so.
+    /// Returns the reason if no new requests may be accepted.
     pub(crate) fn ready(&self) -> Result<(), &'static str> {
         self.pause_detector.ready()?;
         self.view.borrow().ready()
     }
 
-    /// Returns what is known now.
+    /// Returns the current view.
     pub(crate) fn view(&self) -> View {
         self.view.borrow().clone()
     }
 
-    /// Tells whether a member is suspected of being dead.
+    /// Returns whether the failure detector suspects a member.
     pub(crate) fn is_suspect(&self, member: MemberId) -> bool {
         self.view.borrow().suspects.contains(&member)
     }
@@ -86,65 +86,67 @@
         self.view.borrow().version
     }
 
-    /// Returns the channel on which each change of the view shows.
+    /// Returns a receiver that is notified of each change of the view.
     pub(crate) fn changes(&self) -> watch::Receiver<View> {
         self.view.clone()
     }
 
-    /// Tells the control task something. A task that has ended does not need it any more.
+    /// Sends a message to the control task; does nothing if the task has ended.
     pub(crate) fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
-    /// Answers a probe.
+    /// Handles a peer's probe and returns the reply.
     pub(crate) async fn probed(&self, message: Message) -> Option<Message> {
         self.ask(|sender| Input::Probed(message, sender)).await
     }
 
-    /// Returns a message to a member.
+    /// Returns a message to a member, for a probe on behalf of another member.
     pub(crate) async fn message(&self, to: MemberId) -> Option<Message> {
         self.ask(|sender| Input::Message(to, sender)).await
     }
 
     /// Returns a page of the member table.
-    pub(crate) async fn page(&self, span: BucketRange) -> Option<Page> {
-        self.ask(|sender| Input::Page(span, sender)).await
+    pub(crate) async fn page(&self, range: BucketRange) -> Option<Page> {
+        self.ask(|sender| Input::Page(range, sender)).await
     }
 
-    /// Returns the sections of the document in force, if that is not lesser than `least`.
-    pub(crate) async fn sections(&self, least: Version) -> Option<(Version, Arc<[Section]>)> {
-        self.ask(|sender| Input::Sections(least, sender)).await?
+    /// Returns the version and sections of the document in force if its version is at least
+    /// `min_version`.
+    pub(crate) async fn sections(&self, min_version: Version) -> Option<(Version, Arc<[Section]>)> {
+        self.ask(|sender| Input::Sections(min_version, sender))
+            .await?
     }
 
-    /// Returns the start number of a member.
+    /// Returns the start number of a member, `None` if the member is unknown.
     pub(crate) async fn start(&self, member: MemberId) -> Option<Incarnation> {
         self.ask(|sender| Input::Start(member, sender)).await?
     }
 
-    /// Returns all that is known of members, those included that left or died lately.
+    /// Returns the entries of the member table, including members that left or died recently.
     pub(crate) async fn members(&self) -> Vec<Change> {
         self.ask(Input::Members).await.unwrap_or_default()
     }
 
-    /// Returns all facts that hold.
+    /// Returns the facts in force.
     pub(crate) async fn facts(&self) -> Vec<fact::Entry> {
         self.ask(Input::Facts).await.unwrap_or_default()
     }
 
-    /// Tells the members that this daemon stops.
+    /// Announces to the members that this daemon is stopping.
     pub(crate) fn leave(&self, successor: Option<MemberId>) {
         self.send(Input::Member(MemberEvent::Leave { successor }));
     }
 
-    /// Tells the members that a backend server is leaving.
+    /// Publishes the fact that a backend server is leaving.
     pub(crate) fn announce_leaving(
         &self,
         server: BackendServerId,
         start: Option<Incarnation>,
-        life: Duration,
+        lifetime: Duration,
     ) {
         let key = fact::Key::Leaving(server);
-        self.send(Input::LocalFact(key, start.unwrap_or_default(), life));
+        self.send(Input::LocalFact(key, start.unwrap_or_default(), lifetime));
     }
 
     async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,10 +1,9 @@
-//! What the daemons know of each other, of the configuration and of facts.
+//! Runs membership, configuration and the exchange of facts among the daemons.
 //!
-//! One task owns the member table, the configuration's holder and the fact table. They belong
-//! together because they share the messages: each probe carries changes of members, the version of
-//! the configuration and facts. What the rest of the daemon needs is published as a [`View`], which
-//! is replaced as a whole, so that nobody ever sees members of one moment with the configuration of
-//! another.
+//! One task owns the member table, the configuration's holder and the fact table, because they
+//! share messages: each probe carries member changes, the version of the configuration and facts.
+//! The task publishes its state to the rest of the daemon as a [`View`], which is replaced as a
+//! whole, so that members and configuration in a view are consistent.
 
 mod controller;
 mod document;
--- a/crates/daemon/src/control/pause.rs
+++ b/crates/daemon/src/control/pause.rs
@@ -1,31 +1,32 @@
-//! Whether this process has slept, for those who must know before the control task does.
+//! Detects that the process was paused, before the control task notices.
 //!
-//! A process that was stopped for minutes goes on in all its threads at once. The control task
-//! finds out at its next tick, but a request that waited in a socket may be read before that, and
-//! would go out on what was known minutes ago: to servers that left, under a configuration that is
-//! no longer in force. One would see such work right after a pause, before the line `paused`. So
-//! each request looks at the time of the last tick itself.
+//! After a pause, all threads resume together. A request that waited in a socket may be read before
+//! the control task's next tick and would use outdated state: servers that have left, a
+//! configuration that is no longer in force. Therefore each request checks the time of the last
+//! tick.
 //!
-//! Requests that waited in the sockets were sent before or during the pause, and nobody can tell how
-//! long ago: what remains of their deadlines was written down when they were sent. They are read
-//! within moments of the wake. For that long no new work is taken, however soon the refresh is done.
+//! The age of requests that waited in sockets is unknown, because they carry the remaining time at
+//! sending instead of an absolute deadline. They are read shortly after the process resumes, so
+//! requests are refused for [`RESUME_DELAY`], even if members and configuration are refreshed
+//! sooner.
 
 use crate::clock::Clock;
 use monsoonring_decision::Time;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Time in which a process that goes on reads what waited in its sockets.
+/// Time after a pause in which requests are refused. Covers reading the backlog of the sockets.
 const RESUME_DELAY: Duration = Duration::from_millis(500);
 
-/// The last tick of the control task, and the end of the rest after a pause.
+/// Detects pauses from the time since the control task's last tick.
 #[derive(Debug)]
 pub(crate) struct Detector {
     clock: Clock,
-    /// Gap between two ticks above which the process counts as having been paused.
+    /// Time without a tick above which the process counts as paused.
     threshold: Duration,
-    /// Milliseconds since the start.
+    /// Time of the last tick, in milliseconds since the daemon started.
     last_tick: AtomicU64,
+    /// End of the delay after a pause, in milliseconds since the daemon started.
     refuse_until: AtomicU64,
 }
 
@@ -39,19 +40,19 @@
         }
     }
 
-    /// Notes a tick, after what follows from it has been published.
+    /// Records a tick. Must be called after the tick's changes are published.
     pub(super) fn record_tick(&self) {
         let now = milliseconds(self.clock.now());
         self.last_tick.store(now, Ordering::Release);
     }
 
-    /// Notes that the process was paused.
+    /// Records a pause that the control task detected, which starts the delay.
     pub(super) fn record_pause(&self) {
         let until = milliseconds(self.clock.now() + RESUME_DELAY);
         self.refuse_until.store(until, Ordering::Release);
     }
 
-    /// Returns why no new work may be taken, if that is so.
+    /// Returns the reason if no new requests may be accepted.
     pub(super) fn ready(&self) -> Result<(), &'static str> {
         let now = milliseconds(self.clock.now());
         let last_tick = self.last_tick.load(Ordering::Acquire);
--- a/crates/daemon/src/control/probe.rs
+++ b/crates/daemon/src/control/probe.rs
@@ -1,4 +1,5 @@
-//! Calls of the control task, each in a task of its own that reports back through the queue.
+//! Performs the control task's network calls, each in a separate task that reports its result
+//! through the control task's queue.
 
 use super::document::LoadedDocument;
 use super::handle::{Handle, Input};
@@ -22,13 +23,13 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Where the answer to a peer's probe goes.
+/// Sender for the reply to a peer's probe.
 pub(super) type Reply = oneshot::Sender<Message>;
 
-/// Time that a page of the member table or a document may take.
+/// Timeout for fetching a page of the member table or a document.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes the calls.
+/// Starts the network calls.
 #[derive(Clone)]
 pub(super) struct Driver {
     handle: Handle,
@@ -59,12 +60,12 @@
     pub(super) fn probe(&self, probe: ProbeId, to: MemberId, message: Message, limit: Duration) {
         let driver = self.clone();
         tokio::spawn(async move {
-            let answer = timeout(limit, driver.ask(to, message, limit)).await;
+            let answer = timeout(limit, driver.send_probe(to, message, limit)).await;
             driver.probed(probe, to, answer.ok().flatten());
         });
     }
 
-    async fn ask(&self, to: MemberId, message: Message, limit: Duration) -> Option<Message> {
+    async fn send_probe(&self, to: MemberId, message: Message, limit: Duration) -> Option<Message> {
         let client = self.peers.client(to).await.ok()?;
         client.probe(context(limit), message).await.ok()?
     }
@@ -78,13 +79,13 @@
     ) {
         let driver = self.clone();
         tokio::spawn(async move {
-            let asked = helpers
+            let attempts = helpers
                 .into_iter()
-                .map(|helper| driver.ask_for(helper, target, limit));
-            let asked: Vec<_> = asked.map(Box::pin).collect();
-            let answer = match asked.is_empty() {
+                .map(|helper| driver.send_probe_via(helper, target, limit));
+            let attempts: Vec<_> = attempts.map(Box::pin).collect();
+            let answer = match attempts.is_empty() {
                 true => None,
-                false => timeout(limit, select_ok(asked))
+                false => timeout(limit, select_ok(attempts))
                     .await
                     .ok()
                     .and_then(Result::ok),
@@ -93,7 +94,7 @@
         });
     }
 
-    async fn ask_for(
+    async fn send_probe_via(
         &self,
         helper: MemberId,
         target: MemberId,
@@ -115,10 +116,10 @@
         self.handle.send(Input::Member(event));
     }
 
-    pub(super) fn pull(&self, from: MemberId, span: BucketRange) {
+    pub(super) fn pull(&self, from: MemberId, range: BucketRange) {
         let driver = self.clone();
         tokio::spawn(async move {
-            let page = timeout(FETCH_TIMEOUT, driver.page(from, span))
+            let page = timeout(FETCH_TIMEOUT, driver.page(from, range))
                 .await
                 .ok()
                 .flatten();
@@ -130,16 +131,16 @@
         });
     }
 
-    async fn page(&self, from: MemberId, span: BucketRange) -> Option<member::Page> {
+    async fn page(&self, from: MemberId, range: BucketRange) -> Option<member::Page> {
         let client = self.peers.client(from).await.ok()?;
-        client.page(context(FETCH_TIMEOUT), span).await.ok()?
+        client.page(context(FETCH_TIMEOUT), range).await.ok()?
     }
 
-    /// Fetches a document that is not lesser than `least`, given the sections in force here.
-    pub(super) fn fetch(&self, peer: MemberId, least: Version, held: Arc<[Section]>) {
+    /// Fetches a document of at least `min_version`, based on the `local` sections.
+    pub(super) fn fetch(&self, peer: MemberId, min_version: Version, local: Arc<[Section]>) {
         let driver = self.clone();
         tokio::spawn(async move {
-            let input = match driver.document(peer, least, &held).await {
+            let input = match driver.document(peer, min_version, &local).await {
                 Some(read) => Input::Document(Some(peer), Box::new(read)),
                 None => Input::Configuration(configuration::Event::FetchFailed(peer)),
             };
@@ -147,21 +148,22 @@
         });
     }
 
-    /// Fetches what differs from the sections that are held; the whole if that does not fit.
+    /// Fetches the sections that differ from the `local` ones; if the result does not match, the
+    /// whole document.
     ///
-    /// What does not have the digest that was announced is never used: the sections of two documents
-    /// side by side, or one cut short, would be a configuration that no operator wrote, and this
-    /// daemon would hand it on. The second try holds nothing, so that it does not depend on what
-    /// went wrong with the first.
+    /// Sections that do not have the announced digest are rejected. A truncated document, or a
+    /// mixture of two, would be a configuration that no operator wrote, and this daemon would
+    /// spread it to its peers. The second attempt uses no local sections, so that it can't fail for
+    /// the same reason.
     async fn document(
         &self,
         peer: MemberId,
-        least: Version,
-        held: &[Section],
+        min_version: Version,
+        local: &[Section],
     ) -> Option<LoadedDocument> {
-        for held in [held, &[]] {
-            let sections = self.sections(peer, least, Base::of(held)).await?;
-            match LoadedDocument::from_parts(sections.version, sections.parts, held) {
+        for local in [local, &[]] {
+            let sections = self.sections(peer, min_version, Base::of(local)).await?;
+            match LoadedDocument::from_parts(sections.version, sections.parts, local) {
                 Ok(read) => return Some(read),
                 Err(error) => {
                     warn!(self.log, "configuration"; "what" => "refused", "from" => %peer,
@@ -172,14 +174,16 @@
         None
     }
 
-    async fn sections(&self, peer: MemberId, least: Version, base: Base) -> Option<Sections> {
-        let asking = async {
+    async fn sections(&self, peer: MemberId, min_version: Version, base: Base) -> Option<Sections> {
+        let fetch = async {
             let client = self.peers.client(peer).await.ok()?;
-            let sections = client.sections(context(FETCH_TIMEOUT), least, base).await;
+            let sections = client
+                .sections(context(FETCH_TIMEOUT), min_version, base)
+                .await;
             sections.ok()?
         };
-        let sections = timeout(FETCH_TIMEOUT, asking).await.ok()??;
-        (sections.version >= least).then_some(sections)
+        let sections = timeout(FETCH_TIMEOUT, fetch).await.ok()??;
+        (sections.version >= min_version).then_some(sections)
     }
 
     pub(super) fn read(&self) {
@@ -209,7 +213,7 @@
         });
     }
 
-    /// Reads the host list: daemons become seeds, backend servers that leave become facts.
+    /// Reads the host list: daemons become seeds, leaving backend servers become facts.
     pub(super) fn list(&self, list: &platform::List, view: &View, seeds: &[SocketAddr]) {
         let (driver, list) = (self.clone(), list.clone());
         let document = view
--- a/crates/daemon/src/control/view.rs
+++ b/crates/daemon/src/control/view.rs
@@ -1,4 +1,4 @@
-//! What the control task publishes.
+//! The state that the control task publishes.
 
 use crate::service::Configuration;
 use monsoonring_decision::configuration::Version;
@@ -7,29 +7,29 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// One moment's knowledge.
+/// A consistent snapshot of members and configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
-    /// The configuration in force, `None` before the first.
+    /// The configuration in force, `None` until the first is adopted.
     pub(crate) configuration: Option<Arc<Configuration>>,
-    /// Which version that is.
+    /// Version of the configuration in force.
     pub(crate) version: Option<Version>,
-    /// Members that serve, this one included.
+    /// Members that serve, including this one.
     pub(crate) members: Arc<[Member]>,
-    /// Members that are suspected of being dead.
+    /// Members that the failure detector suspects.
     pub(crate) suspects: Arc<BTreeSet<MemberId>>,
-    /// Whether new work may be taken, as far as members are concerned.
+    /// Whether the member table is recent enough to accept requests.
     pub(crate) members_current: bool,
-    /// Whether new work may be taken, as far as the configuration is concerned.
+    /// Whether the configuration is recent enough to accept requests.
     pub(crate) configuration_current: bool,
-    /// Whether so many members died at once that this side is more likely cut off.
+    /// Whether so many members failed together that this daemon is probably partitioned off.
     pub(crate) isolated: bool,
-    /// Documents seen that share a revision with another.
+    /// Number of documents seen that share a revision with a different document.
     pub(crate) conflicts: u64,
 }
 
 impl View {
-    /// Returns why no new work may be taken, if that is so.
+    /// Returns the reason if no new requests may be accepted.
     pub(crate) fn ready(&self) -> Result<(), &'static str> {
         match (
             &self.configuration,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Returns a member that serves.
+    /// Returns a member by its id, if it serves.
     pub(crate) fn member(&self, id: MemberId) -> Option<Member> {
         self.members.iter().find(|member| member.id == id).cloned()
     }
 
-    /// Tells whether the two say the same. Compares what identifies the large parts, not the parts.
+    /// Returns whether two views are equal. Compares the configuration by its version.
     pub(super) fn is_same(&self, other: &Self) -> bool {
         self.version == other.version
             && self.configuration.is_some() == other.configuration.is_some()
--- a/crates/daemon/src/node/decision.rs
+++ b/crates/daemon/src/node/decision.rs
@@ -1,22 +1,30 @@
-//! What the ledger decided on a key, in words for the log and for operators.
+//! Describes the ledger's decisions on idempotency keys for the log and for operators.
 
 use monsoonring_decision::idempotency::Decision;
 use monsoonring_decision::member::MemberId;
 
-/// Says what the ledger decided, whom it concerns, and why.
+/// Returns a decision's label, the member it refers to and its reason.
 pub(super) fn describe(decision: &Decision) -> (&'static str, Option<MemberId>, String) {
     match decision {
-        Decision::Run(_) => ("run", None, "the key has not been run".to_owned()),
-        Decision::Join => ("join", None, "another send of the key runs".to_owned()),
-        Decision::Replay(_) => ("replay", None, "the key has its outcome".to_owned()),
+        Decision::Run(_) => ("run", None, "first use of the key".to_owned()),
+        Decision::Join => (
+            "join",
+            None,
+            "a request with this key is in progress".to_owned(),
+        ),
+        Decision::Replay(_) => (
+            "replay",
+            None,
+            "the outcome of the key is recorded".to_owned(),
+        ),
         Decision::Refuse(refusal) => ("refuse", None, format!("key: {refusal:?}")),
         Decision::ForwardTo(fence) => {
-            let why = "the key names that incarnation".to_owned();
-            ("pass on", Some(fence.member), why)
+            let reason = "the key was issued by that incarnation".to_owned();
+            ("pass on", Some(fence.member), reason)
         }
         Decision::LookUp => {
-            let why = "a later send of a key that is not known here".to_owned();
-            ("ask members", None, why)
+            let reason = "resend of a key that is unknown here".to_owned();
+            ("ask members", None, reason)
         }
     }
 }
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -1,7 +1,8 @@
-//! Non-idempotent requests: at most once, by the incarnation that a key names.
+//! Executes non-idempotent requests at most once per idempotency key.
 //!
-//! The decisions are the ledger's ([`monsoonring_decision::idempotency`]); here its answers are carried
-//! out. A run goes on when its caller leaves: its outcome belongs to the key, not to the connection.
+//! The ledger ([`monsoonring_decision::idempotency`]) of the incarnation that issued the key
+//! decides; this module carries its decisions out. An execution continues after its caller
+//! disconnects, because a resend of the key must get its outcome.
 
 use super::Node;
 use super::decision::describe;
@@ -24,27 +25,27 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Members asked about a key at most. Nobody is asked at all in ordinary work; after a loss, more
-/// answers only turn an honest "unknown" into a known outcome.
-const MAX_ASKED: usize = 32;
+/// Maximum number of members that are queried about a key. Queries are needed only after a daemon
+/// was lost; with more replies, fewer outcomes are reported as unknown.
+const MAX_QUERIED: usize = 32;
 
-/// Time that one member may take to say what it knows.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of the query to one member.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Homes that are asked to run a request, as long as each declines it unrun.
+/// Maximum number of homes that a request is sent to while each declines it without running it.
 const MAX_HOMES: usize = 3;
 
-/// The ledger, and the sends that wait for a run of another send.
+/// The ledger, and the duplicate sends that wait for the execution of their key.
 pub(super) struct SharedLedger {
     ledger: Mutex<Ledger>,
-    joined: Mutex<HashMap<RequestId, oneshot::Sender<Outcome>>>,
+    waiters: Mutex<HashMap<RequestId, oneshot::Sender<Outcome>>>,
 }
 
 impl SharedLedger {
     pub(super) fn new(ledger: Ledger) -> Self {
         Self {
             ledger: Mutex::new(ledger),
-            joined: Mutex::default(),
+            waiters: Mutex::default(),
         }
     }
 
@@ -52,16 +53,16 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn joined(&self) -> MutexGuard<'_, HashMap<RequestId, oneshot::Sender<Outcome>>> {
-        self.joined.lock().unwrap_or_else(PoisonError::into_inner)
+    fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, oneshot::Sender<Outcome>>> {
+        self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives the outcome to the sends that joined, and returns it.
-    fn tell(&self, ended: Completion) -> Outcome {
-        let outcome = Outcome::from(ended.outcome);
-        let mut joined = self.joined();
-        for request in ended.joined {
-            if let Some(sender) = joined.remove(&request) {
+    /// Sends the outcome to the waiting duplicates and returns it.
+    fn notify_waiters(&self, completion: Completion) -> Outcome {
+        let outcome = Outcome::from(completion.outcome);
+        let mut waiters = self.waiters();
+        for request in completion.joined {
+            if let Some(sender) = waiters.remove(&request) {
                 let _ = sender.send(outcome.clone());
             }
         }
@@ -77,12 +78,12 @@
         let entry = self.routes.get(&call.route.name).ok_or_else(unavailable)?;
         let home = self.choose(&entry, call.request, &[]);
         if let Some(choice) = home.filter(|choice| choice.home != self.own.id) {
-            self.note(&call, "fetch key", Some(choice.home), &choice.why);
+            self.log_decision(&call, "fetch key", Some(choice.home), &choice.reason);
             if let Some(key) = self.mint_at(choice.home, &call).await {
                 return Ok(key.to_string());
             }
         }
-        // No home answers: this daemon issues the key itself, and passes the run on later.
+        // No home issued a key, so this daemon does; it forwards the execution to a home later.
         let key = self.mint_here(&call);
         key.map(|key| key.to_string())
             .map_err(|refusal| refusal.outcome().into())
@@ -90,7 +91,9 @@
 
     async fn mint_at(&self, home: MemberId, call: &Call) -> Option<Key> {
         let client = self.peers.client(home).await.ok()?;
-        let answer = client.mint(context(call.deadline), self.passed(call)).await;
+        let answer = client
+            .mint(context(call.deadline), self.wire_request(call))
+            .await;
         answer.ok()?.ok()
     }
 
@@ -118,21 +121,21 @@
         let fenced = matches!(key, Key::Fenced(_));
         match self.send(call.clone(), key, send, false).await {
             Sent::Ended(outcome @ Outcome::NotRun { .. }) if fenced => {
-                self.offer(call, outcome).await
+                self.offer_key(call, outcome).await
             }
             Sent::Ended(outcome) => outcome.into(),
             Sent::Conflict => conflict(),
             Sent::Refused(Refusal::Unmarked) => {
                 let outcome = Outcome::from(Refusal::Unmarked.outcome());
-                self.offer(call, outcome).await
+                self.offer_key(call, outcome).await
             }
             Sent::Refused(refusal) => Execution::from(Outcome::from(refusal.outcome())),
         }
     }
 
-    /// Offers a fresh key with an outcome that leaves the caller's key without use: one that did not
-    /// run is used up, and an own key without its count of sends is never run.
-    async fn offer(self: &Arc<Self>, call: Call, outcome: Outcome) -> Execution {
+    /// Adds a new key to an outcome after which the caller's key can't be used: an issued key that
+    /// was recorded as not run, or a caller's own key sent without its send number.
+    async fn offer_key(self: &Arc<Self>, call: Call, outcome: Outcome) -> Execution {
         let offered_key = self.mint_call(call).await.ok();
         Execution {
             outcome,
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Takes one send of a non-idempotent request, from a caller or passed on by a peer.
+    /// Handles one send of a non-idempotent request, from a caller or forwarded by a peer.
     pub(crate) async fn send(
         self: &Arc<Self>,
         call: Call,
@@ -158,45 +161,46 @@
             send,
             passed_on,
         };
-        // Before the ledger is asked: the run that this send joins may end at once.
-        let (joiner, joined) = oneshot::channel();
-        self.ledger.joined().insert(call.request, joiner);
+        // Registered before the ledger decides, because the execution that this send joins may
+        // finish at any time.
+        let (sender, receiver) = oneshot::channel();
+        self.ledger.waiters().insert(call.request, sender);
         let decision = self.ledger.ledger().begin(&key, &request, self.clock.now());
         if !matches!(decision, Decision::Join) {
-            self.ledger.joined().remove(&call.request);
+            self.ledger.waiters().remove(&call.request);
         }
-        let (what, home, why) = describe(&decision);
-        self.metrics.node.decided(what);
-        self.note(&call, what, home, &why);
+        let (label, home, reason) = describe(&decision);
+        self.metrics.node.decided(label);
+        self.log_decision(&call, label, home, &reason);
         match decision {
             Decision::Run(permit) => Sent::Ended(self.run(permit, call, &key).await),
-            Decision::Join => Sent::Ended(self.join(joined, &call).await),
+            Decision::Join => Sent::Ended(self.join(receiver, &call).await),
             Decision::Replay(outcome) => Sent::Ended(outcome.into()),
             Decision::Refuse(Refusal::Mismatch) => Sent::Conflict,
             Decision::Refuse(refusal) => Sent::Refused(refusal),
-            // A send that waited in the socket of a paused process may be far beyond its deadline, which
-            // another daemon could not know. Its caller finds out by sending again.
+            // A request that waited in the socket of a paused process may be long past its
+            // deadline, and a peer could not tell. The caller learns the outcome with a resend.
             Decision::ForwardTo(_) | Decision::LookUp if self.control.ready().is_err() => {
                 Sent::Ended(Outcome::Unknown {
                     reason: Reason::Unavailable,
                 })
             }
-            Decision::ForwardTo(fence) => self.pass_to(fence, call, key, send).await,
+            Decision::ForwardTo(fence) => self.forward_to(fence, call, key, send).await,
             Decision::LookUp => {
-                let question = Lookup::Own {
+                let lookup = Lookup::Own {
                     caller: call.caller.clone(),
                     key: key.to_string().into(),
                     fingerprint: call.fingerprint,
                 };
-                self.ask(question, call, key, send).await
+                self.look_up(lookup, call, key, send).await
             }
         }
     }
 
-    /// Waits for the run that this send joined, at most until the send's own deadline.
-    async fn join(&self, joined: oneshot::Receiver<Outcome>, call: &Call) -> Outcome {
-        let outcome = tokio::time::timeout_at(call.deadline.into(), joined).await;
-        self.ledger.joined().remove(&call.request);
+    /// Waits for the execution that this send joined, until the send's own deadline.
+    async fn join(&self, receiver: oneshot::Receiver<Outcome>, call: &Call) -> Outcome {
+        let outcome = tokio::time::timeout_at(call.deadline.into(), receiver).await;
+        self.ledger.waiters().remove(&call.request);
         match outcome {
             Ok(Ok(outcome)) => outcome,
             _ => Outcome::Unknown {
@@ -205,55 +209,55 @@
         }
     }
 
-    /// Runs a request that the ledger has recorded.
+    /// Executes a request whose key the ledger has recorded.
     async fn run(self: &Arc<Self>, permit: Permit<Unsent>, call: Call, key: &Key) -> Outcome {
-        // A process that was paused, or has just started, may hold old facts: whom to send to, which
-        // servers are leaving. The key is recorded as not run, so that this stays true.
+        // A process that was paused or has just started may have outdated homes and facts. The key
+        // is recorded as not run, so that no later send runs it.
         if self.control.ready().is_err() {
             return self.conclude(AnyPermit::Unsent(permit), unavailable());
         }
-        let (run, may) = AnyPermit::Unsent(permit).mark_sent(self.clock.now());
-        if !may {
+        let (permit, may_run) = AnyPermit::Unsent(permit).mark_sent(self.clock.now());
+        if !may_run {
             let outcome = Outcome::NotRun {
                 reason: Reason::Deadline,
                 retry_after: None,
             };
-            return self.conclude(run, outcome);
+            return self.conclude(permit, outcome);
         }
         let node = self.clone();
         let key: Arc<str> = key.to_string().into();
-        // A task of its own: a caller that goes away must not take the run with it, else nobody
-        // would know the outcome that its next send asks for.
-        let running = tokio::spawn(async move {
+        // Runs in a separate task: if the caller disconnects, the execution must continue and its
+        // outcome be recorded for the next send.
+        let task = tokio::spawn(async move {
             let outcome = node.run_at_home(&call, &key).await;
-            // A home says "not run" only where that is proven, so the permit goes back.
-            let run = match &outcome {
-                Outcome::NotRun { .. } => run.on_failure(&Failure::NotSent),
-                _ => run,
+            // A home returns "not run" only with proof, so the permit is given back unused.
+            let permit = match &outcome {
+                Outcome::NotRun { .. } => permit.on_failure(&Failure::NotSent),
+                _ => permit,
             };
-            node.conclude(run, outcome)
+            node.conclude(permit, outcome)
         });
-        running.await.unwrap_or(Outcome::Unknown {
+        task.await.unwrap_or(Outcome::Unknown {
             reason: Reason::Lost,
         })
     }
 
-    fn conclude(&self, run: AnyPermit, outcome: Outcome) -> Outcome {
-        let ended = self
+    fn conclude(&self, permit: AnyPermit, outcome: Outcome) -> Outcome {
+        let completion = self
             .ledger
             .ledger()
-            .conclude(run, outcome, self.clock.now());
-        self.ledger.tell(ended)
+            .conclude(permit, outcome, self.clock.now());
+        self.ledger.notify_waiters(completion)
     }
 
-    /// Brings a request to a home, and to another only where the first declined it unrun.
+    /// Sends a request to a home, and to another only if the first declined it without running it.
     async fn run_at_home(&self, call: &Call, key: &Arc<str>) -> Outcome {
         let Some(entry) = self.routes.get(&call.route.name) else {
             return unavailable();
         };
         let mut tried = Vec::new();
         while tried.len() < MAX_HOMES {
-            let Some(Choice { home, why }) = self.choose(&entry, call.request, &tried) else {
+            let Some(Choice { home, reason }) = self.choose(&entry, call.request, &tried) else {
                 break;
             };
             tried.push(home);
@@ -261,13 +265,17 @@
                 let Some(handle) = &entry.handle else {
                     continue;
                 };
-                return handle.run(self.local(call, Some(key.clone()))).await;
+                return handle.run(self.home_request(call, Some(key.clone()))).await;
             }
-            self.note(call, "pass on", Some(home), &why);
+            self.log_decision(call, "pass on", Some(home), &reason);
             let Ok(client) = self.peers.client(home).await else {
                 continue;
             };
-            let answer = client.run(context(call.deadline), self.passed(call), key.to_string());
+            let answer = client.run(
+                context(call.deadline),
+                self.wire_request(call),
+                key.to_string(),
+            );
             let answer = answer.await;
             self.metrics.node.hopped(match &answer {
                 Ok(Ok(_)) => "answered",
@@ -287,24 +295,25 @@
         unavailable()
     }
 
-    /// Runs a request at this home, for the incarnation that holds its permit.
+    /// Runs a request at this home for the peer that holds its permit.
     pub(crate) async fn run_forwarded(&self, call: Call, key: String) -> Result<Outcome, Declined> {
-        self.rested()?;
+        self.check_ready()?;
         let entry = self.routes.get(&call.route.name).ok_or(Declined::NotHome)?;
         let handle = entry.handle.ok_or(Declined::NotHome)?;
-        Ok(handle.run(self.local(&call, Some(key.into()))).await)
+        Ok(handle.run(self.home_request(&call, Some(key.into()))).await)
     }
 
-    /// Passes a send to the incarnation that its key names, or to who holds its fence now.
-    async fn pass_to(
+    /// Forwards a send to the incarnation that issued its key, or to the one that took over its
+    /// fence.
+    async fn forward_to(
         self: &Arc<Self>,
         fence: Fence,
         call: Call,
         key: Key,
         send: Option<u32>,
     ) -> Sent {
-        // Only a member, be it one that has left: the address comes from the caller, and a made-up
-        // one would have this daemon call any host and port that it can reach.
+        // Only to a known member, including one that has left. The address comes from the caller; a
+        // forged one could make this daemon connect to any host and port.
         let sent = match self.control.start(fence.member).await {
             Some(_) => self.send_to(fence.member, &call, &key, send).await,
             None => None,
@@ -315,13 +324,14 @@
                 sent.unwrap_or(unknown())
             }
             Some(Sent::Refused(Refusal::Gone)) | None => {
-                self.ask(Lookup::Fence(fence), call, key, send).await
+                self.look_up(Lookup::Fence(fence), call, key, send).await
             }
             Some(sent) => sent,
         }
     }
 
-    /// Passes a send to a member; `None` where it can't be reached, so that nothing arrived there.
+    /// Forwards a send to a member; returns `None` if the connection failed, so that nothing was
+    /// sent.
     async fn send_to(
         &self,
         member: MemberId,
@@ -331,7 +341,7 @@
     ) -> Option<Sent> {
         let client = self.peers.client(member).await.ok()?;
         let message = Send {
-            request: self.passed(call),
+            request: self.wire_request(call),
             key: key.clone(),
             send,
         };
@@ -344,31 +354,32 @@
         }
     }
 
-    /// Asks members what they know of a key, and does what follows.
-    async fn ask(
+    /// Queries members about a key and acts on the result.
+    async fn look_up(
         self: &Arc<Self>,
-        question: Lookup,
+        lookup: Lookup,
         call: Call,
         key: Key,
         send: Option<u32>,
     ) -> Sent {
-        let members = self.asked(&call);
+        let members = self.members_to_query(&call);
         let mut poll = Poll::new(members.iter().copied());
-        let mut conclusion = poll.resolve();
-        let asking = members.into_iter().map(|member| {
-            let answer = self.ask_member(member, question.clone(), call.deadline);
+        let mut resolution = poll.resolve();
+        let queries = members.into_iter().map(|member| {
+            let answer = self.query_member(member, lookup.clone(), call.deadline);
             async move { (member, answer.await) }
         });
-        // All at once: one after the other, a few members that are down would use up the deadline.
-        let mut asking: FuturesUnordered<_> = asking.collect();
-        while conclusion.is_none() {
-            let Some((member, answer)) = asking.next().await else {
+        // In parallel, because sequential queries to a few members that are down would use up the
+        // deadline.
+        let mut queries: FuturesUnordered<_> = queries.collect();
+        while resolution.is_none() {
+            let Some((member, answer)) = queries.next().await else {
                 break;
             };
-            conclusion = poll.record_reply(member, answer);
+            resolution = poll.record_reply(member, answer);
         }
-        drop(asking);
-        match conclusion {
+        drop(queries);
+        match resolution {
             Some(Resolution::ForwardTo(member)) => {
                 let sent = self.send_to(member, &call, &key, send).await;
                 sent.unwrap_or(unknown())
@@ -379,56 +390,54 @@
         }
     }
 
-    /// Members to be asked: homes of the route first, since they are who issues keys.
-    fn asked(&self, call: &Call) -> Vec<MemberId> {
+    /// Returns the members to query: homes of the route first, because they issue the keys.
+    fn members_to_query(&self, call: &Call) -> Vec<MemberId> {
         let entry = self.routes.get(&call.route.name);
-        let mut asked: Vec<MemberId> = entry
+        let mut queried: Vec<MemberId> = entry
             .map(|entry| entry.homes.iter().map(|home| home.id).collect())
             .unwrap_or_default();
         let view = self.control.view();
         let others: Vec<_> = view.members.iter().map(|member| member.id).collect();
-        asked.extend(
+        queried.extend(
             others
                 .into_iter()
-                .filter(|id| !asked.contains(id))
+                .filter(|id| !queried.contains(id))
                 .collect::<Vec<_>>(),
         );
-        asked.retain(|id| *id != self.own.id);
-        asked.truncate(MAX_ASKED);
-        asked
+        queried.retain(|id| *id != self.own.id);
+        queried.truncate(MAX_QUERIED);
+        queried
     }
 
-    async fn ask_member(
+    async fn query_member(
         &self,
         member: MemberId,
-        question: Lookup,
+        lookup: Lookup,
         deadline: Instant,
     ) -> Option<Finding> {
-        let deadline = deadline.min(Instant::now() + ASK_TIMEOUT);
-        let asking = async {
+        let deadline = deadline.min(Instant::now() + QUERY_TIMEOUT);
+        let query = async {
             let client = self.peers.client(member).await.ok()?;
-            client.ask(context(deadline), question).await.ok()
+            client.ask(context(deadline), lookup).await.ok()
         };
-        tokio::time::timeout_at(deadline.into(), asking)
-            .await
-            .ok()?
+        tokio::time::timeout_at(deadline.into(), query).await.ok()?
     }
 
-    /// Answers a peer's question from the ledger.
-    pub(crate) fn answer(&self, question: &Lookup) -> Finding {
-        self.ledger.ledger().answer(question)
+    /// Answers a peer's lookup from the ledger.
+    pub(crate) fn answer(&self, lookup: &Lookup) -> Finding {
+        self.ledger.ledger().answer(lookup)
     }
 
-    /// Measures the ledger.
-    pub(super) fn measure(&self) {
+    /// Updates the metrics of recorded and running keys.
+    pub(super) fn update_key_metrics(&self) {
         let ledger = self.ledger.ledger();
         self.metrics
             .node
             .set_keys(ledger.recorded(), ledger.running());
     }
 
-    /// Drops what has expired from the ledger.
-    pub(super) fn tick_ledger(&self, now: Time) {
+    /// Removes expired keys from the ledger.
+    pub(super) fn expire_keys(&self, now: Time) {
         self.ledger.ledger().tick(now);
     }
 }
--- a/crates/daemon/src/node/forward.rs
+++ b/crates/daemon/src/node/forward.rs
@@ -1,4 +1,4 @@
-//! The one hop from the daemon that took a request to a home.
+//! Tracks the requests that this daemon forwards to homes on other daemons.
 
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::placement::HomeLoad;
@@ -8,22 +8,22 @@
 use std::time::{Duration, Instant};
 use tarpc::context::Context;
 
-/// Time for which a member that did not answer is only chosen when there is no other.
+/// Time for which a member that failed to answer is chosen only if there is no other.
 ///
-/// Members take seconds to suspect one of them; until then each query that is passed to a home
-/// which hangs would be lost. One lost query here keeps the following ones away.
+/// Failure detection takes seconds. Until then every request forwarded to a hanging home would be
+/// lost; this way, one lost request diverts the following ones.
 const AVOID_DURATION: Duration = Duration::from_secs(2);
 
-/// What this daemon has stats of a member while passing requests on.
+/// Forwarding statistics of one member.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerStats {
     outstanding: u32,
     silent_since: Option<Instant>,
-    /// When it last answered anything.
+    /// Time of the last answer to any request.
     last_answer: Option<Instant>,
 }
 
-/// What this daemon has stats of all members.
+/// Forwarding statistics of all members.
 #[derive(Debug, Default)]
 pub(super) struct Tracker {
     stats: Mutex<HashMap<MemberId, PeerStats>>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns what placement needs to know of a member.
+    /// Returns a member's load and health for the choice of a home.
     pub(super) fn load(&self, id: MemberId, near: bool, suspected: bool) -> HomeLoad {
         let stats = self.lock().get(&id).copied().unwrap_or_default();
         let silent = stats
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Tells whether a member has answered nothing since a point in time.
+    /// Returns whether a member has answered no request since `since`.
     pub(super) fn is_silent(&self, member: MemberId, since: Instant) -> bool {
         let last_answer = self.lock().get(&member).and_then(|stats| stats.last_answer);
         last_answer.is_none_or(|last_answer| last_answer < since)
     }
 
-    /// Forgets members that are gone.
+    /// Drops the statistics of members that `keep` rejects and that have no request outstanding.
     pub(super) fn retain(&self, keep: impl Fn(&MemberId) -> bool) {
         self.lock()
             .retain(|id, stats| keep(id) || stats.outstanding > 0);
@@ -71,7 +71,7 @@
     }
 }
 
-/// A request on its way to a member.
+/// An outstanding request to a member.
 pub(super) struct Guard<'a> {
     tracker: &'a Tracker,
     member: MemberId,
@@ -79,7 +79,7 @@
 }
 
 impl Guard<'_> {
-    /// Notes whether the member answered.
+    /// Ends the request and records whether the member answered.
     pub(super) fn answered(mut self, answered: bool) {
         self.answered = Some(answered);
     }
@@ -98,13 +98,13 @@
                 stats.last_answer = Some(Instant::now());
             }
             Some(false) => stats.silent_since = Some(Instant::now()),
-            // The caller went away first; that says nothing of the member.
+            // Cancelled because the caller disconnected; no information on the member.
             None => {}
         }
     }
 }
 
-/// Makes the context of a call whose request has to be answered by `deadline`.
+/// Returns the RPC context of a request with this deadline.
 pub(super) fn context(deadline: Instant) -> Context {
     let mut context = tarpc::context::current();
     context.deadline = deadline + GRACE;
--- a/crates/daemon/src/node/history.rs
+++ b/crates/daemon/src/node/history.rs
@@ -1,8 +1,8 @@
-//! The latest decisions, for operators who ask about one request.
+//! A bounded history of recent decisions, for operators who look up a request.
 //!
-//! The daemon that took a request decides which home it goes to, and the home which backend servers;
-//! each keeps its own decisions. They are typed and not text, and the oldest make room for new ones,
-//! so that the memory they take is bounded.
+//! The daemon that accepts a request chooses its home, and the home chooses backend servers; each
+//! records its own decisions. Records hold values instead of text, and the oldest are evicted, so
+//! that memory use is bounded.
 
 use monsoonring_configuration::id::{BackendServerId, RouteId};
 use monsoonring_decision::member::MemberId;
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Decisions kept.
+/// Records in the history before the oldest is evicted.
 const MAX_RECORDS: usize = 20_000;
 
 /// One decision on a request.
@@ -21,34 +21,34 @@
     pub(crate) request: RequestId,
     pub(crate) at: Time,
     pub(crate) route: RouteId,
-    pub(crate) what: &'static str,
+    pub(crate) label: &'static str,
     pub(crate) backend_server: Option<BackendServerId>,
     pub(crate) home: Option<MemberId>,
-    pub(crate) why: Rationale,
+    pub(crate) rationale: Rationale,
 }
 
 impl Record {
-    /// Returns the record for operators. The age tells the order of records of several daemons, whose
-    /// own times have nothing in common.
+    /// Returns the record as JSON for operators. Its age orders the records of several daemons,
+    /// whose clocks are not comparable.
     fn to_json(&self, now: Time) -> Value {
         json!({
             "at_ms": self.at.as_millis(),
             "ago_ms": now.saturating_sub(self.at).as_millis(),
             "route": &*self.route,
-            "decision": self.what,
+            "decision": self.label,
             "backend_server": self.backend_server,
             "home": self.home,
-            "reason": self.why.to_string(),
+            "reason": self.rationale.to_string(),
         })
     }
 }
 
-/// The latest decisions of this daemon.
+/// The recent decisions of this daemon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History(Arc<Mutex<VecDeque<Record>>>);
 
 impl History {
-    /// Keeps a decision.
+    /// Adds a decision.
     pub(crate) fn record(&self, record: Record) {
         let mut records = self.lock();
         if records.len() == MAX_RECORDS {
@@ -57,7 +57,7 @@
         records.push_back(record);
     }
 
-    /// Returns the decisions on a request, the oldest first.
+    /// Returns the decisions on a request, oldest first.
     pub(super) fn for_request(&self, request: RequestId, now: Time) -> Vec<Value> {
         let records = self.lock();
         let records = records.iter().filter(|record| record.request == request);
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! One daemon among others: what it does with the requests that callers and peers bring.
+//! Dispatches the requests of callers and peers to homes.
 //!
-//! A request goes to a home of its route: here, if this daemon is one, else by one hop. Searches are
-//! in `search`, non-idempotent requests in `execute`; `routes` keeps the homes that this daemon is
-//! one of; `stop` ends it all without cutting anything off.
+//! A request runs at a home of its route: in this daemon if it is one, else at a peer, one hop
+//! away. `search` handles searches and `execute` non-idempotent requests; `routes` tracks the
+//! routes that this daemon is a home of; `stop` implements the graceful stop.
 
 mod decision;
 mod execute;
@@ -35,7 +35,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One daemon.
+/// The shared state of a daemon.
 pub(crate) struct Node {
     own: Member,
     clock: Clock,
@@ -46,7 +46,7 @@
     peers: Pool,
     forwards: Tracker,
     ledger: execute::SharedLedger,
-    stopping: stop::Flag,
+    stopping: stop::StopState,
     history: History,
 }
 
@@ -64,41 +64,41 @@
         &self.control
     }
 
-    /// Writes a decision on a call to the log, and keeps it.
-    fn note(&self, call: &Call, what: &'static str, home: Option<MemberId>, why: &str) {
+    /// Logs a decision on a call and records it in the history.
+    fn log_decision(&self, call: &Call, label: &'static str, home: Option<MemberId>, reason: &str) {
         info!(self.log, "decision"; "request" => format!("{:032x}", call.request),
-            "route" => &*call.route.name, "decision" => what,
-            "home" => home.map(|home| home.to_string()), "reason" => why);
+            "route" => &*call.route.name, "decision" => label,
+            "home" => home.map(|home| home.to_string()), "reason" => reason);
         self.history.record(Record {
             request: call.request,
             at: self.clock.now(),
             route: call.route.name.clone(),
-            what,
+            label,
             backend_server: None,
             home,
-            why: Rationale::Text(why.to_owned()),
+            rationale: Rationale::Text(reason.to_owned()),
         });
     }
 
-    /// Probes a member for another one.
+    /// Probes a member on behalf of another member.
     pub(crate) async fn probe(
         &self,
         target: MemberId,
         message: Message,
         limit: Duration,
     ) -> Option<Message> {
-        let probing = async {
+        let probe = async {
             let client = self.peers.client(target).await.ok()?;
             client
                 .probe(forward::context(Instant::now() + limit), message)
                 .await
                 .ok()?
         };
-        tokio::time::timeout(limit, probing).await.ok()?
+        tokio::time::timeout(limit, probe).await.ok()?
     }
 }
 
-/// The daemon as the front sees it.
+/// The [`Service`] that the callers' and operators' ports use.
 pub(crate) struct Front(Arc<Node>);
 
 impl Service for Front {
@@ -128,7 +128,7 @@
     }
 
     fn explain(&self, query: Explain) -> BoxFuture<'_, Option<serde_json::Value>> {
-        self.0.explained(query).boxed()
+        self.0.explain(query).boxed()
     }
 
     fn leave(&self) {
--- a/crates/daemon/src/node/routes.rs
+++ b/crates/daemon/src/node/routes.rs
@@ -1,4 +1,4 @@
-//! Which routes this daemon is a home of, kept in step with configuration and members.
+//! Tracks the routes that this daemon is a home of as configuration and members change.
 
 use crate::backend::Json;
 use crate::control::View;
@@ -12,18 +12,18 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// One route as this daemon sees it.
+/// A route with its homes.
 #[derive(Clone)]
 pub(super) struct Entry {
-    /// Its configuration.
+    /// Configuration of the route.
     pub(super) route: Arc<Route>,
-    /// Its homes, best first.
+    /// Homes of the route, highest rank first.
     pub(super) homes: Arc<[Member]>,
-    /// Its task, if this daemon is a home.
+    /// Handle of the home's task if this daemon is a home.
     pub(super) handle: Option<Handle>,
 }
 
-/// Starts the task of a route with that many homes.
+/// Starts the task of a route, given its number of homes.
 type Spawn = Box<dyn Fn(Arc<Route>, usize) -> Handle + Send + Sync>;
 
 /// All routes of the configuration in force.
@@ -31,10 +31,10 @@
     own: MemberId,
     log: Logger,
     spawn: Spawn,
-    /// Number of homes of each route in place of placement's own.
+    /// Overrides the number of homes per route that placement computes.
     homes: Option<usize>,
     entries: Mutex<HashMap<RouteId, Entry>>,
-    /// The members that the homes were chosen from.
+    /// Members at the last update, from which the homes were chosen.
     members: Mutex<Arc<[Member]>>,
 }
 
@@ -58,8 +58,8 @@
         self.lock().values().cloned().collect()
     }
 
-    /// Tells every home here of an event.
-    pub(super) fn tell(&self, event: &Event) {
+    /// Sends an event to every home in this daemon.
+    pub(super) fn broadcast(&self, event: &Event) {
         for entry in self.lock().values() {
             if let Some(handle) = &entry.handle {
                 handle.send(event.clone());
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Follows a change of configuration or members, and returns the homes that begin here.
+    /// Applies a change of configuration or members; returns the homes that were started.
     pub(super) fn update(&self, view: &View) -> Vec<Handle> {
         let Some(configuration) = &view.configuration else {
             return Vec::new();
         };
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         let difference = self.difference(view);
         let mut entries = self.lock();
         let mut old = std::mem::take(&mut *entries);
@@ -82,24 +82,28 @@
             };
             let old = old.remove(&route.name);
             let was_home = old.as_ref().is_some_and(|old| old.handle.is_some());
-            let entry = self.follow(route, old, view, &difference);
-            begun.extend(entry.handle.clone().filter(|_| !was_home));
+            let entry = self.update_entry(route, old, view, &difference);
+            started.extend(entry.handle.clone().filter(|_| !was_home));
             entries.insert(route.name.clone(), entry);
         }
         for (name, entry) in old {
-            self.end(&name, entry.handle, "the route is not configured any more");
+            self.stop_home(
+                &name,
+                entry.handle,
+                "the route was removed from the configuration",
+            );
         }
-        begun
+        started
     }
 
-    /// Compares the members of the view with those that the homes were chosen from.
+    /// Returns the difference from the members at the last update, and stores the new members.
     fn difference(&self, view: &View) -> Difference {
         let mut members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         let old = std::mem::replace(&mut *members, view.members.clone());
         Difference::between(&old, &view.members)
     }
 
-    /// Returns the homes of a route, kept where they can't have changed.
+    /// Returns the homes of a route; reuses the old ones if the difference can't affect them.
     fn homes(
         &self,
         route: &Route,
@@ -110,11 +114,11 @@
         let members = view.members.len();
         let count = placement::homes(&route.capacity, route.groups.len(), members);
         let count = self.homes.map_or(count, |homes| homes.min(members));
-        let kept = old.filter(|old| {
+        let unchanged = old.filter(|old| {
             let homes: Vec<MemberId> = old.homes.iter().map(|home| home.id).collect();
             homes.len() == count && !difference.may_affect(&route.name, &homes)
         });
-        if let Some(old) = kept {
+        if let Some(old) = unchanged {
             return old.homes.clone();
         }
         let homes = placement::select(&route.name, &view.members, count);
@@ -122,7 +126,7 @@
         homes.collect()
     }
 
-    fn follow(
+    fn update_entry(
         &self,
         route: &Arc<Route>,
         old: Option<Entry>,
@@ -136,14 +140,18 @@
                 handle: Some(handle),
                 ..
             }) if !is_home => {
-                self.end(&route.name, Some(handle), "other members rank higher");
+                self.stop_home(
+                    &route.name,
+                    Some(handle),
+                    "this member no longer ranks among the homes",
+                );
                 None
             }
             Some(old) if old.handle.is_some() => {
-                self.adjust(&old, route, homes.len());
+                self.update_home(&old, route, homes.len());
                 old.handle
             }
-            _ if is_home => Some(self.begin(route, homes.len())),
+            _ if is_home => Some(self.start_home(route, homes.len())),
             _ => None,
         };
         Entry {
@@ -153,13 +161,13 @@
         }
     }
 
-    fn begin(&self, route: &Arc<Route>, homes: usize) -> Handle {
+    fn start_home(&self, route: &Arc<Route>, homes: usize) -> Handle {
         info!(self.log, "placement"; "what" => "home", "route" => &*route.name, "homes" => homes,
-            "why" => "this member ranks among the first");
+            "why" => "this member ranks among the homes");
         (self.spawn)(route.clone(), homes)
     }
 
-    fn adjust(&self, old: &Entry, route: &Arc<Route>, homes: usize) {
+    fn update_home(&self, old: &Entry, route: &Arc<Route>, homes: usize) {
         let Some(handle) = &old.handle else { return };
         if old.route != *route {
             handle.send(Event::Route(route.clone()));
@@ -171,10 +179,10 @@
         }
     }
 
-    /// Ends a home. Its task goes on until what is in flight has ended.
-    fn end(&self, name: &RouteId, handle: Option<Handle>, why: &str) {
+    /// Stops a home. Its task ends after the requests in progress.
+    fn stop_home(&self, name: &RouteId, handle: Option<Handle>, reason: &str) {
         let Some(handle) = handle else { return };
-        info!(self.log, "placement"; "what" => "no home", "route" => &**name, "why" => why);
+        info!(self.log, "placement"; "what" => "no home", "route" => &**name, "why" => reason);
         handle.send(Event::Stop);
     }
 
@@ -183,7 +191,7 @@
     }
 }
 
-/// Makes the function that starts routes.
+/// Returns the function that starts the task of a route with these settings.
 pub(super) fn spawner(
     settings: impl Fn(Arc<Route>, usize) -> route::Settings<Json> + Send + Sync + 'static,
 ) -> Spawn {
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -1,4 +1,4 @@
-//! Searches: here, or one hop away.
+//! Runs searches at a home, in this daemon or one hop away.
 
 use super::Node;
 use super::forward::context;
@@ -16,33 +16,33 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Homes that a search is brought to at most. It is idempotent, so that a home that failed may be
-/// followed by another; more than this would make a storm of an outage.
-const MAX_HOPS: usize = 3;
+/// Maximum number of homes that a search is sent to. Searches are idempotent and may be retried at
+/// another home; the limit prevents a retry storm during an outage.
+const MAX_HOMES: usize = 3;
 
-/// The part of the remaining time after which a home that has said nothing at all counts as silent: a
-/// frozen process or a cut that the members have not noticed yet. A home that answers others in the
-/// meantime is only busy, and a second one would double its work for nothing.
-const PATIENCE_DIVISOR: f64 = 4.0;
+/// Divides the remaining time to give the silence timeout. A home that answers no request for that
+/// long may be frozen or cut off without the failure detector having noticed, so the next home is
+/// tried. A home that answers other requests is only busy; a second attempt would add load.
+const SILENCE_TIMEOUT_DIVISOR: f64 = 4.0;
 
-/// When to come back where no home could be reached: about the time that members need to find out.
+/// Retry-after if no home could be reached: about the time that the failure detector needs.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A home, and why it was chosen.
+/// A home and the reason for its choice.
 pub(super) struct Choice {
     pub(super) home: MemberId,
-    pub(super) why: String,
+    pub(super) reason: String,
 }
 
-/// Says what told for a home.
-fn why(standing: &HomeLoad, homes: usize) -> String {
-    let place = if standing.near { "near" } else { "far" };
-    let doubt = if standing.suspect { ", suspect" } else { "" };
-    let outstanding = standing.outstanding;
-    format!("{place}{doubt}, {outstanding} outstanding, one of {homes} homes")
+/// Describes why a home was chosen.
+fn describe(load: &HomeLoad, homes: usize) -> String {
+    let distance = if load.near { "near" } else { "far" };
+    let suspicion = if load.suspect { ", suspect" } else { "" };
+    let outstanding = load.outstanding;
+    format!("{distance}{suspicion}, {outstanding} outstanding, one of {homes} homes")
 }
 
-/// "Not run", for want of a home.
+/// Returns the outcome of a request for which no home is available.
 pub(super) fn unavailable() -> Outcome {
     Outcome::NotRun {
         reason: Reason::Unavailable,
@@ -50,28 +50,28 @@
     }
 }
 
-/// How far a search got at one home.
-enum Reached {
-    /// The home told how it ended.
-    Ended(Outcome),
-    /// The home did not take it.
+/// Result of sending a search to one home.
+enum Attempt {
+    /// The home returned an outcome.
+    Finished(Outcome),
+    /// The home did not accept the search.
     Declined,
-    /// The home may have run it; its answer did not arrive.
+    /// The call failed; the home may have run the search.
     Lost,
 }
 
-/// A search on its way to one or more homes.
+/// A search that is sent to one or more homes.
 struct Search<'a> {
     node: &'a Node,
     entry: &'a Entry,
     call: &'a Call,
     tried: Vec<MemberId>,
-    /// Whether a home may have run it.
-    reached: bool,
+    /// Whether a home may have run the search without returning an outcome.
+    may_have_run: bool,
 }
 
 impl Search<'_> {
-    /// Brings the search to one home after the other until one of them tells how it ended.
+    /// Sends the search to one home after another until one returns an outcome.
     async fn run(mut self) -> Outcome {
         let mut running = FuturesUnordered::new();
         while let Some(choice) = self.next() {
@@ -80,20 +80,21 @@
             if let Some(outcome) = self.wait(home, &mut running).await {
                 return outcome;
             }
-            let why = "the next home, if any";
-            self.node.note(self.call, "no answer", Some(home), why);
+            let reason = "no outcome yet; trying another home, if any";
+            self.node
+                .log_decision(self.call, "no answer", Some(home), reason);
         }
-        while let Some(reached) = running.next().await {
-            if let Some(outcome) = self.note(reached) {
+        while let Some(attempt) = running.next().await {
+            if let Some(outcome) = self.record(attempt) {
                 return outcome;
             }
         }
-        self.given_up()
+        self.final_outcome()
     }
 
     fn next(&mut self) -> Option<Choice> {
         let in_time = Instant::now() < self.call.deadline;
-        if self.tried.len() == MAX_HOPS || !in_time {
+        if self.tried.len() == MAX_HOMES || !in_time {
             return None;
         }
         let choice = self
@@ -103,27 +104,27 @@
         Some(choice)
     }
 
-    /// Waits for an outcome; returns without one where another home should be tried.
-    async fn wait<F: Future<Output = Reached>>(
+    /// Waits for an outcome; returns `None` if another home should be tried.
+    async fn wait<F: Future<Output = Attempt>>(
         &mut self,
         home: MemberId,
         running: &mut FuturesUnordered<F>,
     ) -> Option<Outcome> {
         let since = Instant::now();
         let remaining = self.call.deadline.saturating_duration_since(since);
-        let mut patience = pin!(sleep(remaining.div_f64(PATIENCE_DIVISOR)));
-        let mut patient = home != self.node.own.id;
+        let mut silence_timeout = pin!(sleep(remaining.div_f64(SILENCE_TIMEOUT_DIVISOR)));
+        let mut timeout_armed = home != self.node.own.id;
         loop {
             tokio::select! {
-                reached = running.next() => {
-                    let reached = reached?;
-                    let outcome = self.note(reached);
+                attempt = running.next() => {
+                    let attempt = attempt?;
+                    let outcome = self.record(attempt);
                     if outcome.is_some() || running.is_empty() {
                         return outcome;
                     }
                 }
-                () = &mut patience, if patient => {
-                    patient = false;
+                () = &mut silence_timeout, if timeout_armed => {
+                    timeout_armed = false;
                     if self.node.forwards.is_silent(home, since) {
                         return None;
                     }
@@ -132,23 +133,24 @@
         }
     }
 
-    fn note(&mut self, reached: Reached) -> Option<Outcome> {
-        match reached {
-            Reached::Ended(outcome) => return Some(outcome),
-            Reached::Declined => {}
-            Reached::Lost => self.reached = true,
+    fn record(&mut self, attempt: Attempt) -> Option<Outcome> {
+        match attempt {
+            Attempt::Finished(outcome) => return Some(outcome),
+            Attempt::Declined => {}
+            Attempt::Lost => self.may_have_run = true,
         }
         None
     }
 
-    /// "Not run" only where no home can have run it.
-    fn given_up(&self) -> Outcome {
+    /// Returns the outcome after all homes failed: "not run" only if no home can have run the
+    /// search.
+    fn final_outcome(&self) -> Outcome {
         let reason = match Instant::now() < self.call.deadline {
             true => Reason::Unavailable,
             false => Reason::Deadline,
         };
         let retry_after = Some(RETRY_AFTER);
-        match self.reached {
+        match self.may_have_run {
             true => Outcome::Failed {
                 reason,
                 retry_after,
@@ -174,12 +176,12 @@
             entry: &entry,
             call: &call,
             tried: Vec::new(),
-            reached: false,
+            may_have_run: false,
         };
         search.run().await
     }
 
-    /// Chooses a home among those that were not tried.
+    /// Chooses a home that is not in `tried`.
     pub(super) fn choose(
         &self,
         entry: &Entry,
@@ -187,37 +189,37 @@
         tried: &[MemberId],
     ) -> Option<Choice> {
         let homes = entry.homes.iter().filter(|home| !tried.contains(&home.id));
-        let standings = homes.map(|home| {
+        let loads = homes.map(|home| {
             let near = home.data_centre == self.own.data_centre;
             self.forwards
                 .load(home.id, near, self.control.is_suspect(home.id))
         });
-        let standings: Vec<_> = standings.collect();
-        let home = placement::choose(self.own.id, request, &standings)?;
-        let standing = standings.iter().find(|standing| standing.id == home)?;
+        let loads: Vec<_> = loads.collect();
+        let home = placement::choose(self.own.id, request, &loads)?;
+        let load = loads.iter().find(|load| load.id == home)?;
         Some(Choice {
             home,
-            why: why(standing, standings.len()),
+            reason: describe(load, loads.len()),
         })
     }
 
-    async fn search_at(&self, choice: Choice, entry: &Entry, call: &Call) -> Reached {
-        let Choice { home, why } = choice;
+    async fn search_at(&self, choice: Choice, entry: &Entry, call: &Call) -> Attempt {
+        let Choice { home, reason } = choice;
         if home == self.own.id {
             return match &entry.handle {
-                Some(handle) => Reached::Ended(handle.run(self.local(call, None)).await),
-                None => Reached::Declined,
+                Some(handle) => Attempt::Finished(handle.run(self.home_request(call, None)).await),
+                None => Attempt::Declined,
             };
         }
-        self.note(call, "pass on", Some(home), &why);
+        self.log_decision(call, "pass on", Some(home), &reason);
         let guard = self.forwards.begin(home);
         let Ok(client) = self.peers.client(home).await else {
             guard.answered(false);
             self.metrics.node.hopped("lost");
-            return Reached::Declined;
+            return Attempt::Declined;
         };
         let answer = client
-            .search(context(call.deadline), self.passed(call))
+            .search(context(call.deadline), self.wire_request(call))
             .await;
         guard.answered(answer.is_ok());
         self.metrics.node.hopped(match &answer {
@@ -226,17 +228,21 @@
             Err(_) => "lost",
         });
         match answer {
-            Ok(Ok(outcome)) => Reached::Ended(outcome),
-            Ok(Err(Declined::NotHome | Declined::Ledger(_))) => Reached::Declined,
+            Ok(Ok(outcome)) => Attempt::Finished(outcome),
+            Ok(Err(Declined::NotHome | Declined::Ledger(_))) => Attempt::Declined,
             Err(_) => {
                 self.peers.forget(home);
-                Reached::Lost
+                Attempt::Lost
             }
         }
     }
 
-    /// Makes the request as a home here takes it.
-    pub(super) fn local(&self, call: &Call, execute_key: Option<Arc<str>>) -> event::Request {
+    /// Converts a call to the request that a home in this daemon receives.
+    pub(super) fn home_request(
+        &self,
+        call: &Call,
+        execute_key: Option<Arc<str>>,
+    ) -> event::Request {
         event::Request {
             id: call.request,
             caller: call.caller.clone(),
@@ -250,8 +256,8 @@
         }
     }
 
-    /// Makes the request as another daemon takes it.
-    pub(super) fn passed(&self, call: &Call) -> Request {
+    /// Converts a call to the request that is forwarded to a peer.
+    pub(super) fn wire_request(&self, call: &Call) -> Request {
         let version = self.control.version();
         Request {
             id: call.request,
@@ -264,20 +270,21 @@
         }
     }
 
-    /// Declines what a peer passed on, if this daemon may not take new work; another home may.
-    pub(super) fn rested(&self) -> Result<(), Declined> {
+    /// Declines a forwarded request if this daemon is not ready, so that the peer tries another
+    /// home.
+    pub(super) fn check_ready(&self) -> Result<(), Declined> {
         self.control.ready().map_err(|_| Declined::NotHome)
     }
 
-    /// Runs a search that a peer passed on.
+    /// Runs a search that a peer forwarded.
     pub(crate) async fn search_forwarded(&self, call: Call) -> Result<Outcome, Declined> {
-        self.rested()?;
+        self.check_ready()?;
         let entry = self.routes.get(&call.route.name).ok_or(Declined::NotHome)?;
         let handle = entry.handle.ok_or(Declined::NotHome)?;
-        Ok(handle.run(self.local(&call, None)).await)
+        Ok(handle.run(self.home_request(&call, None)).await)
     }
 
-    /// Returns a peer's request as a call, if its route is known here.
+    /// Converts a peer's request to a call; `None` if this daemon does not know the route.
     pub(crate) fn call(&self, request: Request, deadline: Instant) -> Option<Call> {
         let entry = self.routes.get(&request.route)?;
         Some(Call {
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Bringing a daemon's controllers up.
+//! Starts a daemon's tasks.
 
 use super::execute::SharedLedger;
 use super::forward::Tracker;
@@ -30,10 +30,10 @@
 use tokio::sync::mpsc;
 use tokio::time::interval;
 
-/// Time between two clean-ups of the ledger.
-const LEDGER_TICK: Duration = Duration::from_secs(1);
+/// Interval at which expired keys are removed from the ledger.
+const LEDGER_EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the controllers of a daemon and serves its peers on `peers`.
+/// Starts the daemon's tasks and serves its peers on `peers`.
 pub(crate) fn start(
     settings: &Settings,
     peers: TcpListener,
@@ -42,7 +42,7 @@
     metrics: Arc<Metrics>,
 ) -> Front {
     let clock = Clock::start();
-    let mut random = random(settings.seed);
+    let mut rng = rng(settings.seed);
     let own = Member {
         id: advertised,
         data_centre: settings.data_centre.clone(),
@@ -55,22 +55,22 @@
     let meter = metrics.peer_bytes.clone();
     let endpoint = Endpoint::new(settings.peer_listen.ip(), ring, meter);
     let pool = Pool::new(endpoint.clone());
-    let (news, heard) = mpsc::unbounded_channel();
+    let (new_facts, fact_updates) = mpsc::unbounded_channel();
     let control = control::spawn(control::Settings {
         own: own.clone(),
         start,
         seeds: settings.peers.clone(),
         members: member::Settings::default(),
-        seed: random.random(),
+        seed: rng.random(),
         clock,
         service: platform::Service::new(settings.configuration_service),
         list: platform::List::new(settings.host_list),
         peers: pool.clone(),
         log: log.clone(),
         metrics: metrics.clone(),
-        news,
+        new_facts,
     });
-    let (facts, found) = mpsc::unbounded_channel();
+    let (facts, found_facts) = mpsc::unbounded_channel();
     let history = History::default();
     let routes = routes(
         &settings.baseline,
@@ -82,7 +82,7 @@
         clock,
         facts,
         history.clone(),
-        random.random(),
+        rng.random(),
     );
     let fence = Fence {
         member: own.id,
@@ -90,7 +90,7 @@
     };
     let ledger = Ledger::new(
         fence,
-        Secret::from(random.random::<[u8; 32]>()),
+        Secret::from(rng.random::<[u8; 32]>()),
         Limits::default(),
     );
     let node = Arc::new(Node {
@@ -103,19 +103,19 @@
         peers: pool,
         forwards: Tracker::default(),
         ledger: SharedLedger::new(ledger),
-        stopping: stop::Flag::default(),
+        stopping: stop::StopState::default(),
         history,
     });
-    tokio::spawn(follow(node.clone()));
-    tokio::spawn(hear(node.clone(), heard));
-    tokio::spawn(tell(node.clone(), found));
-    tokio::spawn(clean(node.clone()));
+    tokio::spawn(apply_views(node.clone()));
+    tokio::spawn(deliver_facts(node.clone(), fact_updates));
+    tokio::spawn(publish_facts(node.clone(), found_facts));
+    tokio::spawn(maintain_ledger(node.clone()));
     let max_connections = settings.limits.max_peer_connections;
     tokio::spawn(peer::serve(node.clone(), peers, endpoint, max_connections));
     Front(node)
 }
 
-fn random(seed: Option<u64>) -> ChaCha20Rng {
+fn rng(seed: Option<u64>) -> ChaCha20Rng {
     match seed {
         Some(seed) => ChaCha20Rng::seed_from_u64(seed),
         None => ChaCha20Rng::from_os_rng(),
@@ -150,34 +150,38 @@
     Routes::new(own.id, log, spawn, baseline.homes())
 }
 
-/// Keeps the routes in step with the view.
-async fn follow(node: Arc<Node>) {
+/// Applies each change of the view to the routes, the peer connections and the forwarding
+/// statistics.
+async fn apply_views(node: Arc<Node>) {
     let mut changes = node.control.changes();
     while changes.changed().await.is_ok() {
         let view = changes.borrow_and_update().clone();
-        let begun = node.routes.update(&view);
-        node.brief(&begun).await;
+        let started = node.routes.update(&view);
+        node.send_known_facts(&started).await;
         let known: HashSet<SocketAddr> = view.members.iter().map(|member| member.id).collect();
         node.forwards.retain(|id| known.contains(id));
         node.peers.retain(|id| known.contains(id));
     }
 }
 
-/// Takes facts that other daemons found to the homes here.
-async fn hear(node: Arc<Node>, mut heard: mpsc::UnboundedReceiver<control::NewFact>) {
-    while let Some(news) = heard.recv().await {
-        if let Some(event) = node.event(&news.entry) {
-            node.routes.tell(&event);
+/// Delivers new facts to the homes in this daemon; sends those found here to peers.
+async fn deliver_facts(
+    node: Arc<Node>,
+    mut fact_updates: mpsc::UnboundedReceiver<control::NewFact>,
+) {
+    while let Some(new) = fact_updates.recv().await {
+        if let Some(event) = node.home_event(&new.entry) {
+            node.routes.broadcast(&event);
         }
-        if news.own {
-            node.spread(&news.entry);
+        if new.own {
+            node.push_fact(&new.entry);
         }
     }
 }
 
-/// Takes facts that homes here found to the other daemons.
-async fn tell(node: Arc<Node>, mut found: mpsc::UnboundedReceiver<Fact>) {
-    while let Some(fact) = found.recv().await {
+/// Publishes the facts that homes in this daemon found.
+async fn publish_facts(node: Arc<Node>, mut found_facts: mpsc::UnboundedReceiver<Fact>) {
+    while let Some(fact) = found_facts.recv().await {
         match fact {
             Fact::Leaving(server, start) => {
                 node.control
@@ -194,34 +198,34 @@
     }
 }
 
-async fn clean(node: Arc<Node>) {
-    let mut ticks = interval(LEDGER_TICK);
+/// Removes expired keys from the ledger and updates its metrics.
+async fn maintain_ledger(node: Arc<Node>) {
+    let mut ticks = interval(LEDGER_EXPIRY_INTERVAL);
     loop {
         ticks.tick().await;
-        node.tick_ledger(node.clock.now());
-        node.measure();
+        node.expire_keys(node.clock.now());
+        node.update_key_metrics();
     }
 }
 
 impl Node {
-    /// Tells homes that begin what is known already: else a home would send work to a server whose
-    /// leaving was told before it began.
-    async fn brief(&self, begun: &[route::Handle]) {
-        if begun.is_empty() {
+    /// Sends the known facts to homes that have just started. Without them, a home would send
+    /// requests to a server that was announced as leaving before the home started.
+    async fn send_known_facts(&self, started: &[route::Handle]) {
+        if started.is_empty() {
             return;
         }
         let facts = self.control.facts().await;
-        for event in facts.iter().filter_map(|entry| self.event(entry)) {
-            begun.iter().for_each(|handle| handle.send(event.clone()));
+        for event in facts.iter().filter_map(|entry| self.home_event(entry)) {
+            started.iter().for_each(|handle| handle.send(event.clone()));
         }
     }
 
-    /// Tells the other homes of the routes here at once of a fact found here.
+    /// Pushes a fact found here to the other homes of this daemon's routes.
     ///
-    /// With the probes it would reach them within a second or two. A caller that sends a crashing
-    /// request again is at the next home within milliseconds, and would take a server of each group
-    /// down there too.
-    fn spread(&self, entry: &fact::Entry) {
+    /// Gossip would take a second or two. A caller that retries a request that crashes servers
+    /// reaches the next home within milliseconds, and would crash a server of each group there too.
+    fn push_fact(&self, entry: &fact::Entry) {
         let routes = self.routes.list();
         let homes = routes.iter().filter(|route| route.handle.is_some());
         let homes: BTreeSet<_> = homes
@@ -232,15 +236,15 @@
             let (peers, entry, own) = (self.peers.clone(), entry.clone(), self.own.id);
             tokio::spawn(async move {
                 if let Ok(client) = peers.client(home).await {
-                    // Lost, it comes with the probes.
+                    // If the call fails, gossip still delivers the fact.
                     let _ = client.hear(tarpc::context::current(), entry, own).await;
                 }
             });
         }
     }
 
-    /// Returns what a fact means for a home.
-    fn event(&self, entry: &fact::Entry) -> Option<Event> {
+    /// Converts a fact to the event that homes receive.
+    fn home_event(&self, entry: &fact::Entry) -> Option<Event> {
         match &entry.key {
             fact::Key::Leaving(backend_server) => Some(Event::Leaving {
                 backend_server: *backend_server,
--- a/crates/daemon/src/node/state.rs
+++ b/crates/daemon/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What operators see of the daemon.
+//! Reports the daemon's state to operators.
 
 use super::Node;
 use super::routes::Entry;
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 impl Node {
-    /// Describes the daemon.
+    /// Returns the daemon's state as JSON.
     pub(super) async fn describe(&self) -> Value {
         let view = self.control.view();
         let ready = self.stopping.ready().and_then(|()| self.control.ready());
@@ -20,7 +20,7 @@
             "configuration": configuration(&view),
             "isolated": view.isolated,
             "members": self.members().await,
-            "routes": self.routes_shown().await,
+            "routes": self.describe_routes().await,
             "facts": self.facts().await,
             "keys_running": self.ledger.ledger().running(),
         })
@@ -32,30 +32,30 @@
         members.iter().map(shown::member).collect()
     }
 
-    async fn routes_shown(&self) -> Vec<Value> {
+    async fn describe_routes(&self) -> Vec<Value> {
         let mut entries = self.routes.list();
         entries.sort_by(|left, right| left.route.name.cmp(&right.route.name));
-        let mut shown = Vec::new();
+        let mut routes = Vec::new();
         for entry in entries {
-            shown.push(route(&entry).await);
+            routes.push(route(&entry).await);
         }
-        shown
+        routes
     }
 
-    /// What members told each other and still holds: why requests or servers are avoided that did
-    /// nothing wrong here.
+    /// Returns the facts in force. They explain why this daemon avoids servers or refuses requests
+    /// that caused no failure here.
     async fn facts(&self) -> Vec<Value> {
         let facts = self.control.facts().await;
         facts.iter().map(shown::fact).collect()
     }
 
-    /// Explains a request or the standing of a backend server.
-    pub(super) async fn explained(&self, query: Explain) -> Option<Value> {
+    /// Returns the decisions on a request or the state of a backend server; `None` if unknown.
+    pub(super) async fn explain(&self, query: Explain) -> Option<Value> {
         match query {
             Explain::Request(request) => {
                 let decisions = self.history.for_request(request, self.clock.now());
-                let known = !decisions.is_empty();
-                known.then(|| {
+                let found = !decisions.is_empty();
+                found.then(|| {
                     json!({
                         "request": format!("{request:032x}"),
                         "decisions": decisions,
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -1,8 +1,8 @@
-//! A planned stop, as far as peers are concerned.
+//! Implements the peers' side of a graceful stop.
 //!
-//! The front has its own part: it stops being ready, waits for the balancer, closes the callers'
-//! port and lets their requests finish. Here the members are told first, so that nothing new is
-//! passed on to this daemon; then what was passed on finishes; then the ledger goes to a successor.
+//! The callers' side becomes unready, waits for the load balancer, closes its port and drains its
+//! requests. This side first announces the stop to the members, so that they forward no new
+//! requests here; then it drains the forwarded requests and hands the ledger over to a successor.
 
 use super::Node;
 use super::forward::context;
@@ -13,24 +13,24 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at whether what was passed on has finished.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval between checks whether the forwarded requests have finished.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time that the handover of the ledger may take.
+/// Timeout of the ledger's handover.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Name under which the successor is chosen; any fixed text serves.
-const SUCCESSION: &str = "successor";
+/// Hash key for the choice of the successor; any constant works.
+const SUCCESSOR_KEY: &str = "successor";
 
-/// Whether the daemon stops, and how many requests of peers it still works on.
+/// Whether the daemon is stopping, and the number of forwarded requests in progress.
 #[derive(Debug, Default)]
-pub(super) struct Flag {
+pub(super) struct StopState {
     stopping: AtomicBool,
     forwarded: AtomicUsize,
 }
 
-impl Flag {
-    /// Returns why no new work may be taken, if that is so.
+impl StopState {
+    /// Returns the reason if no new requests may be accepted.
     pub(super) fn ready(&self) -> Result<(), &'static str> {
         match self.stopping.load(Ordering::Acquire) {
             true => Err("stopping"),
@@ -39,8 +39,8 @@
     }
 }
 
-/// A request of a peer in progress.
-pub(crate) struct InFlight<'a>(&'a Flag);
+/// Counts a forwarded request as in progress until it is dropped.
+pub(crate) struct InFlight<'a>(&'a StopState);
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
@@ -49,13 +49,13 @@
 }
 
 impl Node {
-    /// Counts a peer's request as in flight until the guard is dropped.
+    /// Counts a forwarded request as in progress until the guard is dropped.
     pub(crate) fn track_forwarded(&self) -> InFlight<'_> {
         self.stopping.forwarded.fetch_add(1, Ordering::AcqRel);
         InFlight(&self.stopping)
     }
 
-    /// Tells the members that this daemon stops, and who will answer for its keys.
+    /// Announces to the members that this daemon is stopping, and the successor for its keys.
     pub(super) fn begin_stop(&self) {
         self.stopping.stopping.store(true, Ordering::Release);
         let successor = self.successor();
@@ -63,13 +63,13 @@
         self.control.leave(successor);
     }
 
-    /// Waits for what peers passed on, and hands the ledger over.
+    /// Drains the forwarded requests and hands the ledger over.
     pub(super) async fn finish_stop(&self) {
-        // From here on a send of a key is refused, and recorded as not run, so that the ledger that
-        // goes to the successor is complete.
+        // From now on the ledger refuses executions and records their keys as not run, so that the
+        // successor gets a complete ledger.
         self.ledger.ledger().drain();
         while self.stopping.forwarded.load(Ordering::Acquire) > 0 {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         let Some(successor) = self.successor() else {
             return;
@@ -87,20 +87,20 @@
             member: successor,
             start,
         };
-        let handover = self.close(to)?;
+        let handover = self.prepare_handover(to)?;
         let client = self.peers.client(successor).await.ok()?;
-        let deadline = context(Instant::now() + HANDOVER_TIMEOUT);
-        let receipt = client.take_over(deadline, handover).await.ok()??;
+        let context = context(Instant::now() + HANDOVER_TIMEOUT);
+        let receipt = client.take_over(context, handover).await.ok()??;
         self.ledger.ledger().acknowledge(receipt);
         Some(())
     }
 
-    fn close(&self, to: Fence) -> Option<Handover> {
+    fn prepare_handover(&self, to: Fence) -> Option<Handover> {
         let now = self.clock.now();
         self.ledger.ledger().hand_over(to, now).ok()
     }
 
-    /// Returns the member that takes the ledger: in this data centre if there is one.
+    /// Returns the member that takes over the ledger, preferably in this data centre.
     fn successor(&self) -> Option<MemberId> {
         let view = self.control.view();
         let others = view
@@ -111,17 +111,17 @@
             .cloned()
             .partition(|member| member.data_centre == self.own.data_centre);
         let pool = if near.is_empty() { far } else { near };
-        placement::select(SUCCESSION, &pool, 1).first().copied()
+        placement::select(SUCCESSOR_KEY, &pool, 1).first().copied()
     }
 
-    /// Takes the ledger of a daemon that stops.
+    /// Takes over the ledger of a daemon that is stopping.
     pub(crate) fn take_over(
         &self,
         handover: Handover,
     ) -> Option<monsoonring_decision::idempotency::Receipt> {
         let from = handover.from;
-        let taken = self.ledger.ledger().inherit(handover, self.clock.now());
-        match taken {
+        let result = self.ledger.ledger().inherit(handover, self.clock.now());
+        match result {
             Ok(receipt) => {
                 info!(self.log, "stop"; "what" => "took over", "from" => %from);
                 Some(receipt)
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -1,4 +1,4 @@
-//! The task of one route.
+//! The task that drives the home of a route.
 
 use super::gauges::Gauges;
 use super::handle::{Handle, Input};
@@ -26,22 +26,22 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
 
-/// Something that a home found out and that the other homes should know.
+/// A fact that a home found and that is published to the other homes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Fact {
-    /// A backend server is leaving.
+    /// A backend server is leaving; identified by its start number if that is known.
     Leaving(BackendServerId, Option<Incarnation>),
-    /// Requests with this fingerprint crash backend servers; refused for that long.
+    /// Requests with this fingerprint crash backend servers and are refused for this time.
     Suspect(Fingerprint, Duration),
 }
 
-/// Where facts go.
+/// Queue of the facts to publish.
 pub(crate) type Facts = mpsc::UnboundedSender<Fact>;
 
-/// How a request of an interface ended.
-type Ended<C> = Outcome<<C as Content>::Value>;
+/// Outcome of a request with this content type.
+type RequestOutcome<C> = Outcome<<C as Content>::Value>;
 
-/// What a route's task is started with.
+/// Configuration and dependencies of a route's task.
 pub(crate) struct Settings<K> {
     pub(crate) codec: K,
     pub(crate) management: Management,
@@ -53,11 +53,12 @@
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) facts: Facts,
-    /// Where decisions are kept for those who ask about a request, if anybody can.
+    /// History in which decisions are recorded for operators, if operators can query it.
     pub(crate) history: Option<History>,
 }
 
-/// Starts the task of a route. It ends when the last handle is gone and nothing is in flight.
+/// Starts the task of a route. It ends when the last handle is dropped and no request is in
+/// progress.
 pub(crate) fn spawn<K: Codec>(settings: Settings<K>) -> Handle<K::Content> {
     let (inputs, queue) = mpsc::unbounded_channel();
     tokio::spawn(run(settings, queue));
@@ -84,28 +85,28 @@
     while open || controller.home.in_progress() > 0 {
         let wake = controller.clock.instant(
             controller
-                .alarm
+                .wakeup
                 .next()
-                .unwrap_or(controller.clock.now() + IDLE),
+                .unwrap_or(controller.clock.now() + MAX_TICK_INTERVAL),
         );
         tokio::select! {
             input = queue.recv(), if open => match input {
-                Some(input) => controller.input(input),
+                Some(input) => controller.handle_input(input),
                 None => open = false,
             },
-            Some(event) = reports.recv() => controller.event(event),
-            () = sleep_until(wake.into()) => controller.event(Event::Tick),
+            Some(event) = reports.recv() => controller.handle_event(event),
+            () = sleep_until(wake.into()) => controller.handle_event(Event::Tick),
         }
     }
 }
 
-/// Longest time without a tick.
-const IDLE: Duration = Duration::from_millis(200);
+/// Maximum time between ticks of an idle home.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Decisions of one kind, each with the server that it is about.
-struct Several<'a>(&'a [Decision]);
+/// Reasons of several decisions on one log line, each with its backend server.
+struct CombinedReason<'a>(&'a [Decision]);
 
-impl Display for Several<'_> {
+impl Display for CombinedReason<'_> {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         for (index, decision) in self.0.iter().enumerate() {
             if index > 0 {
@@ -132,8 +133,8 @@
     report: backend::Report<K::Content>,
     management: management::Channel,
     connections: HashMap<ConnectionId, Connection<K>>,
-    waiting: HashMap<RequestId, oneshot::Sender<Ended<K::Content>>>,
-    alarm: Wakeup,
+    waiting: HashMap<RequestId, oneshot::Sender<RequestOutcome<K::Content>>>,
+    wakeup: Wakeup,
     gauges: Gauges,
 }
 
@@ -158,25 +159,25 @@
             management,
             connections: HashMap::new(),
             waiting: HashMap::new(),
-            alarm: Wakeup::default(),
+            wakeup: Wakeup::default(),
             gauges,
         }
     }
 
-    fn input(&mut self, input: Input<K::Content>) {
+    fn handle_input(&mut self, input: Input<K::Content>) {
         match input {
             Input::Request(request, sender) => {
                 self.waiting.insert(request.id, sender);
-                self.event(Event::Request(request));
+                self.handle_event(Event::Request(request));
             }
-            Input::Event(event) => self.event(event),
+            Input::Event(event) => self.handle_event(event),
             Input::State(sender) => {
                 let _ = sender.send(self.state());
             }
         }
     }
 
-    fn event(&mut self, event: Event<K::Content>) {
+    fn handle_event(&mut self, event: Event<K::Content>) {
         match &event {
             Event::Abandoned(request) => drop(self.waiting.remove(request)),
             Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
@@ -184,14 +185,14 @@
             }
             Event::Opened(_) => self.metrics.home.opened(&self.route),
             Event::Failed(_, failure) => self.metrics.home.failed(&self.route, failure),
-            Event::Route(route) => self.management.follow(route),
+            Event::Route(route) => self.management.update(route),
             _ => {}
         }
         let now = self.clock.now();
-        self.alarm.on_event(now);
+        self.wakeup.on_event(now);
         let actions = self.home.handle(event, now);
         self.perform(actions);
-        self.gauges.follow(&self.home, self.connections.len(), now);
+        self.gauges.update(&self.home, self.connections.len(), now);
     }
 
     fn perform(&mut self, actions: Vec<Action<K::Content>>) {
@@ -199,16 +200,16 @@
         for action in actions {
             match action {
                 Action::Log(decision) => decisions.push(decision),
-                other => self.carry_out(other),
+                other => self.perform_one(other),
             }
         }
         self.log(&decisions);
         for decision in decisions {
-            self.keep(decision);
+            self.record(decision);
         }
     }
 
-    fn carry_out(&mut self, action: Action<K::Content>) {
+    fn perform_one(&mut self, action: Action<K::Content>) {
         match action {
             Action::Open(id, backend_server) => {
                 let report = self.report.clone();
@@ -230,23 +231,23 @@
             Action::AnnounceSuspect(fingerprint, life) => {
                 let _ = self.facts.send(Fact::Suspect(fingerprint, life));
             }
-            Action::Wake(at) => self.alarm.schedule(at),
-            // They are logged together.
+            Action::Wake(at) => self.wakeup.schedule(at),
+            // `perform` logs all decisions of an event together.
             Action::Log(_) => {}
         }
     }
 
-    /// Writes what was decided at once, a line for each request and kind of decision: a search that asks
-    /// 36 shards would otherwise write 36 lines, which took as much processor time as asking them.
+    /// Logs the decisions of one event with one line per request and label. A fan-out to many
+    /// groups would otherwise write a line for each, at a notable cost in CPU time.
     fn log(&self, decisions: &[Decision]) {
         for decision in decisions {
             self.metrics.home.decided(&self.route, decision.what);
         }
-        let is_alike = |one: &Decision, other: &Decision| {
-            one.request.is_some() && (one.request, one.what) == (other.request, other.what)
+        let is_same_kind = |left: &Decision, right: &Decision| {
+            left.request.is_some() && (left.request, left.what) == (right.request, right.what)
         };
-        for alike in decisions.chunk_by(is_alike) {
-            let [first, ..] = alike else { continue };
+        for chunk in decisions.chunk_by(is_same_kind) {
+            let [first, ..] = chunk else { continue };
             let line = log::Decision {
                 request: first.request,
                 route: &self.route,
@@ -255,7 +256,7 @@
                 what: first.what,
                 reason: &first.why,
             };
-            match alike {
+            match chunk {
                 [_] => line.log(&self.log),
                 _ => log::Decision {
                     request: line.request,
@@ -263,14 +264,14 @@
                     range: line.range,
                     backend_server: None,
                     what: line.what,
-                    reason: &Several(alike),
+                    reason: &CombinedReason(chunk),
                 }
                 .log(&self.log),
             }
         }
     }
 
-    fn keep(&self, decision: Decision) {
+    fn record(&self, decision: Decision) {
         let (Some(request), Some(history)) = (decision.request, &self.history) else {
             return;
         };
@@ -278,10 +279,10 @@
             request,
             at: self.clock.now(),
             route: self.route.clone(),
-            what: decision.what,
+            label: decision.what,
             backend_server: decision.backend_server,
             home: None,
-            why: decision.why,
+            rationale: decision.why,
         });
     }
 
@@ -297,17 +298,17 @@
     }
 
     fn send(&mut self, send: Send<K::Content>) {
-        let unsent = match self.connections.get(&send.connection) {
+        let failed = match self.connections.get(&send.connection) {
             Some(connection) => connection.send(send).err().map(|send| send.attempt),
             None => Some(send.attempt),
         };
-        // Through the queue and not at once: the home must see it after the actions of this event.
-        if let Some(attempt) = unsent {
+        // Queued, because the home must handle it after the remaining actions of this event.
+        if let Some(attempt) = failed {
             let _ = self.report.send(Event::Failed(attempt, Failure::NotSent));
         }
     }
 
-    fn finish(&mut self, request: RequestId, outcome: Ended<K::Content>) {
+    fn finish(&mut self, request: RequestId, outcome: RequestOutcome<K::Content>) {
         if let Some(sender) = self.waiting.remove(&request) {
             let _ = sender.send(outcome);
         }
--- a/crates/daemon/src/route/gauges.rs
+++ b/crates/daemon/src/route/gauges.rs
@@ -1,4 +1,4 @@
-//! Keeps the metrics of a route in step with its home.
+//! Updates the metrics of a route from the state of its home.
 
 use crate::metrics::home::Standing;
 use crate::metrics::label::Side;
@@ -11,18 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks at what costs a walk over all backend servers.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Interval between updates of the gauges that require a scan of all backend servers.
+const SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the metrics have taken over from one home.
+/// The values that were last exported for a home.
 pub(super) struct Gauges {
     metrics: Arc<Metrics>,
     route: RouteId,
-    counted: Counts,
-    /// Open connections of all routes, and how many of them are this one's.
+    exported: Counts,
+    /// Open connections of all routes; `open` is this route's share.
     connections: Gauge,
     open: i64,
-    next: Time,
+    next_scan: Time,
 }
 
 impl Gauges {
@@ -31,28 +31,30 @@
         Self {
             metrics,
             route,
-            counted: Counts::default(),
+            exported: Counts::default(),
             connections,
             open: 0,
-            next: Time::ZERO,
+            next_scan: Time::ZERO,
         }
     }
 
-    /// Takes over what has changed; called after each event.
-    pub(super) fn follow(&mut self, home: &Home<impl Content>, connections: usize, now: Time) {
+    /// Exports what has changed; called after each event.
+    pub(super) fn update(&mut self, home: &Home<impl Content>, connections: usize, now: Time) {
         let counts = home.counts();
-        self.metrics.home.counted(&self.route, self.counted, counts);
-        self.counted = counts;
+        self.metrics
+            .home
+            .counted(&self.route, self.exported, counts);
+        self.exported = counts;
         self.set_open(gauge_value(connections));
-        if now >= self.next {
-            self.next = now + PERIOD;
-            let stands = Standing {
+        if now >= self.next_scan {
+            self.next_scan = now + SCAN_INTERVAL;
+            let standing = Standing {
                 in_progress: home.in_progress(),
                 leaving: home.leaving(),
                 parts_waiting: home.parts_waiting(),
                 longest_wait: home.longest_wait(now),
             };
-            self.metrics.home.stands(&self.route, &stands);
+            self.metrics.home.stands(&self.route, &standing);
         }
     }
 
@@ -63,7 +65,7 @@
 }
 
 impl Drop for Gauges {
-    /// A home that ended has nothing any more: its last values would stand for ever.
+    /// Resets the gauges, which would otherwise keep the last values of a home that has ended.
     fn drop(&mut self) {
         self.set_open(0);
         self.metrics.home.stands(&self.route, &Standing::default());
--- a/crates/daemon/src/route/handle.rs
+++ b/crates/daemon/src/route/handle.rs
@@ -1,4 +1,4 @@
-//! The other end of a route's queue.
+//! The handle through which the daemon sends requests and events to a route's task.
 
 use monsoonring_decision::RequestId;
 use monsoonring_decision::content::{Content, Json};
@@ -8,17 +8,17 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-/// Something for the route's task.
+/// A message to the route's task.
 pub(crate) enum Input<C: Content = Json> {
-    /// A request and where its outcome goes.
+    /// A request, and the sender for its outcome.
     Request(Request<C>, oneshot::Sender<Outcome<C::Value>>),
-    /// Anything else that happened.
+    /// Any other event.
     Event(Event<C>),
-    /// Somebody wants to see the state.
+    /// A query for the state, for operators.
     State(oneshot::Sender<Value>),
 }
 
-/// Gives a route's task its work.
+/// Sends messages to a route's task.
 #[derive(Clone, Debug)]
 pub(crate) struct Handle<C: Content = Json> {
     inputs: mpsc::UnboundedSender<Input<C>>,
@@ -29,7 +29,7 @@
         Self { inputs }
     }
 
-    /// Runs a request. Dropping the future tells the home that the caller went away.
+    /// Runs a request. Dropping the future reports the request to the home as abandoned.
     pub(crate) async fn run(&self, request: Request<C>) -> Outcome<C::Value> {
         let (sender, receiver) = oneshot::channel();
         let mut guard = Guard {
@@ -50,12 +50,12 @@
         })
     }
 
-    /// Tells the home of an event. A home that has ended does not need it any more.
+    /// Sends an event to the home; does nothing if the home has ended.
     pub(crate) fn send(&self, event: Event<C>) {
         let _ = self.inputs.send(Input::Event(event));
     }
 
-    /// Returns the state for operators, `None` where the home has ended.
+    /// Returns the state for operators, `None` if the home has ended.
     pub(crate) async fn state(&self) -> Option<Value> {
         let (sender, receiver) = oneshot::channel();
         self.inputs.send(Input::State(sender)).ok()?;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Reports a request as abandoned if the future that waits for it is dropped.
+/// Reports a request as abandoned if the future that awaits it is dropped.
 struct Guard<'a, C: Content> {
     handle: &'a Handle<C>,
     request: Option<RequestId>,
--- a/crates/daemon/src/route/management.rs
+++ b/crates/daemon/src/route/management.rs
@@ -1,8 +1,8 @@
-//! What goes to the backend servers of a route beside its requests, and how an attempt is cancelled.
+//! Polls the management endpoints of a route's backend servers and cancels attempts.
 //!
-//! The product's own backend servers have endpoints for health, load and cancellation. Others have
-//! none that is worth a call: what their answers say of their load has to do, and an attempt is
-//! cancelled by closing its connection.
+//! The product's own backend servers have endpoints for health, load and cancellation. Other
+//! backend servers have no such endpoints: they report their load in their answers, and an attempt
+//! is cancelled by closing its connection.
 
 use super::controller::Settings;
 use super::poll;
@@ -16,22 +16,22 @@
 use tokio::time::sleep;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Time that a cancelled attempt has to end by itself before its connection is closed. A new
-/// connection occupies a work slot for about 6 ms, and most attempts that lost against a hedge end
-/// within one pause of their server, up to 150 ms; callers that left expect their work to end within
-/// half a second.
-const CLOSE_AFTER: Duration = Duration::from_millis(200);
+/// Time that a cancelled attempt has to finish before its connection is closed. Opening a new
+/// connection costs the server a work slot, and most attempts that lost against a hedge finish
+/// within a short pause of their server. The work of abandoned requests should end within half a
+/// second.
+const CANCEL_GRACE: Duration = Duration::from_millis(200);
 
-/// Which way backend servers are spoken to beside requests.
+/// The management interface of a route's backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Management {
-    /// Over their endpoints.
+    /// Endpoints for health, load and cancellation.
     Endpoints,
-    /// Not at all.
+    /// No endpoints; attempts are cancelled by closing their connections.
     None,
 }
 
-/// The way as it is in use.
+/// The running management interface of a route.
 pub(crate) enum Channel {
     Endpoints {
         endpoint: Endpoint,
@@ -50,7 +50,7 @@
         match self {
             Self::None => Channel::None,
             Self::Endpoints => {
-                let servers = poll::Servers::of(&settings.route);
+                let servers = poll::Servers::for_route(&settings.route);
                 let endpoint = Endpoint::default();
                 let first = usize::try_from(settings.seed).unwrap_or_default();
                 let poller = poll::spawn(servers.clone(), endpoint.clone(), report.clone(), first);
@@ -65,14 +65,15 @@
 }
 
 impl Channel {
-    /// Takes over the servers of a new configuration.
-    pub(crate) fn follow(&self, route: &Route) {
+    /// Replaces the polled servers with those of a new configuration.
+    pub(crate) fn update(&self, route: &Route) {
         if let Self::Endpoints { servers, .. } = self {
             servers.replace(route);
         }
     }
 
-    /// Cancels an attempt.
+    /// Cancels an attempt through its server's endpoint, or by closing its connection after
+    /// [`CANCEL_GRACE`].
     pub(crate) fn cancel<C: Content>(
         &self,
         attempt: AttemptId,
@@ -87,8 +88,8 @@
             Self::None => {
                 let report = report.clone();
                 tokio::spawn(async move {
-                    sleep(CLOSE_AFTER).await;
-                    // An attempt that has ended meanwhile is not on record any more.
+                    sleep(CANCEL_GRACE).await;
+                    // The home ignores this event if the attempt has ended in the meantime.
                     let _ = report.send(Event::Failed(attempt, Failure::Dropped));
                 });
             }
--- a/crates/daemon/src/route/mod.rs
+++ b/crates/daemon/src/route/mod.rs
@@ -1,8 +1,8 @@
-//! The routes that this daemon is a home of.
+//! Runs the routes that this daemon is a home of.
 //!
-//! Each has one task that owns the route's [`Home`]: all that happens to the route goes through its
-//! queue, and each action of the decision is carried out before the next event is looked at. So the
-//! state needs no lock, and the order of events is the order of decisions.
+//! Each route has a task that owns its [`Home`]. All events of the route pass through the task's
+//! queue, and the actions of one event are performed before the next event is handled. So the state
+//! needs no lock, and decisions are made in the order of events.
 //!
 //! [`Home`]: monsoonring_decision::home::Home
 
--- a/crates/daemon/src/route/poll.rs
+++ b/crates/daemon/src/route/poll.rs
@@ -1,4 +1,4 @@
-//! Reading the health and load endpoints of a route's backend servers.
+//! Polls the health and load endpoints of a route's backend servers.
 
 use crate::backend::{Endpoint, Report};
 use monsoonring_configuration::document::Route;
@@ -11,22 +11,21 @@
 use tokio::time::{MissedTickBehavior, interval};
 use tokio_util::task::AbortOnDropHandle;
 
-/// Time between two readings of one backend server.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Interval between batches of polls.
+const POLL_PERIOD: Duration = Duration::from_secs(1);
 
-/// Most backend servers that a home reads in one period, after the first.
+/// Maximum number of backend servers that a home polls in one period, after the first.
 ///
-/// Reading one takes about 50 µs of a core; all 480 of a route of 160 groups would take twice what
-/// control may take. The homes of such a route begin at different servers and tell each other what they
-/// find, so that together they still see each server about once a period.
-const MOST: usize = 100;
+/// Bounds the CPU time of polling on large routes. The homes of a route start at different servers
+/// and share what they find, so that together they still poll each server about once a period.
+const MAX_POLLS_PER_PERIOD: usize = 100;
 
-/// The backend servers that are read; shared by the route's task, which replaces them.
+/// The backend servers to poll, shared with the route's task, which replaces them.
 #[derive(Clone, Debug)]
 pub(crate) struct Servers(Arc<Mutex<BTreeSet<BackendServerId>>>);
 
 impl Servers {
-    pub(crate) fn of(route: &Route) -> Self {
+    pub(crate) fn for_route(route: &Route) -> Self {
         Self(Arc::new(Mutex::new(servers(route))))
     }
 
@@ -51,19 +50,19 @@
         .collect()
 }
 
-/// Whose turn it is.
+/// Position in the rotation over the servers.
 #[derive(Debug)]
-struct Turn {
+struct Rotation {
     next: usize,
-    begun: bool,
+    started: bool,
 }
 
-impl Turn {
-    /// Returns the servers to be read in this period: at first all of them, since a home that starts
-    /// knows nothing of any; later the next [`MOST`].
-    fn take(&mut self, servers: &BTreeSet<BackendServerId>) -> Vec<BackendServerId> {
-        let count = match std::mem::replace(&mut self.begun, true) {
-            true => servers.len().min(MOST),
+impl Rotation {
+    /// Returns the servers to poll in this period: all of them in the first, since a new home has
+    /// no reports yet, then the next [`MAX_POLLS_PER_PERIOD`].
+    fn next_batch(&mut self, servers: &BTreeSet<BackendServerId>) -> Vec<BackendServerId> {
+        let count = match std::mem::replace(&mut self.started, true) {
+            true => servers.len().min(MAX_POLLS_PER_PERIOD),
             false => servers.len(),
         };
         let first = self.next % servers.len().max(1);
@@ -73,8 +72,8 @@
     }
 }
 
-/// Starts the task that reads the endpoints of the servers in turn. Homes should begin at different
-/// places, `first`.
+/// Starts the task that polls the servers in rotation, beginning at index `first`, which should
+/// differ between the homes of a route.
 pub(crate) fn spawn<C: Content>(
     servers: Servers,
     endpoint: Endpoint,
@@ -82,17 +81,17 @@
     first: usize,
 ) -> AbortOnDropHandle<()> {
     let task = tokio::spawn(async move {
-        let mut turn = Turn {
+        let mut rotation = Rotation {
             next: first,
-            begun: false,
+            started: false,
         };
-        let mut ticks = interval(PERIOD);
+        let mut ticks = interval(POLL_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             let servers = servers.list();
             endpoint.retain(&servers);
-            for server in turn.take(&servers) {
+            for server in rotation.next_batch(&servers) {
                 let (endpoint, report) = (endpoint.clone(), report.clone());
                 tokio::spawn(async move {
                     let answer = endpoint.poll(server).await;
