--- a/crates/daemon/src/gateway/ready.rs
+++ b/crates/daemon/src/gateway/ready.rs
@@ -4,7 +4,7 @@
 use crate::metrics::Metrics;
 use crate::operator::{self, METRICS_PATH, STATE_PATH};
 use crate::server::stop::{Stage, Watch};
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -34,17 +34,17 @@
 }
 
 impl Handler for Front {
-    async fn handle(&self, request: Request<Incoming>, _: Standing) -> Response<Full<Bytes>> {
+    async fn handle(&self, request: Request<Incoming>, _: LimitStatus) -> Response<Full<Bytes>> {
         match request.uri().path() {
             METRICS_PATH => operator::metrics(&self.metrics),
             STATE_PATH => {
-                let (status, why) = self.ready();
-                let reason = (!status.is_success()).then_some(why);
+                let (status, reason) = self.ready();
+                let reason = (!status.is_success()).then_some(reason);
                 operator::json(&self.describe.describe(reason).await)
             }
             path if path == self.path => {
-                let (status, why) = self.ready();
-                operator::text(status, why)
+                let (status, reason) = self.ready();
+                operator::text(status, reason)
             }
             _ => operator::text(StatusCode::NOT_FOUND, "there is nothing at this path"),
         }
