--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -1,6 +1,6 @@
-//! Interface between the front, which knows HTTP, callers and tokens, and the service behind it,
-//! which knows homes, peers and backend servers.
+//! Interface between the front of the daemon and the service that answers requests.
 //!
+//! The front knows HTTP, callers and tokens; a [`Service`] knows homes, peers and backend servers.
 //! A request is passed on as a [`Call`] after all filters have accepted it, and returns as one
 //! [`Outcome`], the only source for whether it ran.
 
