--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -108,7 +108,7 @@
     fn new(route: Route, rank: usize) -> Self {
         let division = Division::among_all_hosts(homes(HOSTS, 0, rank), 58.0);
         Self {
-            session: Session::divided(route, division),
+            session: Session::with_division(route, division),
             seen: 0,
             sent: Vec::new(),
             due: Vec::new(),
@@ -118,7 +118,7 @@
 
     fn ask(&mut self) {
         self.asked += 1;
-        self.session.ask(self.asked);
+        self.session.submit(self.asked);
         self.look();
     }
 
@@ -133,7 +133,7 @@
     fn pass(&mut self, time: Time) {
         let end = self.session.now + time;
         while self.session.now < end {
-            self.session.pass(ms(1));
+            self.session.advance(ms(1));
             self.look();
             let now = self.session.now;
             let due = std::mem::take(&mut self.due).into_iter();
@@ -207,10 +207,10 @@
     let mut players = players(1);
     play(&mut players, 1, 50);
     for player in &mut players {
-        player.session.on(cold(&[server(0, 1)], ms(4_000)));
+        player.session.handle(cold(&[server(0, 1)], ms(4_000)));
         let mut wider = route(1, 2);
         wider.hedge.budget_percent = 0.0;
-        player.session.on(Event::Route(wider.into()));
+        player.session.handle(Event::Route(wider.into()));
     }
     play(&mut players, 3, 50);
     let most = most(&players, server(0, 1));
@@ -232,7 +232,7 @@
     let mut players = players(2);
     let servers = [server(0, 0), server(0, 1)];
     for player in &mut players {
-        player.session.on(cold(&servers, ms(5_000)));
+        player.session.handle(cold(&servers, ms(5_000)));
     }
     play(&mut players, 4, 20);
     let complete: usize = players.iter().map(Player::complete).sum();
@@ -267,7 +267,7 @@
     for player in &mut players {
         player
             .session
-            .on(cold(&[server(0, 0)], player.session.now + ms(3_000)));
+            .handle(cold(&[server(0, 0)], player.session.now + ms(3_000)));
         player.sent.clear();
     }
     play(&mut players, 1, 50);
@@ -288,21 +288,21 @@
     roomy.capacity.slots = 30;
     let mut player = Player::new(roomy, 0);
     let to = server(0, 0);
-    player.session.pass(ms(100));
-    player.session.on(cold(&[to], ms(60_000)));
-    player.session.pass(ms(1_200));
+    player.session.advance(ms(100));
+    player.session.handle(cold(&[to], ms(60_000)));
+    player.session.advance(ms(1_200));
     let share = Division::among_all_hosts(homes(HOSTS, 0, 0), 58.0).cold_quota(BEARS, to);
     player.session.pending.insert(to);
     let opened = player.session.opens.len();
     for _ in 0..30 {
         player.ask();
         // The one connection that is open stays busy.
-        player.session.pass(ms(29));
+        player.session.advance(ms(29));
     }
     let late: Vec<_> = player.session.opens[opened..].to_vec();
     assert!(!late.is_empty(), "more connections are wanted");
     for (connection, _) in late {
-        player.session.on(Event::Opened(connection));
+        player.session.handle(Event::Opened(connection));
         player.look();
     }
     for _ in 0..30 {
@@ -324,8 +324,8 @@
     let to = server(0, 0);
     player
         .session
-        .on(Event::RemoteServers(BTreeSet::from([to])));
-    player.session.on(cold(&[to], ms(2_000)));
+        .handle(Event::RemoteServers(BTreeSet::from([to])));
+    player.session.handle(cold(&[to], ms(2_000)));
     // Nothing is answered, so that the near one has far more than its share.
     for _ in 0..12 {
         player.ask();
@@ -334,8 +334,8 @@
     let mut player = Player::new(route(1, 1), 0);
     player
         .session
-        .on(Event::RemoteServers(BTreeSet::from([to])));
-    player.session.on(cold(&[to], ms(2_000)));
+        .handle(Event::RemoteServers(BTreeSet::from([to])));
+    player.session.handle(cold(&[to], ms(2_000)));
     player.pass(ms(2_001));
     player.ask();
     player.pass(ms(20));
@@ -350,7 +350,7 @@
 fn waiting_for_a_cold_server_leaves_when_it_bears_one_more() {
     let mut player = Player::new(route(1, 1), 0);
     let to = server(0, 0);
-    player.session.on(cold(&[to], ms(60_000)));
+    player.session.handle(cold(&[to], ms(60_000)));
     player.pass(ms(1_200));
     let share = Division::among_all_hosts(homes(HOSTS, 0, 0), 58.0).cold_quota(BEARS, to);
     for _ in 0..share {
@@ -372,13 +372,13 @@
     let to = server(0, 0);
     player
         .session
-        .on(Event::RemoteServers(BTreeSet::from([to])));
-    player.session.on(cold(&[to], ms(60_000)));
+        .handle(Event::RemoteServers(BTreeSet::from([to])));
+    player.session.handle(cold(&[to], ms(60_000)));
     player.ask();
-    player.session.pass(ms(20));
+    player.session.advance(ms(20));
     assert!(player.session.is_finished(1));
     assert!(
-        player.session.logged("give_up"),
+        player.session.has_logged("give_up"),
         "with what stands in the way"
     );
 }
@@ -386,9 +386,9 @@
 #[test]
 fn cold_no_more_takes_any_number() {
     let mut player = Player::new(route(1, 1), 0);
-    player.session.on(cold(&[server(0, 0)], ms(60_000)));
+    player.session.handle(cold(&[server(0, 0)], ms(60_000)));
     player.pass(ms(500));
-    player.session.on(Event::Cold(BTreeMap::new()));
+    player.session.handle(Event::Cold(BTreeMap::new()));
     play(std::slice::from_mut(&mut player), 1, 50);
     assert_eq!(player.complete() as u128, player.asked);
 }
--- a/crates/decision/tests/demand.rs
+++ b/crates/decision/tests/demand.rs
@@ -23,15 +23,15 @@
     };
     let mut route = route(1, 1);
     route.capacity.connections = 90;
-    let mut session = Session::divided(route, Division::among_all_hosts(weak, 58.0));
-    session.pass(ms(10_000));
+    let mut session = Session::with_division(route, Division::among_all_hosts(weak, 58.0));
+    session.advance(ms(10_000));
     for id in 1..=20 {
-        session.ask(id);
+        session.submit(id);
         assert!(!session.sends.is_empty(), "request {id} reaches the server");
-        session.pass(ms(5));
+        session.advance(ms(5));
         session.answer_from(session.sends.len() - 1);
         assert!(session.is_finished(id), "request {id} is answered");
-        session.pass(ms(3_000));
+        session.advance(ms(3_000));
     }
 }
 
@@ -45,12 +45,12 @@
         role: Role::Weak,
         rank: 0,
     };
-    let mut session = Session::divided(route(1, 1), Division::among_all_hosts(weak, 58.0));
+    let mut session = Session::with_division(route(1, 1), Division::among_all_hosts(weak, 58.0));
     session.refusing.insert(server(0, 0));
-    session.ask(1);
-    session.pass(ms(5_000));
+    session.submit(1);
+    session.advance(ms(5_000));
     let opened = session.opens.len();
-    session.pass(ms(60_000));
+    session.advance(ms(60_000));
     assert!(
         session.opens.len() <= opened + 1,
         "{} more",
--- a/crates/decision/tests/home_rescue.rs
+++ b/crates/decision/tests/home_deferral.rs
@@ -17,39 +17,39 @@
 const GROUPS: usize = 10;
 
 /// Searches that were answered whole before; each group then allows a tenth of them.
-const BEFORE: u128 = 100;
+const WARM_UP_SEARCHES: u128 = 100;
 
 /// Further attempts that searches took which would have had an answer without them.
-const SPENT: u128 = 8;
+const RETRIES_PER_GROUP: u128 = 8;
 
-const LEAST: f64 = 0.89;
+const MIN_COVERAGE: f64 = 0.89;
 
 /// Time up to the soft deadline, and the longest time that a failed part waits for the others.
-const SOFT: u64 = 100;
-const WAIT: u64 = 35;
+const SOFT_DEADLINE_MS: u64 = 100;
+const MAX_DEFER_MS: u64 = 35;
 
-fn terms() -> Params {
+fn params() -> Params {
     Params {
         kind: Kind::Search,
         max_runs: 2,
         soft_deadline: Some(SoftDeadline {
-            after_ms: SOFT,
-            coverage: LEAST,
+            after_ms: SOFT_DEADLINE_MS,
+            coverage: MIN_COVERAGE,
         }),
-        min_coverage: LEAST,
+        min_coverage: MIN_COVERAGE,
         work: 0,
         urgency: None,
     }
 }
 
 /// Begins a search and returns its attempts, one for each group.
-fn begin(session: &mut Session, id: u128) -> Vec<Send> {
+fn start_search(session: &mut Session, id: u128) -> Vec<Send> {
     let from = session.sends.len();
     let request = Request {
-        params: Some(terms()),
+        params: Some(params()),
         ..request(id, session.now)
     };
-    session.on(Event::Request(request));
+    session.handle(Event::Request(request));
     session.sends[from..].to_vec()
 }
 
@@ -59,17 +59,18 @@
 }
 
 /// Returns a home at which the further attempts of each group are nearly used up.
-fn scarce() -> Session {
+fn with_scarce_budget() -> Session {
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 10.0;
-    let mut session = Session::divided(route, Division::among_all_hosts(1, 0.0));
-    for id in 1..=BEFORE {
-        let sends = begin(&mut session, id);
+    let mut session = Session::with_division(route, Division::among_all_hosts(1, 0.0));
+    for id in 1..=WARM_UP_SEARCHES {
+        let sends = start_search(&mut session, id);
         let sent = session.sends.len();
-        let failing = (id > BEFORE - SPENT * GROUPS as u128).then_some(id as usize % GROUPS);
-        for (number, send) in sends.iter().enumerate() {
-            match failing == Some(number) {
+        let failing_group = (id > WARM_UP_SEARCHES - RETRIES_PER_GROUP * GROUPS as u128)
+            .then_some(id as usize % GROUPS);
+        for (group, send) in sends.iter().enumerate() {
+            match failing_group == Some(group) {
                 true => fail(&mut session, send),
                 false => session.answer(send),
             }
@@ -86,22 +87,22 @@
 // Cause: further attempts are handed out as failures come, most of them to searches that are lost all
 // the same.
 #[test]
-fn fail_few_parts_get_what_is_left() {
-    let mut session = scarce();
-    let sends = begin(&mut session, 1_000);
+fn fail_few_parts_are_retried() {
+    let mut session = with_scarce_budget();
+    let sends = start_search(&mut session, 1_000);
     let sent = session.sends.len();
     sends[..2].iter().for_each(|send| fail(&mut session, send));
     assert_eq!(session.sends.len(), sent, "both wait for the others");
     sends[2..].iter().for_each(|send| session.answer(send));
     assert_eq!(session.sends.len(), sent + 2, "both are asked again");
     session.answer_from(sent);
-    assert!((session.answered(1_000).coverage - 1.0).abs() < f64::EPSILON);
+    assert!((session.answer_to(1_000).coverage - 1.0).abs() < f64::EPSILON);
 }
 
 #[test]
-fn fail_many_parts_leaves_it_to_others() {
-    let mut session = scarce();
-    let sends = begin(&mut session, 1_000);
+fn fail_many_parts_are_not_retried() {
+    let mut session = with_scarce_budget();
+    let sends = start_search(&mut session, 1_000);
     let sent = session.sends.len();
     sends[1..].iter().for_each(|send| fail(&mut session, send));
     session.answer(&sends[0]);
@@ -111,15 +112,15 @@
 
 // A tenth of ten groups is one, whatever rounding makes of it.
 #[test]
-fn fail_two_parts_of_ten_needs_one() {
-    let mut session = scarce();
+fn fail_parts_beyond_the_dispensable_are_retried() {
+    let mut session = with_scarce_budget();
     let from = session.sends.len();
-    let terms = Params {
+    let params = Params {
         min_coverage: 0.9,
-        ..terms()
+        ..params()
     };
-    session.on(Event::Request(Request {
-        params: Some(terms),
+    session.handle(Event::Request(Request {
+        params: Some(params),
         ..request(1_000, session.now)
     }));
     let sends = session.sends[from..].to_vec();
@@ -133,14 +134,14 @@
 // Events: two parts fail at once, the servers of two others pause for longer than the objective.
 // Cause: the wait has no end.
 #[test]
-fn fail_beside_slow_parts_waits_a_while() {
-    let mut session = scarce();
-    let sends = begin(&mut session, 1_000);
+fn fail_beside_slow_parts_has_bounded_deferral() {
+    let mut session = with_scarce_budget();
+    let sends = start_search(&mut session, 1_000);
     let sent = session.sends.len();
     sends[..2].iter().for_each(|send| fail(&mut session, send));
-    session.pass(ms(WAIT - 1));
+    session.advance(ms(MAX_DEFER_MS - 1));
     assert_eq!(session.sends.len(), sent);
-    session.pass(ms(1));
+    session.advance(ms(1));
     assert_eq!(session.sends.len(), sent + 2);
 }
 
@@ -152,10 +153,10 @@
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 0.0;
-    let mut session = Session::divided(route, Division::among_all_hosts(1, 0.0));
-    let sends = begin(&mut session, 1);
+    let mut session = Session::with_division(route, Division::among_all_hosts(1, 0.0));
+    let sends = start_search(&mut session, 1);
     sends[..2].iter().for_each(|send| fail(&mut session, send));
-    session.pass(ms(WAIT));
+    session.advance(ms(MAX_DEFER_MS));
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
     assert_eq!(
         session.cancels.len(),
@@ -169,17 +170,17 @@
 // Cause: what nobody works on is dealt out again, and what is dealt out costs no budget.
 #[test_case(0 ; "of its own group")]
 #[test_case(5 ; "of another group")]
-fn reroute_deferred_part_waits_on(changed: usize) {
-    let mut session = scarce();
-    let sends = begin(&mut session, 1_000);
+fn route_change_keeps_parts_deferred(changed: usize) {
+    let mut session = with_scarce_budget();
+    let sends = start_search(&mut session, 1_000);
     let sent = session.sends.len();
     sends[..2].iter().for_each(|send| fail(&mut session, send));
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 10.0;
     route.groups[changed].backend_servers.truncate(2);
-    session.on(Event::Route(Arc::new(route)));
-    let again = &session.sends[sent..];
+    session.handle(Event::Route(Arc::new(route)));
+    let resent = &session.sends[sent..];
     let failed = [sends[0].ranges.clone(), sends[1].ranges.clone()];
-    assert!(again.iter().all(|send| !failed.contains(&send.ranges)));
+    assert!(resent.iter().all(|send| !failed.contains(&send.ranges)));
 }
--- a/crates/decision/tests/home_elsewhere.rs
+++ b/crates/decision/tests/home_delegation.rs
@@ -12,67 +12,72 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use session::{KEYS, Session, VERSION, ms, reply, request, route};
+use session::{KEYS_PER_GROUP, Session, VERSION, ms, reply, request, route};
 use std::sync::Arc;
 use test_case::test_case;
 
 const GROUPS: usize = 8;
 
 /// Groups that the other home looks through: the last ones.
-const ELSEWHERE: usize = 4;
+const DELEGATED_COUNT: usize = 4;
 
 /// An answer may lack one group of eight.
-const LEAST: f64 = 0.85;
+const MIN_COVERAGE: f64 = 0.85;
 
 /// Time up to the soft deadline, in milliseconds.
-const SOFT: u64 = 100;
+const SOFT_DEADLINE_MS: u64 = 100;
 
 fn keys_of(groups: &[usize]) -> KeySet {
-    let range = |group: &usize| Range::new(*group as u64 * KEYS, (*group as u64 + 1) * KEYS);
+    let range = |group: &usize| {
+        Range::new(
+            *group as u64 * KEYS_PER_GROUP,
+            (*group as u64 + 1) * KEYS_PER_GROUP,
+        )
+    };
     groups.iter().map(range).collect()
 }
 
-fn elsewhere() -> Vec<usize> {
-    (GROUPS - ELSEWHERE..GROUPS).collect()
+fn delegated_groups() -> Vec<usize> {
+    (GROUPS - DELEGATED_COUNT..GROUPS).collect()
 }
 
-fn terms() -> Params {
+fn params() -> Params {
     Params {
         kind: Kind::Search,
         max_runs: 2,
         soft_deadline: Some(SoftDeadline {
-            after_ms: SOFT,
-            coverage: LEAST,
+            after_ms: SOFT_DEADLINE_MS,
+            coverage: MIN_COVERAGE,
         }),
-        min_coverage: LEAST,
+        min_coverage: MIN_COVERAGE,
         work: 0,
         urgency: None,
     }
 }
 
 /// Begins a search of which the other home looks through its groups.
-fn begin(session: &mut Session) {
+fn start_search(session: &mut Session) {
     let request = Request {
-        params: Some(terms()),
+        params: Some(params()),
         scope: Scope {
             only: None,
-            delegated: keys_of(&elsewhere()),
+            delegated: keys_of(&delegated_groups()),
         },
         ..request(1, session.now)
     };
-    session.on(Event::Request(request));
+    session.handle(Event::Request(request));
 }
 
 /// The other home tells that it has looked through these groups.
-fn gathered(session: &mut Session, groups: &[usize]) {
+fn receive_delegated_reply(session: &mut Session, groups: &[usize]) {
     let covered = keys_of(groups);
     let reply = reply(covered.ranges(), VERSION);
-    session.on(Event::DelegatedReply(1, reply));
+    session.handle(Event::DelegatedReply(1, reply));
 }
 
 /// Returns the groups that servers here were asked for.
-fn asked(session: &Session) -> Vec<usize> {
-    let group = |send: &Send| (send.ranges[0].start / KEYS) as usize;
+fn requested_groups(session: &Session) -> Vec<usize> {
+    let group = |send: &Send| (send.ranges[0].start / KEYS_PER_GROUP) as usize;
     let mut groups: Vec<usize> = session.sends.iter().map(group).collect();
     groups.sort_unstable();
     groups.dedup();
@@ -80,44 +85,47 @@
 }
 
 #[test]
-fn gathered_whole_part_makes_a_whole_answer() {
+fn delegated_reply_complete_gives_complete_answer() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    assert_eq!(asked(&session), (0..GROUPS - ELSEWHERE).collect::<Vec<_>>());
+    start_search(&mut session);
+    assert_eq!(
+        requested_groups(&session),
+        (0..GROUPS - DELEGATED_COUNT).collect::<Vec<_>>()
+    );
     session.answer_from(0);
     assert!(!session.is_finished(1), "the other part is missing");
-    gathered(&mut session, &elsewhere());
-    let answer = session.answered(1);
+    receive_delegated_reply(&mut session, &delegated_groups());
+    let answer = session.answer_to(1);
     assert_eq!(answer.coverage, 1.0);
     assert!(answer.missing.is_empty());
     assert_eq!(
         answer.items.len(),
-        GROUPS - ELSEWHERE + 1,
+        GROUPS - DELEGATED_COUNT + 1,
         "one range came from there"
     );
 }
 
 #[test]
-fn gathered_first_waits_for_what_is_asked_here() {
+fn delegated_reply_first_waits_for_local_parts() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    gathered(&mut session, &elsewhere());
+    start_search(&mut session);
+    receive_delegated_reply(&mut session, &delegated_groups());
     assert!(!session.is_finished(1));
     session.answer_from(0);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
 // Symptom: an answer calls itself whole and lacks a shard, or is refused although it has enough.
 // Events:  the other home covers all of its groups but one.
 // Cause:   what it lacks was not counted with what is missing here.
 #[test]
-fn gathered_in_part_says_what_is_missing() {
+fn delegated_reply_partial_reports_missing_keys() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    gathered(&mut session, &elsewhere()[1..]);
+    start_search(&mut session);
+    receive_delegated_reply(&mut session, &delegated_groups()[1..]);
     session.answer_from(0);
-    let answer = session.answered(1);
-    assert_eq!(answer.missing, keys_of(&elsewhere()[..1]).ranges());
+    let answer = session.answer_to(1);
+    assert_eq!(answer.missing, keys_of(&delegated_groups()[..1]).ranges());
     assert_eq!(answer.coverage, 7.0 / 8.0);
 }
 
@@ -125,12 +133,15 @@
 // Events:  the connection to the other home ends after it has been asked.
 // Cause:   it may have asked as many servers as the request may run on.
 #[test]
-fn not_gathered_begun_is_not_asked_here() {
+fn delegation_failed_maybe_started_is_not_retried_locally() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    session.on(Event::DelegationFailed(1, Progress::MaybeStarted));
-    session.pass(ms(1));
-    assert_eq!(asked(&session), (0..GROUPS - ELSEWHERE).collect::<Vec<_>>());
+    start_search(&mut session);
+    session.handle(Event::DelegationFailed(1, Progress::MaybeStarted));
+    session.advance(ms(1));
+    assert_eq!(
+        requested_groups(&session),
+        (0..GROUPS - DELEGATED_COUNT).collect::<Vec<_>>()
+    );
     let Outcome::Failed { reason, .. } = session.outcome(1) else {
         unreachable!("half of the data can't be had: {:?}", session.outcome(1));
     };
@@ -138,26 +149,26 @@
 }
 
 #[test]
-fn not_gathered_declined_is_asked_here() {
+fn delegation_failed_not_started_is_searched_locally() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    session.on(Event::DelegationFailed(1, Progress::NotStarted));
-    assert_eq!(asked(&session), (0..GROUPS).collect::<Vec<_>>());
+    start_search(&mut session);
+    session.handle(Event::DelegationFailed(1, Progress::NotStarted));
+    assert_eq!(requested_groups(&session), (0..GROUPS).collect::<Vec<_>>());
     session.answer_from(0);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
 // Symptom: a caller is told that its search has not run, and servers worked on it.
 // Events:  nothing could be sent here, the other home was asked, and the time is over.
 // Cause:   only what was sent from here counted as run.
 #[test]
-fn deadline_with_a_part_elsewhere_may_have_run() {
+fn deadline_with_delegated_keys_may_have_run() {
     let route = route(GROUPS, 1);
     let servers = route.groups.iter().flat_map(|group| &group.backend_servers);
     let servers: Vec<_> = servers.copied().collect();
     let mut session = Session::pending(route, &servers);
-    begin(&mut session);
-    session.pass(ms(1_100));
+    start_search(&mut session);
+    session.advance(ms(1_100));
     assert!(session.sends.is_empty());
     let outcome = session.outcome(1);
     assert!(matches!(outcome, Outcome::Failed { .. }), "{outcome:?}");
@@ -167,12 +178,12 @@
 // Events:  the other home tells of keys that it was not asked for, or tells twice.
 // Cause:   what came was merged as it came.
 #[test]
-fn gathered_what_was_not_asked_is_not_merged() {
+fn delegated_reply_with_other_keys_is_not_merged() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    gathered(
+    start_search(&mut session);
+    receive_delegated_reply(
         &mut session,
-        &(GROUPS - ELSEWHERE - 1..GROUPS).collect::<Vec<_>>(),
+        &(GROUPS - DELEGATED_COUNT - 1..GROUPS).collect::<Vec<_>>(),
     );
     session.answer_from(0);
     let outcome = session.outcome(1);
@@ -180,15 +191,15 @@
 }
 
 #[test]
-fn gathered_twice_counts_once() {
+fn delegated_reply_duplicated_counts_once() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    gathered(&mut session, &elsewhere()[1..]);
-    gathered(&mut session, &elsewhere());
+    start_search(&mut session);
+    receive_delegated_reply(&mut session, &delegated_groups()[1..]);
+    receive_delegated_reply(&mut session, &delegated_groups());
     session.answer_from(0);
     assert_eq!(
-        session.answered(1).missing,
-        keys_of(&elsewhere()[..1]).ranges()
+        session.answer_to(1).missing,
+        keys_of(&delegated_groups()[..1]).ranges()
     );
 }
 
@@ -197,13 +208,13 @@
 // Cause:   the soft deadline looked at what was asked here.
 #[test_case(&[4, 5, 6], true; "enough_is_in")]
 #[test_case(&[4, 5], false; "too_little_is_in")]
-fn soft_deadline_goes_by_the_whole(covered: &[usize], ends: bool) {
+fn soft_deadline_counts_delegated_keys(covered: &[usize], ends: bool) {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
+    start_search(&mut session);
     session.answer_from(0);
-    session.pass(ms(SOFT + 1));
+    session.advance(ms(SOFT_DEADLINE_MS + 1));
     assert!(!session.is_finished(1), "half is missing");
-    gathered(&mut session, covered);
+    receive_delegated_reply(&mut session, covered);
     assert!(session.is_finished(1));
     assert_eq!(matches!(session.outcome(1), Outcome::Answered(_)), ends);
 }
@@ -213,141 +224,151 @@
 // Cause:   what is in at the soft deadline left without it.
 #[test_case(4, 1.0; "comes_in_time")]
 #[test_case(6, 0.5; "does_not_come")]
-fn soft_deadline_waits_a_moment_for_the_other_home(after: u64, coverage: f64) {
+fn soft_deadline_waits_briefly_for_the_other_home(after: u64, coverage: f64) {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     let soft_deadline = Some(SoftDeadline {
-        after_ms: SOFT,
+        after_ms: SOFT_DEADLINE_MS,
         coverage: 0.5,
     });
     let request = Request {
         params: Some(Params {
             soft_deadline,
             min_coverage: 0.5,
-            ..terms()
+            ..params()
         }),
         scope: Scope {
             only: None,
-            delegated: keys_of(&elsewhere()),
+            delegated: keys_of(&delegated_groups()),
         },
         ..request(1, session.now)
     };
-    session.on(Event::Request(request));
+    session.handle(Event::Request(request));
     session.answer_from(0);
-    session.pass(ms(SOFT + after));
+    session.advance(ms(SOFT_DEADLINE_MS + after));
     if !session.is_finished(1) {
-        gathered(&mut session, &elsewhere());
+        receive_delegated_reply(&mut session, &delegated_groups());
     }
-    assert_eq!(session.answered(1).coverage, coverage);
+    assert_eq!(session.answer_to(1).coverage, coverage);
 }
 
 // Symptom: a shard is asked for twice while an index is repartitioned.
 // Events:  the servers of the route change while the other home looks through its part.
 // Cause:   keys that nobody here was asked for were dealt out again.
 #[test]
-fn route_changes_leave_the_part_elsewhere() {
+fn route_change_keeps_delegated_keys() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-    begin(&mut session);
-    session.on(Event::Route(Arc::new(route(GROUPS, 3))));
-    assert_eq!(asked(&session), (0..GROUPS - ELSEWHERE).collect::<Vec<_>>());
-    gathered(&mut session, &elsewhere());
+    start_search(&mut session);
+    session.handle(Event::Route(Arc::new(route(GROUPS, 3))));
+    assert_eq!(
+        requested_groups(&session),
+        (0..GROUPS - DELEGATED_COUNT).collect::<Vec<_>>()
+    );
+    receive_delegated_reply(&mut session, &delegated_groups());
     session.answer_from(0);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
 #[test]
-fn only_is_all_that_is_asked_for() {
+fn only_limits_the_searched_groups() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     let request = Request {
-        params: Some(terms().for_groups(ELSEWHERE as u64, GROUPS)),
+        params: Some(params().for_groups(DELEGATED_COUNT as u64, GROUPS)),
         scope: Scope {
-            only: Some(keys_of(&elsewhere())),
+            only: Some(keys_of(&delegated_groups())),
             delegated: KeySet::default(),
         },
         ..request(1, session.now)
     };
-    session.on(Event::Request(request));
-    assert_eq!(asked(&session), elsewhere());
+    session.handle(Event::Request(request));
+    assert_eq!(requested_groups(&session), delegated_groups());
     let sends = session.sends.clone();
     sends[1..].iter().for_each(|send| session.answer(send));
-    session.pass(ms(SOFT + 1));
-    let answer = session.answered(1);
+    session.advance(ms(SOFT_DEADLINE_MS + 1));
+    let answer = session.answer_to(1);
     assert_eq!(answer.coverage, 0.75, "of what it was asked for");
-    assert_eq!(answer.missing, keys_of(&elsewhere()[..1]).ranges());
+    assert_eq!(answer.missing, keys_of(&delegated_groups()[..1]).ranges());
 }
 
 #[test_case(0.95, 21, 42, 19.0 / 21.0; "as_many_as_the_whole_may_lack")]
 #[test_case(0.95, 31, 63, 28.0 / 31.0; "three")]
 #[test_case(0.5, 4, 10, 0.0; "all_of_it")]
 #[test_case(1.0, 4, 10, 1.0; "none")]
-fn of_part_lacks_as_many_groups(least: f64, part: u64, of: usize, expected: f64) {
-    let terms = Params {
-        min_coverage: least,
-        ..terms()
+fn for_groups_may_miss_as_many_groups(of_all: f64, groups: u64, total: usize, expected: f64) {
+    let params = Params {
+        min_coverage: of_all,
+        ..params()
     };
-    let found = terms.for_groups(part, of).min_coverage;
-    assert!((found - expected).abs() < 1e-9, "{found}");
+    let coverage = params.for_groups(groups, total).min_coverage;
+    assert!((coverage - expected).abs() < 1e-9, "{coverage}");
 }
 
 // Whatever comes in whatever order: a search ends once, what it says of its coverage is true, keys elsewhere are asked
 // for here only after they were declined, and nothing is said not to have run that may have.
 #[test]
-fn search_beside_another_home_keeps_its_promises() {
+fn search_with_delegation_random_events_keeps_invariants() {
     for seed in 0..500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
-        begin(&mut session);
-        let mut here: Vec<usize> = (0..GROUPS - ELSEWHERE).collect();
-        here.shuffle(&mut rng);
-        here.truncate(rng.random_range(0..=here.len()));
-        let told = rng.random_range(0..4);
-        let covered: Vec<usize> = elsewhere()
+        start_search(&mut session);
+        let mut local: Vec<usize> = (0..GROUPS - DELEGATED_COUNT).collect();
+        local.shuffle(&mut rng);
+        local.truncate(rng.random_range(0..=local.len()));
+        let delegated_result = rng.random_range(0..4);
+        let covered: Vec<usize> = delegated_groups()
             .into_iter()
             .filter(|_| rng.random_bool(0.8))
             .collect();
-        let tell_after = rng.random_range(0..=here.len());
+        let result_after = rng.random_range(0..=local.len());
         let mut declined = false;
-        for step in 0..=here.len() {
-            if step == tell_after {
-                match told {
-                    0 => gathered(&mut session, &covered),
-                    1 => session.on(Event::DelegationFailed(1, Progress::MaybeStarted)),
+        for step in 0..=local.len() {
+            if step == result_after {
+                match delegated_result {
+                    0 => receive_delegated_reply(&mut session, &covered),
+                    1 => session.handle(Event::DelegationFailed(1, Progress::MaybeStarted)),
                     2 => {
                         declined = !session.is_finished(1);
-                        session.on(Event::DelegationFailed(1, Progress::NotStarted));
+                        session.handle(Event::DelegationFailed(1, Progress::NotStarted));
                     }
                     _ => {}
                 }
             }
-            let sent = here
+            let sent = local
                 .get(step)
-                .map(|group| session.sent_to(*group)[0].clone());
+                .map(|group| session.sends_to(*group)[0].clone());
             sent.into_iter().for_each(|send| session.answer(&send));
-            session.pass(ms(rng.random_range(0..60)));
+            session.advance(ms(rng.random_range(0..60)));
         }
-        session.pass(ms(2_000));
+        session.advance(ms(2_000));
         let outcome = session.outcome(1).clone();
-        let asked_there = asked(&session)
+        let sent_to_delegated = requested_groups(&session)
             .into_iter()
-            .any(|group| group >= GROUPS - ELSEWHERE);
-        assert!(!asked_there || declined, "seed {seed}: asked twice");
+            .any(|group| group >= GROUPS - DELEGATED_COUNT);
+        assert!(!sent_to_delegated || declined, "seed {seed}: asked twice");
         assert!(
             !matches!(outcome, Outcome::NotRun { .. }),
             "seed {seed}: {outcome:?}"
         );
         if let Outcome::Answered(answer) = outcome {
-            let there = if told == 0 { &covered[..] } else { &[] };
-            let known: Vec<usize> = here.iter().chain(there).copied().collect();
+            let received = if delegated_result == 0 {
+                &covered[..]
+            } else {
+                &[]
+            };
+            let answered: Vec<usize> = local.iter().chain(received).copied().collect();
             let missing: KeySet = answer.missing.iter().copied().collect();
-            let all = KeySet::from(Range::new(0, GROUPS as u64 * KEYS));
-            let held = all.difference(&missing);
+            let key_space = KeySet::from(Range::new(0, GROUPS as u64 * KEYS_PER_GROUP));
+            let included = key_space.difference(&missing);
             // It may have left at its soft deadline, before all was in, but it holds nothing that did not come.
-            assert!(held.difference(&keys_of(&known)).is_empty(), "seed {seed}");
+            assert!(
+                included.difference(&keys_of(&answered)).is_empty(),
+                "seed {seed}"
+            );
             assert_eq!(
                 answer.coverage,
-                held.len() as f64 / all.len() as f64,
+                included.len() as f64 / key_space.len() as f64,
                 "seed {seed}"
             );
-            assert!(answer.coverage >= LEAST, "seed {seed}");
+            assert!(answer.coverage >= MIN_COVERAGE, "seed {seed}");
         }
     }
 }
--- a/crates/decision/tests/home_execute.rs
+++ b/crates/decision/tests/home_execute.rs
@@ -13,52 +13,52 @@
 #[test]
 fn execute_one_server_answers_executed() {
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     assert_eq!(session.sends.len(), 1);
     let attempt = session.sends[0].attempt;
     let event = Event::Executed(attempt, "7".into(), report(&[VERSION]));
-    session.on(event);
+    session.handle(event);
     assert_eq!(session.outcome(1), &Outcome::Executed("7".into()));
 }
 
 #[test]
-fn execute_connection_lost_is_unknown_at_once() {
+fn execute_connection_lost_is_unknown_immediately() {
     // Symptom: a doubled ticket sends two teams to the same valve.
     // Events: the connection ends after the request has left and before the reply.
     // Cause: the server may have run it; a retry elsewhere would run it twice.
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.fail(session.sends[0].attempt, Failure::Lost);
     let reason = Reason::Lost;
     assert_eq!(session.outcome(1), &Outcome::Unknown { reason });
-    session.pass(ms(5000));
+    session.advance(ms(5000));
     assert_eq!(session.sends.len(), 1, "no second run");
 }
 
 #[test]
-fn execute_deadline_while_running_is_unknown_at_once() {
+fn execute_deadline_while_running_is_unknown_immediately() {
     // Symptom: a caller is told "not run" of a request that a slow server finishes later.
     // Events: the deadline passes while the request is out; its result comes afterwards.
     // Cause: only a refusal or a connection that took no byte proves that it did not run.
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
-    session.pass(ms(1000));
+    session.submit(1);
+    session.advance(ms(1000));
     let reason = Reason::Deadline;
     assert_eq!(session.outcome(1), &Outcome::Unknown { reason });
     let attempt = session.sends[0].attempt;
-    session.on(Event::Executed(attempt, "7".into(), Report::default()));
+    session.handle(Event::Executed(attempt, "7".into(), Report::default()));
     session.outcome(1);
 }
 
 #[test]
 fn execute_refused_goes_to_another_server() {
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     let first = session.sends[0].clone();
     session.fail(first.attempt, refused(Refusal::Draining));
     let second = session.sends[1].clone();
     assert_ne!(first.backend_server, second.backend_server);
-    session.on(Event::Executed(
+    session.handle(Event::Executed(
         second.attempt,
         "7".into(),
         report(&[VERSION]),
@@ -69,11 +69,11 @@
 #[test]
 fn execute_server_error_is_failed() {
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
-    let ran = Failure::ServerError {
+    session.submit(1);
+    let server_error = Failure::ServerError {
         report: report(&[VERSION]),
     };
-    session.fail(session.sends[0].attempt, ran);
+    session.fail(session.sends[0].attempt, server_error);
     let failed = Outcome::Failed {
         reason: Reason::BackendServer,
         retry_after: None,
@@ -87,10 +87,10 @@
 #[test_case(Failure::Lost; "lost")]
 fn execute_in_doubt_is_never_sent_again(failure: Failure) {
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.fail(session.sends[0].attempt, failure);
     assert!(matches!(session.outcome(1), Outcome::Unknown { .. }));
-    session.pass(ms(2000));
+    session.advance(ms(2000));
     assert_eq!(session.sends.len(), 1);
 }
 
@@ -99,9 +99,9 @@
 #[test_case(refused(Refusal::Starting); "starting")]
 #[test_case(refused(Refusal::Connections); "connection limit")]
 #[test_case(refused(Refusal::Deadline); "deadline")]
-fn execute_provably_unrun_is_sent_to_another(failure: Failure) {
+fn execute_not_run_is_sent_to_another_server(failure: Failure) {
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.fail(session.sends[0].attempt, failure);
     assert_eq!(session.sends.len(), 2);
     assert_ne!(
@@ -112,9 +112,9 @@
 }
 
 #[test]
-fn execute_malformed_is_not_run_at_once() {
+fn execute_malformed_is_not_run_immediately() {
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.fail(session.sends[0].attempt, refused(Refusal::Malformed));
     assert!(matches!(
         session.outcome(1),
@@ -126,25 +126,25 @@
 }
 
 #[test]
-fn execute_straggler_is_never_hedged() {
+fn execute_slow_server_is_never_hedged() {
     // Symptom: a grower is credited twice.
     // Events: the server is slow; the time after which searches are hedged passes.
     // Cause: the tail is cut by a second attempt, without regard to what the request does.
     let mut session = Session::polled(tickets(3), &[VERSION]);
-    session.ask(1);
-    session.pass(ms(999));
+    session.submit(1);
+    session.advance(ms(999));
     assert_eq!(session.sends.len(), 1);
     assert!(session.cancels.is_empty());
 }
 
 #[test]
-fn execute_without_a_server_is_not_run_at_once() {
+fn execute_without_a_server_is_not_run_immediately() {
     // Symptom: a caller waits for its deadline and is then told "unknown".
     // Events: no server can be reached.
     // Cause: the request waits for a server that nobody expects.
     let servers = [session::server(0, 0), session::server(0, 1)];
     let mut session = Session::refusing(tickets(2), &servers);
-    session.ask(1);
+    session.submit(1);
     assert!(matches!(
         session.outcome(1),
         Outcome::NotRun {
@@ -156,9 +156,9 @@
 }
 
 #[test]
-fn execute_all_shed_beyond_the_deadline_says_when_to_come_back() {
+fn execute_all_shed_past_the_deadline_returns_retry_after() {
     let mut session = Session::polled(tickets(1), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     let retry_after = Some(Duration::from_secs(4));
     let shed = Failure::Refused {
         refusal: Refusal::Shedding,
@@ -182,7 +182,7 @@
     // Events: its only server asks to be left alone until just before the deadline.
     // Cause: the deadline is looked at when the request arrives, and not again.
     let mut session = Session::polled(tickets(1), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     let shed = Failure::Refused {
         refusal: Refusal::Shedding,
         retry_after: Some(ms(900)),
@@ -190,9 +190,9 @@
     };
     session.fail(session.sends[0].attempt, shed);
     session.now = ms(1000);
-    session.on(Event::Tick);
+    session.handle(Event::Tick);
     assert!(matches!(session.outcome(1), Outcome::NotRun { .. }));
-    session.pass(ms(5000));
+    session.advance(ms(5000));
     assert_eq!(session.sends.len(), 1);
 }
 
@@ -202,23 +202,23 @@
     // Events: the caller goes away while the request runs, and sends the key again.
     // Cause: the result is thrown away with the connection to the caller.
     let mut session = Session::polled(tickets(2), &[VERSION]);
-    session.ask(1);
-    session.on(Event::Abandoned(1));
+    session.submit(1);
+    session.handle(Event::Abandoned(1));
     assert!(!session.is_finished(1));
     assert!(
         session.cancels.is_empty(),
         "what may be running is not cancelled"
     );
     let attempt = session.sends[0].attempt;
-    session.on(Event::Executed(attempt, "7".into(), report(&[VERSION])));
+    session.handle(Event::Executed(attempt, "7".into(), report(&[VERSION])));
     assert_eq!(session.outcome(1), &Outcome::Executed("7".into()));
 }
 
 #[test]
 fn execute_duplicate_request_runs_once() {
     let mut session = Session::polled(tickets(2), &[VERSION]);
-    session.ask(1);
-    session.ask(1);
+    session.submit(1);
+    session.submit(1);
     assert_eq!(session.sends.len(), 1);
 }
 
@@ -228,15 +228,15 @@
     // Events: a connection has been idle for long, and something between the ends has dropped it.
     // Cause: the request is put on a connection that nobody has seen working lately.
     let mut session = Session::polled(tickets(1), &[VERSION]);
-    session.pass(ms(60_000));
-    session.ask(1);
-    let opened_now = format!(
+    session.advance(ms(60_000));
+    session.submit(1);
+    let opened_line = format!(
         "{} <- Opened({})",
         session.now.as_millis(),
         session.sends[0].connection
     );
     assert!(
-        session.transcript.contains(&opened_now),
+        session.transcript.contains(&opened_line),
         "{}",
         session.transcript
     );
@@ -244,20 +244,20 @@
 
 #[test_case(true; "answered after all")]
 #[test_case(false; "silent for good")]
-fn execute_silent_connection_is_waited_for(is_answered: bool) {
+fn execute_on_a_silent_connection_waits_until_the_deadline(is_answered: bool) {
     // Symptom: a ticket ends as unknown although its result arrives in time.
     // Events: one connection is silent for long while others to the same server are answered.
     // Cause: silence is taken for loss, which is a guess.
     let mut session = Session::polled(tickets(1), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     let first = session.sends[0].clone();
     let executed = |session: &mut Session, attempt| {
-        session.on(Event::Executed(attempt, "0".into(), report(&[VERSION])));
+        session.handle(Event::Executed(attempt, "0".into(), report(&[VERSION])));
     };
     for id in 2..100 {
         let next = session.sends.len();
-        session.ask(id);
-        session.pass(ms(3));
+        session.submit(id);
+        session.advance(ms(3));
         if let Some(send) = session.sends.get(next).cloned() {
             executed(&mut session, send.attempt);
         }
@@ -268,26 +268,26 @@
         assert_eq!(session.outcome(1), &Outcome::Executed("0".into()));
         return;
     }
-    session.pass(ms(1000));
+    session.advance(ms(1000));
     let reason = Reason::Deadline;
     assert_eq!(session.outcome(1), &Outcome::Unknown { reason });
 }
 
 #[test]
-fn execute_crash_causes_two_deaths_at_most() {
+fn execute_crash_takes_down_two_servers_at_most() {
     // Symptom: each send of one request takes down a server, another one or the same again.
     // Events: the request crashes whichever server runs it; its caller sends it again and again.
     // Cause: each send is a new request to whoever looks at one alone.
     let mut session = Session::polled(tickets(5), &[VERSION]);
     for id in 1..40 {
-        let mut same = session::request(id, session.now);
-        same.fingerprint = 7;
+        let mut repeated = session::request(id, session.now);
+        repeated.fingerprint = 7;
         let next = session.sends.len();
-        session.on(Event::Request(same));
+        session.handle(Event::Request(repeated));
         if let Some(send) = session.sends.get(next).cloned() {
             session.fail(send.attempt, Failure::Lost);
         }
-        session.pass(ms(600));
+        session.advance(ms(600));
     }
     assert_eq!(
         session.sends.len(),
--- a/crates/decision/tests/home_golden.rs
+++ b/crates/decision/tests/home_golden.rs
@@ -20,46 +20,46 @@
 #[test]
 fn dispatch_map_waits_for_the_last_shard() {
     let mut session = Session::polled(sized(route(3, 3), 3, 30), &[VERSION]);
-    session.ask(1);
-    session.pass(ms(12));
+    session.submit(1);
+    session.advance(ms(12));
     session.answer(&session.sends[0].clone());
     session.fail(session.sends[1].attempt, Failure::Lost);
-    session.pass(ms(10));
+    session.advance(ms(10));
     session.answer(&session.sends[3].clone());
-    session.pass(ms(300));
+    session.advance(ms(300));
     session.answer(&session.sends[4].clone());
-    session.on(Event::Reply(
+    session.handle(Event::Reply(
         session.sends[2].attempt,
         reply(&session.sends[2].ranges, VERSION),
     ));
     for group in 0..3 {
-        let both = report(&[VERSION, VERSION + 1]);
-        session.on(Event::Polled(server(group, 0), Some(both.clone())));
-        session.on(Event::Polled(server(group, 1), Some(both)));
+        let both_versions = report(&[VERSION, VERSION + 1]);
+        session.handle(Event::Polled(server(group, 0), Some(both_versions.clone())));
+        session.handle(Event::Polled(server(group, 1), Some(both_versions)));
     }
     let next = session.sends.len();
-    session.ask(2);
-    session.pass(ms(9));
+    session.submit(2);
+    session.advance(ms(9));
     session.answer_from(next);
-    session.on(Event::Stop);
-    session.ask(3);
+    session.handle(Event::Stop);
+    session.submit(3);
     insta::assert_snapshot!(session.transcript);
 }
 
 #[test]
 fn gate_desk_gives_what_is_enough() {
     let mut session = Session::polled(sized(gate_desk(3, 3), 2, 25), &[VERSION]);
-    session.ask(1);
-    session.pass(ms(15));
+    session.submit(1);
+    session.advance(ms(15));
     session.answer(&session.sends[0].clone());
     session.fail(session.sends[1].attempt, refused(Refusal::Shedding));
-    session.pass(ms(10));
+    session.advance(ms(10));
     session.answer(&session.sends[3].clone());
-    session.pass(ms(200));
-    let mut last = session.sends[2].clone();
-    last.ranges.clear();
+    session.advance(ms(200));
+    let mut cancelled = session.sends[2].clone();
+    cancelled.ranges.clear();
     session.fail(
-        last.attempt,
+        cancelled.attempt,
         Failure::Cancelled {
             report: Report::default(),
         },
@@ -70,19 +70,19 @@
 #[test]
 fn repair_tickets_run_once() {
     let mut session = Session::polled(sized(tickets(3), 2, 110), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.fail(session.sends[0].attempt, refused(Refusal::Draining));
-    session.pass(ms(20));
+    session.advance(ms(20));
     let attempt = session.sends[1].attempt;
-    session.on(Event::Executed(
+    session.handle(Event::Executed(
         attempt,
         "{\"ticket\":7}".into(),
         report(&[VERSION]),
     ));
-    session.ask(2);
-    session.pass(ms(5));
+    session.submit(2);
+    session.advance(ms(5));
     session.fail(session.sends[2].attempt, Failure::Lost);
-    session.ask(3);
-    session.pass(ms(1000));
+    session.submit(3);
+    session.advance(ms(1000));
     insta::assert_snapshot!(session.transcript);
 }
--- a/crates/decision/tests/home_leave_out.rs
+++ b/crates/decision/tests/home_leave_out.rs
@@ -19,13 +19,13 @@
 const SLOTS: usize = 2;
 
 /// Time that a server works on an attempt, in milliseconds.
-const WORK: u64 = 20;
+const WORK_MS: u64 = 20;
 
 /// Time up to the soft deadline, and that in which an answer is worth most, in milliseconds.
-const SOFT: u64 = 100;
-const OBJECTIVE: u64 = 106;
+const SOFT_DEADLINE_MS: u64 = 100;
+const OBJECTIVE_MS: u64 = 106;
 
-const SEARCHES: u64 = 400;
+const SEARCH_COUNT: u64 = 400;
 
 /// One backend server: what it works on, with the time left, and what waits.
 #[derive(Default)]
@@ -37,16 +37,18 @@
 impl Queue {
     /// Lets a millisecond pass. Returns what was finished.
     fn step(&mut self) -> Vec<Send> {
-        self.running.iter_mut().for_each(|(_, left)| *left -= 1);
+        self.running
+            .iter_mut()
+            .for_each(|(_, remaining)| *remaining -= 1);
         let (done, running) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|(_, left)| *left == 0);
+            .partition(|(_, remaining)| *remaining == 0);
         self.running = running;
         while self.running.len() < SLOTS {
             let Some(next) = self.waiting.pop_front() else {
                 break;
             };
-            self.running.push((next, WORK));
+            self.running.push((next, WORK_MS));
         }
         let done: Vec<(Send, u64)> = done;
         done.into_iter().map(|(send, _)| send).collect()
@@ -65,98 +67,107 @@
 }
 
 /// The load, and what came of it.
-struct Played {
+struct Simulation {
     session: Session,
     servers: BTreeMap<BackendServerId, Queue>,
-    sent: usize,
-    cancelled: usize,
-    began: BTreeMap<u128, u64>,
-    took: BTreeMap<u128, u64>,
+    sends_seen: usize,
+    cancels_seen: usize,
+    starts: BTreeMap<u128, u64>,
+    durations: BTreeMap<u128, u64>,
 }
 
-impl Played {
+impl Simulation {
     fn step(&mut self, now: u64) {
         let session = &mut self.session;
-        session.pass(ms(1));
-        for attempt in session.cancels.split_off(self.cancelled) {
+        session.advance(ms(1));
+        for attempt in session.cancels.split_off(self.cancels_seen) {
             for queue in self.servers.values_mut() {
-                if let Some(at) = queue.waiting.iter().position(|one| one.attempt == attempt) {
+                if let Some(at) = queue
+                    .waiting
+                    .iter()
+                    .position(|send| send.attempt == attempt)
+                {
                     queue.waiting.remove(at);
                     let report = queue.report();
                     session.fail(attempt, Failure::Cancelled { report });
                 }
             }
         }
-        self.cancelled = session.cancels.len();
-        for send in &session.sends[self.sent..] {
+        self.cancels_seen = session.cancels.len();
+        for send in &session.sends[self.sends_seen..] {
             let queue = self.servers.entry(send.backend_server).or_default();
             queue.waiting.push_back(send.clone());
         }
-        self.sent = session.sends.len();
+        self.sends_seen = session.sends.len();
         for queue in self.servers.values_mut() {
             for send in queue.step() {
                 let mut reply = reply(&send.ranges, session::VERSION);
                 reply.report = queue.report();
-                session.on(Event::Reply(send.attempt, reply));
+                session.handle(Event::Reply(send.attempt, reply));
             }
         }
-        for (id, began) in &self.began {
+        for (id, starts) in &self.starts {
             if session.is_finished(*id) {
-                self.took.entry(*id).or_insert(now - began);
+                self.durations.entry(*id).or_insert(now - starts);
             }
         }
     }
 
     fn in_time(&self) -> usize {
         let answered = |id: &u128| matches!(self.session.outcome(*id), Outcome::Answered(_));
-        let in_time = self.took.iter().filter(|(_, took)| **took <= OBJECTIVE);
+        let in_time = self
+            .durations
+            .iter()
+            .filter(|(_, durations)| **durations <= OBJECTIVE_MS);
         in_time.filter(|(id, _)| answered(id)).count()
     }
 }
 
 /// Plays searches that come every so many milliseconds, where `short` groups have one server and the
 /// others three.
-fn play(short: usize, every: u64) -> Played {
+fn simulate(short_groups: usize, interval: u64) -> Simulation {
     let mut groups = route(GROUPS, 3);
     groups.capacity.slots = SLOTS as u32;
-    groups.deadline_ms = 2 * SOFT;
-    for group in &mut groups.groups[..short] {
+    groups.deadline_ms = 2 * SOFT_DEADLINE_MS;
+    for group in &mut groups.groups[..short_groups] {
         group.backend_servers.truncate(1);
     }
-    let mut played = Played {
-        session: Session::divided(groups, Division::among_all_hosts(2, 4.0)),
-        servers: (0..short)
-            .map(|one| (server(one, 0), Queue::default()))
+    let mut simulation = Simulation {
+        session: Session::with_division(groups, Division::among_all_hosts(2, 4.0)),
+        servers: (0..short_groups)
+            .map(|group| (server(group, 0), Queue::default()))
             .collect(),
-        sent: 0,
-        cancelled: 0,
-        began: BTreeMap::new(),
-        took: BTreeMap::new(),
+        sends_seen: 0,
+        cancels_seen: 0,
+        starts: BTreeMap::new(),
+        durations: BTreeMap::new(),
     };
-    for now in 0..SEARCHES * every + 4 * SOFT {
-        let id = u128::from(now / every) + 1;
-        if now % every == 0 && id <= u128::from(SEARCHES) {
-            let terms = Params {
+    for now in 0..SEARCH_COUNT * interval + 4 * SOFT_DEADLINE_MS {
+        let id = u128::from(now / interval) + 1;
+        if now % interval == 0 && id <= u128::from(SEARCH_COUNT) {
+            let params = Params {
                 kind: Kind::Search,
                 max_runs: 2,
                 soft_deadline: Some(SoftDeadline {
-                    after_ms: SOFT,
+                    after_ms: SOFT_DEADLINE_MS,
                     coverage: 0.9,
                 }),
                 min_coverage: 0.9,
                 work: 1,
                 urgency: None,
             };
-            played.began.insert(id, now);
-            let asked = Request {
-                params: Some(terms),
-                ..request(id, played.session.now)
+            simulation.starts.insert(id, now);
+            let request_with_params = Request {
+                params: Some(params),
+                ..request(id, simulation.session.now)
             };
-            played.session.on(Event::Request(asked));
+            simulation
+                .session
+                .handle(Event::Request(request_with_params));
         }
-        played.step(now);
+        simulation.step(now);
     }
-    played
+    simulation
 }
 
 // Symptom: one search in four is answered late and one in twenty refused, though each could do without
@@ -166,15 +177,15 @@
 #[test_case(1, 9; "one_group_short")]
 #[test_case(2, 9; "two_groups_short")]
 #[test_case(2, 7; "two_groups_far_short")]
-fn search_groups_short_of_servers_answers_in_time(short: usize, every: u64) {
-    let played = play(short, every);
-    let share = played.in_time() as f64 / SEARCHES as f64;
+fn search_groups_short_of_servers_are_left_out_to_be_in_time(short_groups: usize, interval: u64) {
+    let simulation = simulate(short_groups, interval);
+    let share = simulation.in_time() as f64 / SEARCH_COUNT as f64;
     assert!(share >= 0.95, "{share} in time");
 }
 
 #[test]
-fn search_with_servers_enough_leaves_nothing_out() {
-    let played = play(0, 9);
-    assert!(!played.session.logged("leave_out"));
-    assert!(played.in_time() as u64 == SEARCHES);
+fn search_with_enough_servers_leaves_nothing_out() {
+    let simulation = simulate(0, 9);
+    assert!(!simulation.session.has_logged("leave_out"));
+    assert!(simulation.in_time() as u64 == SEARCH_COUNT);
 }
--- a/crates/decision/tests/home_properties.rs
+++ b/crates/decision/tests/home_properties.rs
@@ -19,18 +19,18 @@
 const REPLICAS: usize = 3;
 const PERCENT: f64 = 20.0;
 /// Longer than any request's deadline and the time that its connections are kept after it.
-const QUIET_MS: u64 = 5000;
+const DRAIN_MS: u64 = 5000;
 
 /// Something that happens; numbers choose among what there is.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Ask,
+    Submit,
     Answer { nth: usize, keys: u64, version: u64 },
-    Wrong(usize),
+    Mismatched(usize),
     Fail { nth: usize, kind: usize },
     Abandon(u128),
-    Pass(u64),
-    Place(u64),
+    Advance(u64),
+    MoveBorder(u64),
     Poll { nth: usize, versions: usize },
     Leave(usize),
     Suspect(u64),
@@ -39,14 +39,14 @@
 fn step() -> impl Strategy<Value = Step> {
     let nth = || 0..60_usize;
     prop_oneof![
-        4 => Just(Step::Ask),
+        4 => Just(Step::Submit),
         8 => (nth(), 1..=100_u64, VERSION..=VERSION + 1)
             .prop_map(|(nth, keys, version)| Step::Answer { nth, keys, version }),
-        1 => nth().prop_map(Step::Wrong),
+        1 => nth().prop_map(Step::Mismatched),
         4 => (nth(), 0..9_usize).prop_map(|(nth, kind)| Step::Fail { nth, kind }),
         1 => (1..9_u128).prop_map(Step::Abandon),
-        4 => (1..300_u64).prop_map(Step::Pass),
-        1 => (1..300_u64).prop_map(Step::Place),
+        4 => (1..300_u64).prop_map(Step::Advance),
+        1 => (1..300_u64).prop_map(Step::MoveBorder),
         2 => (0..9_usize, 0..3_usize).prop_map(|(nth, versions)| Step::Poll { nth, versions }),
         1 => (0..9_usize).prop_map(Step::Leave),
         1 => (1..9_u64).prop_map(Step::Suspect),
@@ -76,7 +76,7 @@
 }
 
 /// Keys `0..300` split at `border` between groups 0 and 1.
-fn placed(mut route: Route, border: u64) -> Route {
+fn split_at(mut route: Route, border: u64) -> Route {
     let end = route.keys.end;
     route.groups.truncate(2);
     route.groups[0].keys = Range::new(0, border);
@@ -86,7 +86,7 @@
 }
 
 /// A reply that covers a share of what was asked, with one item per key that names the version.
-fn some_of(send: &Send, percent: u64, version: u64) -> Reply {
+fn partial_reply(send: &Send, percent: u64, version: u64) -> Reply {
     let part = |range: &Range| Range::new(range.start, range.start + range.len() * percent / 100);
     let ranges: Vec<Range> = send.ranges.iter().map(part).collect();
     let keys = ranges.iter().flat_map(|range| range.start..range.end);
@@ -106,7 +106,7 @@
 struct Trial {
     session: Session,
     route: Route,
-    asked: u128,
+    submitted: u128,
     /// First end of each attempt: whether it provably did not run.
     ended: BTreeMap<AttemptId, bool>,
 }
@@ -116,7 +116,7 @@
         Self {
             session: Session::polled(route.clone(), &[VERSION]),
             route,
-            asked: 0,
+            submitted: 0,
             ended: BTreeMap::new(),
         }
     }
@@ -127,70 +127,70 @@
         (count > 0).then(|| sends[nth % count].clone())
     }
 
-    fn end(&mut self, send: &Send, unrun: bool, event: Event) {
-        self.ended.entry(send.attempt).or_insert(unrun);
-        self.session.on(event);
+    fn end(&mut self, send: &Send, not_run: bool, event: Event) {
+        self.ended.entry(send.attempt).or_insert(not_run);
+        self.session.handle(event);
     }
 
     fn answer(&mut self, send: &Send, keys: u64, version: u64) {
         let event = match send.ranges.is_empty() {
             true => Event::Executed(send.attempt, "0".into(), report(&[VERSION])),
-            false => Event::Reply(send.attempt, some_of(send, keys, version)),
+            false => Event::Reply(send.attempt, partial_reply(send, keys, version)),
         };
         self.end(send, false, event);
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask => {
-                self.asked += 1;
-                self.session.ask(self.asked);
+            Step::Submit => {
+                self.submitted += 1;
+                self.session.submit(self.submitted);
             }
             Step::Answer { nth, keys, version } => {
                 if let Some(send) = self.nth(nth) {
                     self.answer(&send, keys, version);
                 }
             }
-            Step::Wrong(nth) => {
+            Step::Mismatched(nth) => {
                 if let Some(send) = self.nth(nth).filter(|send| !send.ranges.is_empty()) {
-                    let mut wrong = some_of(&send, 100, VERSION);
-                    wrong.ranges.clear();
-                    self.end(&send, false, Event::Reply(send.attempt, wrong));
+                    let mut mismatched = partial_reply(&send, 100, VERSION);
+                    mismatched.ranges.clear();
+                    self.end(&send, false, Event::Reply(send.attempt, mismatched));
                 }
             }
             Step::Fail { nth, kind } => {
                 if let Some(send) = self.nth(nth) {
                     let failure = failure(kind);
-                    let unrun = is_not_run(&failure);
-                    self.end(&send, unrun, Event::Failed(send.attempt, failure));
+                    let not_run = is_not_run(&failure);
+                    self.end(&send, not_run, Event::Failed(send.attempt, failure));
                 }
             }
-            Step::Abandon(id) => self.session.on(Event::Abandoned(id)),
-            Step::Pass(time) => self.session.pass(ms(time)),
-            Step::Place(border) => self.place(border),
+            Step::Abandon(id) => self.session.handle(Event::Abandoned(id)),
+            Step::Advance(time) => self.session.advance(ms(time)),
+            Step::MoveBorder(border) => self.move_border(border),
             Step::Poll { nth, versions } => {
                 let served = [vec![VERSION], vec![VERSION, VERSION + 1], vec![VERSION + 1]];
                 let event = Event::Polled(self.server(nth), Some(report(&served[versions])));
-                self.session.on(event);
+                self.session.handle(event);
             }
             Step::Leave(nth) => {
                 let event = Event::Leaving {
                     backend_server: self.server(nth),
                     start: Some(1),
                 };
-                self.session.on(event);
+                self.session.handle(event);
             }
             Step::Suspect(fingerprint) => {
                 let until = self.session.now + ms(100);
-                self.session.on(Event::Suspect { fingerprint, until });
+                self.session.handle(Event::Suspect { fingerprint, until });
             }
         }
     }
 
     /// Returns the connection on which a step brings a reply that does not match its attempt.
-    fn spoils(&self, step: Step) -> Option<u64> {
+    fn spoiled_connection(&self, step: Step) -> Option<u64> {
         let nth = match step {
-            Step::Wrong(nth) | Step::Fail { nth, kind: 1 } => nth,
+            Step::Mismatched(nth) | Step::Fail { nth, kind: 1 } => nth,
             _ => return None,
         };
         let in_flight = |send: &Send| !self.ended.contains_key(&send.attempt);
@@ -201,20 +201,21 @@
         server(nth / REPLICAS, nth % REPLICAS)
     }
 
-    fn place(&mut self, border: u64) {
+    fn move_border(&mut self, border: u64) {
         if self.route.groups.len() > 1 {
-            self.route = placed(route(GROUPS, REPLICAS), border);
-            self.route = tight(self.route.clone());
-            self.session.on(Event::Route(Arc::new(self.route.clone())));
+            self.route = split_at(route(GROUPS, REPLICAS), border);
+            self.route = constrained(self.route.clone());
+            self.session
+                .handle(Event::Route(Arc::new(self.route.clone())));
         }
     }
 
     /// Plays the steps and lets every deadline pass.
-    fn play(&mut self, steps: Vec<Step>) {
+    fn run(&mut self, steps: Vec<Step>) {
         for step in steps {
             self.step(step);
         }
-        self.session.pass(ms(QUIET_MS));
+        self.session.advance(ms(DRAIN_MS));
         assert_eq!(self.session.home.in_progress(), 0);
         assert_eq!(self.session.home.fleet().outstanding(), 0);
     }
@@ -228,7 +229,7 @@
         self.ended.get(&send.attempt).copied().unwrap_or(false)
     }
 
-    fn logged(&self, what: &str) -> usize {
+    fn logged_count(&self, what: &str) -> usize {
         let log = self.session.log.iter();
         log.filter(|decision| decision.what == what).count()
     }
@@ -256,7 +257,7 @@
 }
 
 /// Small budgets, and so few connections that requests wait for them.
-fn tight(mut route: Route) -> Route {
+fn constrained(mut route: Route) -> Route {
     route.capacity.connections = 3;
     route.hedge.budget_percent = PERCENT;
     route.retry.budget_percent = PERCENT;
@@ -267,11 +268,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn search_any_events_end_once_and_truly(steps in prop::collection::vec(step(), 0..60), soft: bool) {
+    fn search_any_events_end_once_with_a_correct_outcome(steps in prop::collection::vec(step(), 0..60), soft: bool) {
         let base = if soft { gate_desk(GROUPS, REPLICAS) } else { route(GROUPS, REPLICAS) };
-        let mut trial = Trial::new(tight(base));
-        trial.play(steps);
-        for id in 1..=trial.asked {
+        let mut trial = Trial::new(constrained(base));
+        trial.run(steps);
+        for id in 1..=trial.submitted {
             match trial.session.outcome(id) {
                 Outcome::Answered(answer) => check_answer(answer, trial.route.keys),
                 Outcome::NotRun { .. } => prop_assert!(trial.sends(id).iter().all(|send| trial.is_not_run(send))),
@@ -283,11 +284,11 @@
 
     #[test]
     fn search_fixed_placement_coverage_is_the_merged_weight(steps in prop::collection::vec(step(), 0..60)) {
-        let mut weighed = tight(route(GROUPS, REPLICAS));
+        let mut weighed = constrained(route(GROUPS, REPLICAS));
         weighed.groups[0].weight = 5.0;
         let mut trial = Trial::new(weighed);
-        let steps = steps.into_iter().filter(|step| !matches!(step, Step::Place(_)));
-        trial.play(steps.collect());
+        let steps = steps.into_iter().filter(|step| !matches!(step, Step::MoveBorder(_)));
+        trial.run(steps.collect());
         for (_, outcome) in &trial.session.finishes {
             if let Outcome::Answered(answer) = outcome {
                 let missing: KeySet = answer.missing.iter().copied().collect();
@@ -299,62 +300,62 @@
 
     #[test]
     fn search_any_events_keep_extra_attempts_in_budget(steps in prop::collection::vec(step(), 0..80)) {
-        let mut trial = Trial::new(tight(route(GROUPS, REPLICAS)));
-        trial.play(steps);
-        let allowed = 1.0 + PERCENT / 100.0 * trial.logged("send") as f64;
-        let given_back = |what: &str| {
+        let mut trial = Trial::new(constrained(route(GROUPS, REPLICAS)));
+        trial.run(steps);
+        let allowed = 1.0 + PERCENT / 100.0 * trial.logged_count("send") as f64;
+        let returned = |what: &str| {
             let log = trial.session.log.iter();
             log.filter(|decision| decision.why.to_string().contains(what)).count()
         };
-        let retries = trial.logged("retry") + trial.logged("overdue");
-        let retries = retries - given_back("retry given back");
+        let retries = trial.logged_count("retry") + trial.logged_count("overdue");
+        let retries = retries - returned("retry given back");
         prop_assert!(retries as f64 <= allowed, "{}", trial.session.transcript);
-        let hedges = trial.logged("hedge") + trial.logged("late hedge");
-        let hedges = hedges - given_back("hedge given back");
+        let hedges = trial.logged_count("hedge") + trial.logged_count("late hedge");
+        let hedges = hedges - returned("hedge given back");
         prop_assert!(hedges as f64 <= allowed, "{}", trial.session.transcript);
     }
 
     #[test]
     fn search_connection_carries_one_attempt_at_a_time(steps in prop::collection::vec(step(), 0..60)) {
-        let mut trial = Trial::new(tight(route(GROUPS, REPLICAS)));
-        let mut on: BTreeMap<u64, AttemptId> = BTreeMap::new();
+        let mut trial = Trial::new(constrained(route(GROUPS, REPLICAS)));
+        let mut in_use: BTreeMap<u64, AttemptId> = BTreeMap::new();
         let mut spoiled: BTreeSet<u64> = BTreeSet::new();
         let mut seen = 0;
         for step in steps {
-            spoiled.extend(trial.spoils(step));
+            spoiled.extend(trial.spoiled_connection(step));
             trial.step(step);
             for send in &trial.session.sends[seen..] {
                 prop_assert!(!spoiled.contains(&send.connection), "a reply on it did not match");
-                let before = on.insert(send.connection, send.attempt);
+                let before = in_use.insert(send.connection, send.attempt);
                 let free = before.is_none_or(|before| trial.ended.contains_key(&before));
                 prop_assert!(free, "connection {} is taken", send.connection);
             }
             seen = trial.session.sends.len();
             let closed: BTreeSet<u64> = trial.session.closes.iter().copied().collect();
-            on.retain(|connection, _| !closed.contains(connection));
+            in_use.retain(|connection, _| !closed.contains(connection));
         }
     }
 
     #[test]
-    fn search_leaving_server_gets_nothing(steps in prop::collection::vec(step(), 0..60)) {
-        let mut trial = Trial::new(tight(route(GROUPS, REPLICAS)));
-        let mut left = BTreeSet::new();
+    fn search_leaving_server_gets_no_attempts(steps in prop::collection::vec(step(), 0..60)) {
+        let mut trial = Trial::new(constrained(route(GROUPS, REPLICAS)));
+        let mut leaving = BTreeSet::new();
         let mut seen = 0;
         for step in steps {
             if let Step::Leave(nth) = step {
-                left.insert(trial.server(nth));
+                leaving.insert(trial.server(nth));
             }
             trial.step(step);
             for send in &trial.session.sends[seen..] {
-                prop_assert!(!left.contains(&send.backend_server));
+                prop_assert!(!leaving.contains(&send.backend_server));
             }
             seen = trial.session.sends.len();
         }
     }
 
     #[test]
-    fn execute_any_events_run_once_at_most(steps in prop::collection::vec(step(), 0..60)) {
-        let mut trial = Trial::new(tight(tickets(REPLICAS)));
+    fn execute_any_events_run_at_most_once(steps in prop::collection::vec(step(), 0..60)) {
+        let mut trial = Trial::new(constrained(tickets(REPLICAS)));
         let mut seen = 0;
         for step in steps {
             trial.step(step);
@@ -365,8 +366,8 @@
             }
             seen = trial.session.sends.len();
         }
-        trial.play(Vec::new());
-        for id in 1..=trial.asked {
+        trial.run(Vec::new());
+        for id in 1..=trial.submitted {
             let sends = trial.sends(id);
             match trial.session.outcome(id) {
                 Outcome::NotRun { .. } => prop_assert!(sends.iter().all(|send| trial.is_not_run(send))),
--- a/crates/decision/tests/home_queue.rs
+++ b/crates/decision/tests/home_queue.rs
@@ -9,7 +9,7 @@
 use session::{Session, VERSION, ms, report, request, route, server, tickets};
 
 /// Server for which the last attempt was made.
-fn chosen(session: &Session) -> BackendServerId {
+fn last_chosen_server(session: &Session) -> BackendServerId {
     let servers = session
         .log
         .iter()
@@ -19,22 +19,22 @@
 }
 
 /// Lets the connections to a server that were asked for open.
-fn open(session: &mut Session, server: BackendServerId) {
+fn open_pending(session: &mut Session, server: BackendServerId) {
     session.pending.remove(&server);
     for (connection, to) in session.opens.clone() {
         if to == server {
-            session.on(Event::Opened(connection));
+            session.handle(Event::Opened(connection));
         }
     }
 }
 
 #[test]
-fn request_after_its_deadline_is_not_run() {
+fn request_past_its_deadline_is_not_run() {
     let mut session = Session::polled(tickets(1), &[VERSION]);
     session.now = ms(10);
     let mut late = request(1, ms(0));
     late.deadline = ms(10);
-    session.on(Event::Request(late));
+    session.handle(Event::Request(late));
     let reason = Reason::Deadline;
     let retry_after = None;
     assert_eq!(
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn request_beyond_the_limit_is_refused_at_once() {
+fn request_over_the_limit_is_refused_immediately() {
     // Symptom: past saturation every answer is late, and servers work for callers that have gone.
     // Events: far more requests arrive than the servers can work on.
     // Cause: each of them is taken on, and waits behind the others.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     for id in 1..2000 {
-        session.ask(id);
+        session.submit(id);
     }
     let refused = |(_, outcome): &&(u128, Outcome)| {
         let reason = Reason::Overload;
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn search_without_room_waits_and_the_urgent_go_first() {
+fn search_without_a_connection_waits_urgent_first() {
     // Symptom: dispatchers wait behind planners.
     // Events: all connections are in use; a background search waits, then an urgent one does.
     // Cause: those who wait are served in order of arrival.
     let mut small = route(1, 1);
     small.capacity.connections = 2;
     let mut session = Session::polled(small, &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     for (id, class) in [(2, Class::Background), (3, Class::Urgent)] {
         let mut waiting = request(id, session.now);
         waiting.class = class;
-        session.on(Event::Request(waiting));
+        session.handle(Event::Request(waiting));
     }
     assert_eq!(
         session.sends.len(),
@@ -85,57 +85,57 @@
     session.answer_from(0);
     let order: Vec<u128> = session.sends.iter().map(|send| send.request).collect();
     assert_eq!(order, [1, 3, 2]);
-    assert_eq!(session.answered(2).coverage, 1.0);
+    assert_eq!(session.answer_to(2).coverage, 1.0);
 }
 
 #[test]
-fn leaving_server_with_a_queue_hands_it_over() {
+fn leaving_server_queue_moves_to_another() {
     // Symptom: requests are sent to a server seconds after it was marked as leaving.
     // Events: an attempt waits for a connection; meanwhile its server is marked.
     // Cause: the mark is looked at when a server is chosen, and not when the request leaves.
-    let both = [server(0, 0), server(0, 1)];
-    let mut session = Session::pending(route(1, 2), &both);
-    session.ask(1);
-    let leaving = chosen(&session);
-    session.on(Event::Leaving {
+    let servers = [server(0, 0), server(0, 1)];
+    let mut session = Session::pending(route(1, 2), &servers);
+    session.submit(1);
+    let leaving = last_chosen_server(&session);
+    session.handle(Event::Leaving {
         backend_server: leaving,
         start: None,
     });
-    open(&mut session, both[0]);
-    open(&mut session, both[1]);
+    open_pending(&mut session, servers[0]);
+    open_pending(&mut session, servers[1]);
     assert_eq!(session.sends.len(), 1);
     assert_ne!(session.sends[0].backend_server, leaving);
 }
 
 #[test]
-fn unreachable_server_with_a_queue_hands_it_over() {
-    let both = [server(0, 0), server(0, 1)];
-    let mut session = Session::pending(tickets(2), &both);
-    session.ask(1);
-    let down = chosen(&session);
+fn unreachable_server_queue_moves_to_another() {
+    let servers = [server(0, 0), server(0, 1)];
+    let mut session = Session::pending(tickets(2), &servers);
+    session.submit(1);
+    let unreachable = last_chosen_server(&session);
     let (connection, _) = *session
         .opens
         .iter()
-        .find(|(_, to)| *to == down)
+        .find(|(_, to)| *to == unreachable)
         .expect("asked for");
-    session.on(Event::Closed(connection));
-    for server in both.into_iter().filter(|server| *server != down) {
-        open(&mut session, server);
+    session.handle(Event::Closed(connection));
+    for server in servers.into_iter().filter(|server| *server != unreachable) {
+        open_pending(&mut session, server);
     }
     assert_eq!(session.sends.len(), 1);
-    assert_ne!(session.sends[0].backend_server, down);
+    assert_ne!(session.sends[0].backend_server, unreachable);
 }
 
 #[test]
-fn execute_deadline_before_the_connection_is_not_run() {
+fn execute_deadline_before_the_connection_opens_is_not_run() {
     // Symptom: a ticket whose caller was told "unknown" is opened seconds later.
     // Events: the connection opens after the deadline.
     // Cause: the request was put into a queue in time, and nobody looks at the time again.
-    let only = server(0, 0);
-    let mut session = Session::pending(tickets(1), &[only]);
-    session.ask(1);
-    session.pass(ms(1001));
-    open(&mut session, only);
+    let pending_server = server(0, 0);
+    let mut session = Session::pending(tickets(1), &[pending_server]);
+    session.submit(1);
+    session.advance(ms(1001));
+    open_pending(&mut session, pending_server);
     assert!(matches!(
         session.outcome(1),
         Outcome::NotRun {
@@ -147,31 +147,31 @@
 }
 
 #[test]
-fn minimum_raised_in_mid_query_begins_again() {
+fn minimum_raised_during_a_search_restarts_it() {
     // Symptom: answers from an index that the operators have withdrawn.
     // Events: the minimum version is raised while a query runs at the version before.
     // Cause: the minimum is looked at when a version is pinned, and not when an answer is given.
     let newer = VERSION + 1;
     let mut session = Session::polled(route(2, 1), &[VERSION]);
-    session.on(Event::Polled(server(0, 0), Some(report(&[VERSION, newer]))));
-    session.ask(1);
+    session.handle(Event::Polled(server(0, 0), Some(report(&[VERSION, newer]))));
+    session.submit(1);
     session.answer(&session.sends[1].clone());
     let mut raised = route(2, 1);
     raised.minimum_index_version = newer;
-    session.on(Event::Route(std::sync::Arc::new(raised)));
+    session.handle(Event::Route(std::sync::Arc::new(raised)));
     session.answer_from(2);
-    let answer = session.answered(1);
+    let answer = session.answer_to(1);
     assert_eq!((answer.index_version, answer.coverage), (newer, 0.5));
 }
 
 #[test]
-fn minimum_raised_beyond_all_versions_gives_no_answer() {
+fn minimum_raised_above_all_versions_fails() {
     let mut session = Session::polled(route(2, 1), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.answer(&session.sends[0].clone());
     let mut raised = route(2, 1);
     raised.minimum_index_version = VERSION + 1;
-    session.on(Event::Route(std::sync::Arc::new(raised)));
+    session.handle(Event::Route(std::sync::Arc::new(raised)));
     session.answer(&session.sends[1].clone());
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
 }
--- a/crates/decision/tests/home_ranks.rs
+++ b/crates/decision/tests/home_ranks.rs
@@ -26,14 +26,14 @@
 const SLOTS: usize = 4;
 
 /// How long a search may take at most, in milliseconds.
-const DEADLINE: u64 = 2_000;
+const DEADLINE_MS: u64 = 2_000;
 
 /// Time within which a refusal has to come to be of use, as a share of the objective.
-const AT_ONCE: u64 = 4;
+const REFUSAL_DIVISOR: u64 = 4;
 
 /// One kind of request.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct RequestKind {
     rank: Rank,
     /// Milliseconds within which an answer is in time.
     objective: u64,
@@ -43,22 +43,22 @@
     load: f64,
 }
 
-const URGENT: Asked = Asked {
+const URGENT: RequestKind = RequestKind {
     rank: 0,
     objective: 80,
     work: 9,
     load: 0.1,
 };
 
-const ROUTINE: Asked = Asked {
+const ROUTINE: RequestKind = RequestKind {
     rank: 1,
     objective: 300,
     work: 28,
     load: 1.0,
 };
 
-impl Asked {
-    fn times(self, load: f64) -> Self {
+impl RequestKind {
+    fn with_load(self, load: f64) -> Self {
         Self { load, ..self }
     }
 
@@ -67,7 +67,7 @@
         self.load * (REPLICAS * SLOTS) as f64 / self.work as f64
     }
 
-    fn terms(&self) -> Params {
+    fn params(&self) -> Params {
         Params {
             kind: Kind::Search,
             max_runs: 2,
@@ -99,17 +99,19 @@
         if now < self.paused {
             return Vec::new();
         }
-        self.running.iter_mut().for_each(|(.., left)| *left -= 1);
+        self.running
+            .iter_mut()
+            .for_each(|(.., remaining)| *remaining -= 1);
         let (done, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|(.., left)| *left == 0);
+            .partition(|(.., remaining)| *remaining == 0);
         self.running = running;
         while self.running.len() < SLOTS {
             let Some((home, next)) = self.waiting.pop_front() else {
                 break;
             };
-            let left = work(&next);
-            self.running.push((home, next, left));
+            let remaining = work(&next);
+            self.running.push((home, next, remaining));
         }
         done.into_iter()
             .map(|(home, send, _)| (home, send))
@@ -130,50 +132,51 @@
 
 /// A search that was asked for.
 struct Search {
-    asked: Asked,
-    at: u64,
-    took: Option<u64>,
+    kind: RequestKind,
+    arrived: u64,
+    duration: Option<u64>,
     /// `None` while it is in progress, and whether it was answered after that.
     answered: Option<bool>,
     is_overload: bool,
 }
 
 /// The homes, the servers and what came of the searches.
-struct Played {
+struct Simulation {
     rng: ChaCha8Rng,
     homes: Vec<Session>,
-    sent: Vec<usize>,
-    cancelled: Vec<usize>,
-    finished: Vec<usize>,
+    sends_seen: Vec<usize>,
+    cancels_seen: Vec<usize>,
+    finishes_seen: Vec<usize>,
     servers: BTreeMap<BackendServerId, Queue>,
     searches: HashMap<RequestId, Search>,
 }
 
-impl Played {
+impl Simulation {
     fn new() -> Self {
         let mut groups = route(GROUPS, REPLICAS);
         groups.capacity.slots = SLOTS as u32;
         groups.capacity.connections = 200;
         groups.deadline_ms = 600;
-        let home = || Session::divided(groups.clone(), Division::among_all_hosts(HOMES, 100.0));
+        let home =
+            || Session::with_division(groups.clone(), Division::among_all_hosts(HOMES, 100.0));
         Self {
             rng: ChaCha8Rng::seed_from_u64(3),
             homes: (0..HOMES).map(|_| home()).collect(),
-            sent: vec![0; HOMES],
-            cancelled: vec![0; HOMES],
-            finished: vec![0; HOMES],
+            sends_seen: vec![0; HOMES],
+            cancels_seen: vec![0; HOMES],
+            finishes_seen: vec![0; HOMES],
             servers: BTreeMap::new(),
             searches: HashMap::new(),
         }
     }
 
     /// Plays so much of the kinds from one time to another, in milliseconds.
-    fn play(mut self, kinds: &[Asked], from: u64, to: u64) -> Self {
+    fn run(mut self, kinds: &[RequestKind], from: u64, to: u64) -> Self {
         for now in from..to {
             for kind in kinds {
                 let mut rate = kind.rate();
                 while self.rng.random::<f64>() < rate {
-                    self.ask(*kind, now);
+                    self.submit(*kind, now);
                     rate -= 1.0;
                 }
             }
@@ -182,39 +185,39 @@
         self
     }
 
-    fn ask(&mut self, asked: Asked, now: u64) {
+    fn submit(&mut self, kind: RequestKind, now: u64) {
         let id = self.searches.len() as RequestId + 1;
         let home = self.rng.random_range(0..HOMES);
         let session = &mut self.homes[home];
         self.searches.insert(
             id,
             Search {
-                asked,
-                at: now,
-                took: None,
+                kind,
+                arrived: now,
+                duration: None,
                 answered: None,
                 is_overload: false,
             },
         );
-        session.on(Event::Request(Request {
-            deadline: session.now + ms(DEADLINE),
-            params: Some(asked.terms()),
+        session.handle(Event::Request(Request {
+            deadline: session.now + ms(DEADLINE_MS),
+            params: Some(kind.params()),
             ..request(id, session.now)
         }));
     }
 
     fn step(&mut self, now: u64) {
         for home in 0..HOMES {
-            self.homes[home].pass(ms(1));
-            self.withdraw(home);
-            for send in &self.homes[home].sends[self.sent[home]..] {
+            self.homes[home].advance(ms(1));
+            self.apply_cancels(home);
+            for send in &self.homes[home].sends[self.sends_seen[home]..] {
                 let queue = self.servers.entry(send.backend_server).or_default();
                 queue.waiting.push_back((home, send.clone()));
             }
-            self.sent[home] = self.homes[home].sends.len();
+            self.sends_seen[home] = self.homes[home].sends.len();
         }
         let searches = &self.searches;
-        let work = |send: &Send| searches[&send.request].asked.work;
+        let work = |send: &Send| searches[&send.request].kind.work;
         for queue in self.servers.values_mut() {
             // Each server stands still for a moment now and then, at another time than the others.
             if self.rng.random::<f64>() < 1.0 / 6_000.0 {
@@ -223,14 +226,14 @@
             for (home, send) in queue.step(now, work) {
                 let mut reply = reply(&send.ranges, session::VERSION);
                 reply.report = queue.report();
-                self.homes[home].on(Event::Reply(send.attempt, reply));
+                self.homes[home].handle(Event::Reply(send.attempt, reply));
             }
         }
         for home in 0..HOMES {
-            let finishes = &self.homes[home].finishes[self.finished[home]..];
+            let finishes = &self.homes[home].finishes[self.finishes_seen[home]..];
             for (id, outcome) in finishes {
                 let search = self.searches.get_mut(id).expect("it was asked for");
-                search.took = Some(now - search.at);
+                search.duration = Some(now - search.arrived);
                 search.answered = Some(matches!(outcome, Outcome::Answered(_)));
                 search.is_overload = matches!(
                     outcome,
@@ -240,18 +243,19 @@
                     }
                 );
             }
-            self.finished[home] = self.homes[home].finishes.len();
+            self.finishes_seen[home] = self.homes[home].finishes.len();
         }
     }
 
-    fn withdraw(&mut self, home: usize) {
-        let cancels = self.homes[home].cancels[self.cancelled[home]..].to_vec();
-        self.cancelled[home] += cancels.len();
+    fn apply_cancels(&mut self, home: usize) {
+        let cancels = self.homes[home].cancels[self.cancels_seen[home]..].to_vec();
+        self.cancels_seen[home] += cancels.len();
         for attempt in cancels {
             for queue in self.servers.values_mut() {
-                let is_it = |(of, one): &(usize, Send)| *of == home && one.attempt == attempt;
-                if let Some(at) = queue.waiting.iter().position(is_it) {
-                    queue.waiting.remove(at);
+                let is_cancelled =
+                    |(owner, send): &(usize, Send)| *owner == home && send.attempt == attempt;
+                if let Some(index) = queue.waiting.iter().position(is_cancelled) {
+                    queue.waiting.remove(index);
                     let report = queue.report();
                     self.homes[home].fail(attempt, Failure::Cancelled { report });
                 }
@@ -260,18 +264,18 @@
     }
 
     /// Returns the searches of a rank that were asked for from a time on.
-    fn of(&self, rank: Rank, from: u64) -> Vec<&Search> {
+    fn searches_of(&self, rank: Rank, from: u64) -> Vec<&Search> {
         let searches = self.searches.values();
         searches
-            .filter(|search| search.asked.rank == rank && search.at >= from)
+            .filter(|search| search.kind.rank == rank && search.arrived >= from)
             .collect()
     }
 
     fn in_time(&self, rank: Rank, from: u64) -> f64 {
         self.share(rank, from, |search| {
             let in_time = search
-                .took
-                .is_some_and(|took| took <= search.asked.objective + 5);
+                .duration
+                .is_some_and(|duration| duration <= search.kind.objective + 5);
             in_time && search.answered == Some(true)
         })
     }
@@ -279,35 +283,36 @@
     fn late(&self, rank: Rank, from: u64) -> f64 {
         self.share(rank, from, |search| {
             let late = search
-                .took
-                .is_some_and(|took| took > search.asked.objective + 5);
+                .duration
+                .is_some_and(|duration| duration > search.kind.objective + 5);
             late && search.answered == Some(true)
         })
     }
 
-    fn share(&self, rank: Rank, from: u64, is: impl Fn(&Search) -> bool) -> f64 {
-        let of = self.of(rank, from);
-        of.iter().filter(|search| is(search)).count() as f64 / of.len().max(1) as f64
+    fn share(&self, rank: Rank, from: u64, predicate: impl Fn(&Search) -> bool) -> f64 {
+        let searches = self.searches_of(rank, from);
+        searches.iter().filter(|search| predicate(search)).count() as f64
+            / searches.len().max(1) as f64
     }
 }
 
 /// Milliseconds after which the homes have learned what is usual, and the load is counted.
-const LEARNED: u64 = 1_000;
+const WARM_UP_MS: u64 = 1_000;
 
 // Symptom: three urgent searches in ten are answered in time while the servers do nothing but less urgent ones, and
 //          as many searches are answered late as in time.
 // Events:  the less urgent kind is asked for as often as the servers can do, and more.
 // Cause:   all are let in up to the deadline and wait in the servers' queues, in the order of arrival.
-#[test_case(0.7; "0_8_of_the_room")]
-#[test_case(0.9; "as_much_as_there_is_room")]
-#[test_case(1.4; "half_as_much_again")]
-#[test_case(1.9; "twice_the_room")]
-#[test_case(3.9; "four_times_the_room")]
-fn search_past_room_serves_urgent_in_time(load: f64) {
-    let played = Played::new().play(&[URGENT, ROUTINE.times(load)], 0, 5_000);
-    let urgent = played.in_time(0, LEARNED);
-    let routine = played.in_time(1, LEARNED);
-    let late = played.late(1, LEARNED);
+#[test_case(0.7; "0_8_of_capacity")]
+#[test_case(0.9; "at_capacity")]
+#[test_case(1.4; "one_and_a_half_times_capacity")]
+#[test_case(1.9; "twice_capacity")]
+#[test_case(3.9; "four_times_capacity")]
+fn search_over_capacity_serves_urgent_in_time(load: f64) {
+    let simulation = Simulation::new().run(&[URGENT, ROUTINE.with_load(load)], 0, 5_000);
+    let urgent = simulation.in_time(0, WARM_UP_MS);
+    let routine = simulation.in_time(1, WARM_UP_MS);
+    let late = simulation.late(1, WARM_UP_MS);
     assert!(
         urgent >= 0.9,
         "urgent {urgent}, routine {routine}, late {late}"
@@ -317,17 +322,19 @@
         "urgent {urgent}, routine {routine}, late {late}"
     );
     // Of what is left beside the urgent ones, three fifths are used in time.
-    let room = (0.9 / load).min(1.0);
-    assert!(routine >= 0.6 * room, "routine {routine} of {room}");
+    let capacity = (0.9 / load).min(1.0);
+    assert!(routine >= 0.6 * capacity, "routine {routine} of {capacity}");
 }
 
 // Symptom: a kind of request is not served at all for as long as a more urgent one comes.
 // Events:  the urgent kind alone is asked for twice as often as the servers can do.
 // Cause:   the less urgent one is let in only when nothing makes the urgent one wait.
 #[test]
-fn search_beside_too_many_urgent_does_not_starve() {
-    let played = Played::new().play(&[URGENT.times(2.0), ROUTINE.times(0.2)], 0, 5_000);
-    let answered = |rank| played.share(rank, LEARNED, |search| search.answered == Some(true));
+fn search_less_urgent_does_not_starve() {
+    let simulation =
+        Simulation::new().run(&[URGENT.with_load(2.0), ROUTINE.with_load(0.2)], 0, 5_000);
+    let answered =
+        |rank| simulation.share(rank, WARM_UP_MS, |search| search.answered == Some(true));
     let (urgent, routine) = (answered(0), answered(1));
     assert!(
         routine >= 0.25 * urgent,
@@ -341,14 +348,14 @@
 // Cause:   what was let in during the surge still waits, or the limit has not been raised again.
 #[test]
 fn search_after_surge_is_served_within_a_second() {
-    let surge = [URGENT, ROUTINE.times(3.9)];
-    let calm = [URGENT, ROUTINE.times(0.4)];
-    let played = Played::new()
-        .play(&surge, 0, 3_000)
-        .play(&calm, 3_000, 6_000);
+    let surge = [URGENT, ROUTINE.with_load(3.9)];
+    let calm = [URGENT, ROUTINE.with_load(0.4)];
+    let simulation = Simulation::new()
+        .run(&surge, 0, 3_000)
+        .run(&calm, 3_000, 6_000);
     for rank in [0, 1] {
         // One in 24 servers stands still at any moment.
-        let share = played.in_time(rank, 4_000);
+        let share = simulation.in_time(rank, 4_000);
         assert!(share >= 0.95, "rank {rank}: {share}");
     }
 }
@@ -357,14 +364,17 @@
 // Events:  four times what the servers can do.
 // Cause:   they are let in to a queue.
 #[test]
-fn search_past_room_is_refused_at_once() {
-    let played = Played::new().play(&[URGENT, ROUTINE.times(3.9)], 0, 4_000);
-    let refused = played.of(1, LEARNED).into_iter();
+fn search_over_capacity_is_refused_early() {
+    let simulation = Simulation::new().run(&[URGENT, ROUTINE.with_load(3.9)], 0, 4_000);
+    let refused = simulation.searches_of(1, WARM_UP_MS).into_iter();
     let refused: Vec<_> = refused.filter(|search| search.is_overload).collect();
     assert!(!refused.is_empty());
     for search in refused {
-        let took = search.took.expect("it has ended");
-        assert!(took <= search.asked.objective / AT_ONCE, "after {took} ms");
+        let duration = search.duration.expect("it has ended");
+        assert!(
+            duration <= search.kind.objective / REFUSAL_DIVISOR,
+            "after {duration} ms"
+        );
     }
 }
 
@@ -373,30 +383,33 @@
 // Cause:   only few classes are told apart.
 #[test]
 fn search_of_ten_ranks_is_served_in_order() {
-    let kinds: Vec<Asked> = (0..10)
-        .map(|rank| Asked {
+    let kinds: Vec<RequestKind> = (0..10)
+        .map(|rank| RequestKind {
             rank,
             load: 0.2,
             ..ROUTINE
         })
         .collect();
-    let played = Played::new().play(&kinds, 0, 5_000);
+    let simulation = Simulation::new().run(&kinds, 0, 5_000);
     let served = |ranks: std::ops::Range<Rank>| -> f64 {
         let count = f64::from(ranks.end - ranks.start);
-        ranks.map(|rank| played.in_time(rank, LEARNED)).sum::<f64>() / count
+        ranks
+            .map(|rank| simulation.in_time(rank, WARM_UP_MS))
+            .sum::<f64>()
+            / count
     };
     let (first, last) = (served(0..3), served(7..10));
     assert!(first >= last + 0.05, "first {first}, last {last}");
-    let least = (0..10).map(|rank| played.in_time(rank, LEARNED));
-    let least = least.fold(1.0, f64::min);
-    assert!(least > 0.0, "some rank is not served at all");
+    let lowest = (0..10).map(|rank| simulation.in_time(rank, WARM_UP_MS));
+    let lowest = lowest.fold(1.0, f64::min);
+    assert!(lowest > 0.0, "some rank is not served at all");
 }
 
 /// Plays a calm load at homes where all servers of the first groups report long queues which they do not have. Returns the share of the
 /// less urgent searches that are in time.
-fn play_beside_wrong_reports(groups: usize) -> f64 {
-    let mut played = Played::new();
-    let wrong = Report {
+fn run_with_false_reports(groups: usize) -> f64 {
+    let mut simulation = Simulation::new();
+    let false_report = Report {
         load: Some(Load {
             busy: SLOTS as u32,
             queued: 1_000,
@@ -408,14 +421,14 @@
         .flat_map(|group| (0..REPLICAS).map(move |replica| session::server(group, replica)))
         .collect();
     for now in 0..3_000 {
-        played = played.play(&[URGENT, ROUTINE.times(0.3)], now, now + 1);
-        for home in &mut played.homes {
+        simulation = simulation.run(&[URGENT, ROUTINE.with_load(0.3)], now, now + 1);
+        for home in &mut simulation.homes {
             for server in &servers {
-                home.on(Event::Polled(*server, Some(wrong.clone())));
+                home.handle(Event::Polled(*server, Some(false_report.clone())));
             }
         }
     }
-    played.in_time(1, LEARNED)
+    simulation.in_time(1, WARM_UP_MS)
 }
 
 // Symptom: every search is refused although servers are idle.
@@ -423,7 +436,7 @@
 // Cause:   their reports are believed, whatever their answers show.
 #[test]
 fn search_at_servers_that_report_too_much_is_served() {
-    let share = play_beside_wrong_reports(1);
+    let share = run_with_false_reports(1);
     assert!(share >= 0.9, "{share}");
 }
 
@@ -432,6 +445,6 @@
 // Cause:   a reported queue counts for up to three times the latency of the answers, which is more than urgent requests can wait.
 #[test]
 fn search_at_many_servers_that_report_too_much_is_served() {
-    let share = play_beside_wrong_reports(GROUPS / 2);
+    let share = run_with_false_reports(GROUPS / 2);
     assert!(share >= 0.9, "{share}");
 }
--- a/crates/decision/tests/home_search.rs
+++ b/crates/decision/tests/home_search.rs
@@ -10,10 +10,10 @@
 #[test]
 fn search_every_group_answers_complete() {
     let mut session = Session::polled(route(4, 3), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     assert_eq!(session.sends.len(), 4, "one attempt for each group");
     session.answer_from(0);
-    let answer = session.answered(1);
+    let answer = session.answer_to(1);
     assert_eq!(answer.index_version, VERSION);
     assert_eq!(answer.coverage, 1.0);
     assert!(answer.missing.is_empty());
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn search_versions_unknown_is_pinned_by_the_first_reply() {
+fn search_unknown_versions_pins_the_first_reply() {
     let mut session = Session::new(route(2, 2));
-    session.ask(1);
+    session.submit(1);
     assert!(
         session
             .sends
@@ -32,32 +32,32 @@
             .all(|send| send.index_version.is_none())
     );
     session.answer_from(0);
-    assert_eq!(session.answered(1).index_version, VERSION);
+    assert_eq!(session.answer_to(1).index_version, VERSION);
 }
 
 #[test]
-fn search_deadline_with_a_hole_is_partial_and_says_which() {
+fn search_deadline_with_a_silent_group_is_partial() {
     // Symptom: a dispatcher waits past the deadline, or takes a partial answer for a complete one.
     // Events: one group of four never answers.
     // Cause: a straggler whose replicas are slow too; the home has to end the query by itself.
     let mut session = Session::polled(route(4, 1), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     for send in session.sends.clone().iter().skip(1) {
         session.answer(send);
     }
     assert!(!session.is_finished(1));
-    session.pass(ms(1000));
-    let hole = session.sends[0].ranges.clone();
-    let answer = session.answered(1);
+    session.advance(ms(1000));
+    let missing = session.sends[0].ranges.clone();
+    let answer = session.answer_to(1);
     assert_eq!(answer.coverage, 0.75);
-    assert_eq!(answer.missing, hole);
+    assert_eq!(answer.missing, missing);
 }
 
 #[test]
-fn search_nothing_came_is_failed_at_the_deadline() {
+fn search_without_replies_fails_at_the_deadline() {
     let mut session = Session::polled(route(2, 1), &[VERSION]);
-    session.ask(1);
-    session.pass(ms(1000));
+    session.submit(1);
+    session.advance(ms(1000));
     let failed = Outcome::Failed {
         reason: Reason::Deadline,
         retry_after: None,
@@ -66,10 +66,10 @@
 }
 
 #[test]
-fn search_abandoned_cancels_what_was_sent() {
+fn search_abandoned_cancels_its_attempts() {
     let mut session = Session::polled(route(2, 1), &[VERSION]);
-    session.ask(1);
-    session.on(Event::Abandoned(1));
+    session.submit(1);
+    session.handle(Event::Abandoned(1));
     assert_eq!(session.cancels.len(), 2);
     assert!(session.is_finished(1));
     session.answer_from(0);
@@ -77,15 +77,15 @@
 }
 
 #[test]
-fn search_reply_to_a_part_asks_for_the_rest() {
+fn search_partial_reply_requests_the_remaining_keys() {
     let mut session = Session::polled(route(1, 2), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     let first = session.sends[0].clone();
     let half = [Range::new(0, 40)];
-    session.on(Event::Reply(first.attempt, session::reply(&half, VERSION)));
-    let rest = session.sends[1].clone();
-    assert_ne!(rest.backend_server, first.backend_server);
-    assert_eq!(rest.ranges, [Range::new(40, 100)]);
-    session.answer(&rest);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    session.handle(Event::Reply(first.attempt, session::reply(&half, VERSION)));
+    let remainder = session.sends[1].clone();
+    assert_ne!(remainder.backend_server, first.backend_server);
+    assert_eq!(remainder.ranges, [Range::new(40, 100)]);
+    session.answer(&remainder);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
 }
--- a/crates/decision/tests/home_everyone.rs
+++ b/crates/decision/tests/home_shared_servers.rs
@@ -15,7 +15,7 @@
 const HOSTS: usize = 9;
 
 /// Params of a search over many shards: two servers may run a part, most shards are enough.
-fn search(min_coverage: f64) -> Params {
+fn search_params(min_coverage: f64) -> Params {
     Params {
         kind: Kind::Search,
         max_runs: 2,
@@ -29,17 +29,17 @@
     }
 }
 
-fn asked(session: &Session, id: u128, terms: Params) -> Request {
+fn new_request(session: &Session, id: u128, params: Params) -> Request {
     Request {
-        params: Some(terms),
+        params: Some(params),
         ..request(id, session.now)
     }
 }
 
 /// Feeds a request on these terms.
-fn begin(session: &mut Session, id: u128, terms: Params) {
-    let request = asked(session, id, terms);
-    session.on(Event::Request(request));
+fn start_search(session: &mut Session, id: u128, params: Params) {
+    let request = new_request(session, id, params);
+    session.handle(Event::Request(request));
 }
 
 /// Has a server fail an attempt that it ran.
@@ -49,7 +49,7 @@
 }
 
 /// Params of a request that may run once.
-fn once() -> Params {
+fn execute_params() -> Params {
     Params {
         kind: Kind::Execute,
         max_runs: 2,
@@ -72,21 +72,21 @@
 //          this host knows; both go on to serve.
 // Cause:   each reset was taken for the death of a server, though others kept it busy and well.
 #[test]
-fn lost_connections_of_living_servers_are_no_crash() {
-    let mut session = Session::everyone(without_hedges(2, 2), HOSTS);
-    begin(&mut session, 1, search(1.0));
+fn connection_lost_server_reachable_is_no_crash() {
+    let mut session = Session::with_hosts(without_hedges(2, 2), HOSTS);
+    start_search(&mut session, 1, search_params(1.0));
     for attempt in [session.sends[0].attempt, session.sends[1].attempt] {
         session.fail(attempt, Failure::Lost);
     }
-    assert!(!session.logged("suspect"));
+    assert!(!session.has_logged("suspect"));
     session.answer_from(2);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
     let again = Request {
         fingerprint: 1,
-        ..asked(&session, 2, search(1.0))
+        ..new_request(&session, 2, search_params(1.0))
     };
     let sent = session.sends.len();
-    session.on(Event::Request(again));
+    session.handle(Event::Request(again));
     assert_eq!(session.sends.len(), sent + 2, "the same request runs again");
 }
 
@@ -94,31 +94,31 @@
 // Events:  a request crashes its server, which can't be connected to from then on; it is sent again.
 // Cause:   nobody refuses it.
 #[test]
-fn lost_connections_of_dead_servers_are_crashes() {
-    let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
+fn connection_lost_server_unreachable_is_a_crash() {
+    let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
     for id in 1..=2 {
         let request = Request {
             fingerprint: 666,
-            ..asked(&session, id, search(1.0))
+            ..new_request(&session, id, search_params(1.0))
         };
-        session.on(Event::Request(request));
+        session.handle(Event::Request(request));
         let send = session.sends.last().cloned().expect("it was sent");
         session.refusing.insert(send.backend_server);
         session.fail(send.attempt, Failure::Lost);
         if !session.is_finished(id) {
-            session.on(Event::Abandoned(id));
+            session.handle(Event::Abandoned(id));
         }
-        session.pass(ms(1_000));
+        session.advance(ms(1_000));
     }
     let third = Request {
         fingerprint: 666,
-        ..asked(&session, 3, search(1.0))
+        ..new_request(&session, 3, search_params(1.0))
     };
-    session.on(Event::Request(third));
+    session.handle(Event::Request(third));
     let outcome = session.outcome(3);
     let reason = Reason::Suspect;
     assert!(
-        matches!(outcome, Outcome::NotRun { reason: found, .. } if *found == reason),
+        matches!(outcome, Outcome::NotRun { reason: actual, .. } if *actual == reason),
         "{outcome:?}"
     );
 }
@@ -128,17 +128,17 @@
 // Events:  a server takes a connection and ends it at once, as others hold all that it accepts.
 // Cause:   the end of a connection that was idle was taken for a reason to open the next at once.
 #[test]
-fn connection_ended_at_once_is_not_opened_again_at_once() {
-    let mut session = Session::everyone(without_hedges(1, 1), HOSTS);
+fn connection_rejected_is_not_reopened_immediately() {
+    let mut session = Session::with_hosts(without_hedges(1, 1), HOSTS);
     session.pending.insert(server(0, 0));
-    begin(&mut session, 1, search(1.0));
-    begin(&mut session, 2, search(1.0));
+    start_search(&mut session, 1, search_params(1.0));
+    start_search(&mut session, 2, search_params(1.0));
     let opened = session.opens.len();
     let (connection, _) = *session.opens.last().expect("one more is wanted");
-    session.on(Event::ConnectFailed(connection, ConnectFailure::Closed));
-    session.pass(ms(50));
+    session.handle(Event::ConnectFailed(connection, ConnectFailure::Closed));
+    session.advance(ms(50));
     assert_eq!(session.opens.len(), opened, "the server is left alone");
-    session.pass(ms(1_500));
+    session.advance(ms(1_500));
     assert!(session.opens.len() > opened, "and asked again later");
 }
 
@@ -146,15 +146,15 @@
 // Events:  a part is hedged, and both attempts are lost.
 // Cause:   hedges were not counted among the attempts.
 #[test]
-fn runs_at_most_counts_hedges() {
-    let mut session = Session::everyone(route(1, 3), HOSTS);
-    begin(&mut session, 1, search(1.0));
-    session.pass(ms(400));
+fn max_runs_counts_hedges() {
+    let mut session = Session::with_hosts(route(1, 3), HOSTS);
+    start_search(&mut session, 1, search_params(1.0));
+    session.advance(ms(400));
     assert_eq!(session.sends.len(), 2, "the slow attempt was hedged");
     for attempt in [session.sends[0].attempt, session.sends[1].attempt] {
         session.fail(attempt, Failure::Lost);
     }
-    session.pass(ms(400));
+    session.advance(ms(400));
     assert_eq!(session.sends.len(), 2);
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
 }
@@ -163,47 +163,47 @@
 // Events:  both refuse it, and say that they did not run it.
 // Cause:   refusals were counted as runs.
 #[test]
-fn runs_at_most_does_not_count_refusals() {
-    let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
-    begin(&mut session, 1, search(1.0));
+fn max_runs_does_not_count_refusals() {
+    let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
+    start_search(&mut session, 1, search_params(1.0));
     for sent in 0..2 {
         let attempt = session.sends[sent].attempt;
         session.fail(attempt, refused(Refusal::Shedding));
     }
     session.answer_from(2);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
 // Symptom: an answer from three shards of ten passes for a success.
 // Events:  the other shards are down; the caller can do nothing with less than nine.
 // Cause:   any coverage above nothing was an answer.
 #[test]
-fn answer_below_the_least_coverage_is_a_failure() {
-    let mut session = Session::everyone(without_hedges(2, 1), HOSTS);
-    begin(&mut session, 1, search(0.75));
-    let (one, other) = (session.sends[0].clone(), session.sends[1].clone());
-    session.answer(&one);
+fn answer_below_min_coverage_is_a_failure() {
+    let mut session = Session::with_hosts(without_hedges(2, 1), HOSTS);
+    start_search(&mut session, 1, search_params(0.75));
+    let (first, second) = (session.sends[0].clone(), session.sends[1].clone());
+    session.answer(&first);
     session.fail(
-        other.attempt,
+        second.attempt,
         Failure::ServerError {
             report: report(&[]),
         },
     );
-    session.pass(ms(1_000));
+    session.advance(ms(1_000));
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
 }
 
 #[test]
-fn answer_at_the_least_coverage_leaves_at_the_soft_deadline() {
-    let mut session = Session::everyone(without_hedges(4, 1), HOSTS);
-    begin(&mut session, 1, search(0.75));
+fn answer_at_min_coverage_is_sent_at_the_soft_deadline() {
+    let mut session = Session::with_hosts(without_hedges(4, 1), HOSTS);
+    start_search(&mut session, 1, search_params(0.75));
     for send in session.sends.clone().iter().take(3) {
         session.answer(send);
     }
-    session.pass(ms(99));
+    session.advance(ms(99));
     assert!(!session.is_finished(1), "the last shard may still come");
-    session.pass(ms(2));
-    assert_eq!(session.answered(1).coverage, 0.75);
+    session.advance(ms(2));
+    assert_eq!(session.answer_to(1).coverage, 0.75);
 }
 
 // Symptom: whenever servers are replaced, each attempt that they still work on is sent a second
@@ -211,20 +211,20 @@
 // Events:  a server says that it is leaving while it works on a part; its group goes on without it.
 // Cause:   the part was dealt out again, as if its keys had moved to another group.
 #[test]
-fn part_at_a_leaving_server_is_waited_for() {
-    let whole = without_hedges(2, 2);
-    let mut session = Session::everyone(whole.clone(), HOSTS);
-    begin(&mut session, 1, search(1.0));
+fn part_at_a_leaving_server_is_not_resent() {
+    let full = without_hedges(2, 2);
+    let mut session = Session::with_hosts(full.clone(), HOSTS);
+    start_search(&mut session, 1, search_params(1.0));
     let leaving = session.sends[0].clone();
-    let mut rest = whole;
-    rest.groups[0]
+    let mut remaining = full;
+    remaining.groups[0]
         .backend_servers
         .retain(|server| *server != leaving.backend_server);
-    session.on(Event::Route(Arc::new(rest)));
+    session.handle(Event::Route(Arc::new(remaining)));
     assert_eq!(session.sends.len(), 2, "nothing is sent again");
     session.answer_from(0);
-    assert_eq!(session.answered(1).coverage, 1.0);
-    begin(&mut session, 2, search(1.0));
+    assert_eq!(session.answer_to(1).coverage, 1.0);
+    start_search(&mut session, 2, search_params(1.0));
     let next = &session.sends[2..];
     assert!(
         next.iter()
@@ -238,14 +238,14 @@
 // Cause:   all groups' first attempts filled one budget.
 #[test]
 fn retries_of_one_group_are_bounded_by_its_own_requests() {
-    let mut session = Session::everyone(without_hedges(10, 3), HOSTS);
+    let mut session = Session::with_hosts(without_hedges(10, 3), HOSTS);
     let percent = 10.0;
     let mut bounded = without_hedges(10, 3);
     bounded.retry.budget_percent = percent;
-    session.on(Event::Route(Arc::new(bounded)));
+    session.handle(Event::Route(Arc::new(bounded)));
     for id in 1..=200 {
         let sent = session.sends.len();
-        begin(&mut session, id, search(0.5));
+        start_search(&mut session, id, search_params(0.5));
         let mut at = sent;
         while let Some(send) = session.sends.get(at).cloned() {
             match send.ranges[0].start {
@@ -260,9 +260,9 @@
             at += 1;
         }
     }
-    let extra = session.sent_to(0).len() - 200;
-    let most = 200.0 * percent / 100.0 + 58.0 / HOSTS as f64;
-    assert!(extra as f64 <= most, "{extra} extra attempts of {most}");
+    let extra = session.sends_to(0).len() - 200;
+    let limit = 200.0 * percent / 100.0 + 58.0 / HOSTS as f64;
+    assert!(extra as f64 <= limit, "{extra} extra attempts of {limit}");
 }
 
 // Symptom: a request that may run once and one that may run often share servers, and the first is
@@ -271,14 +271,14 @@
 // Cause:   the kind was the home's and not the request's.
 #[test]
 fn kinds_share_a_home() {
-    let mut session = Session::everyone(route(1, 2), HOSTS);
-    let once = Request {
+    let mut session = Session::with_hosts(route(1, 2), HOSTS);
+    let execute_params = Request {
         class: Class::Normal,
-        ..asked(&session, 1, once())
+        ..new_request(&session, 1, execute_params())
     };
-    session.on(Event::Request(once));
-    begin(&mut session, 2, search(1.0));
-    session.pass(ms(500));
+    session.handle(Event::Request(execute_params));
+    start_search(&mut session, 2, search_params(1.0));
+    session.advance(ms(500));
     let of_first = session.sends.iter().filter(|send| send.request == 1);
     assert_eq!(of_first.count(), 1, "never hedged");
     session.fail(session.sends[0].attempt, Failure::Lost);
@@ -291,14 +291,14 @@
 // Cause:   each failure shrank the budget, to a hundredth in the end, and what hedges did not need
 //          was not there for retries.
 #[test]
-fn retries_go_on_while_many_attempts_fail() {
+fn retries_continue_while_many_attempts_fail() {
     let mut bounded = route(1, 3);
     bounded.hedge.budget_percent = 10.0;
     bounded.retry.budget_percent = 10.0;
-    let mut session = Session::everyone(bounded, HOSTS);
+    let mut session = Session::with_hosts(bounded, HOSTS);
     for id in 1..=400 {
         let sent = session.sends.len();
-        begin(&mut session, id, search(1.0));
+        start_search(&mut session, id, search_params(1.0));
         let mut at = sent;
         while let Some(send) = session.sends.get(at).cloned() {
             let is_refused = at == sent && id % 2 == 0;
@@ -318,34 +318,34 @@
 //          hedge for the first shard waits for a connection to that address.
 // Cause:   servers are known by their addresses, and the attempt was sent to whoever has it now.
 #[test]
-fn hedge_queued_at_an_address_that_moved_is_taken_back() {
-    let whole = route(2, 2);
-    let mut session = Session::everyone(whole.clone(), HOSTS);
-    let (asked_first, moved) = (server(0, 0), server(0, 1));
-    begin(&mut session, 1, search(1.0));
+fn hedge_queued_at_a_reassigned_address_is_withdrawn() {
+    let full = route(2, 2);
+    let mut session = Session::with_hosts(full.clone(), HOSTS);
+    let (original, moved) = (server(0, 0), server(0, 1));
+    start_search(&mut session, 1, search_params(1.0));
     let of_part = session.sends.iter().find(|send| send.ranges[0].start == 0);
-    let at = of_part
+    let primary = of_part
         .map(|send| send.backend_server)
         .expect("it was sent");
-    let moved = if at == moved { asked_first } else { moved };
+    let moved = if primary == moved { original } else { moved };
     // The hedge finds its server's only connection gone, and waits for another.
     session.pending.insert(moved);
     for (connection, server) in session.opens.clone() {
         if server == moved {
-            session.on(Event::Closed(connection));
+            session.handle(Event::Closed(connection));
         }
     }
-    session.pass(ms(300));
-    assert!(session.logged("hedge"), "{}", session.transcript);
-    let mut swapped = whole;
-    swapped.groups[0]
+    session.advance(ms(300));
+    assert!(session.has_logged("hedge"), "{}", session.transcript);
+    let mut reassigned = full;
+    reassigned.groups[0]
         .backend_servers
-        .retain(|one| *one != moved);
-    swapped.groups[1].backend_servers.push(moved);
-    session.on(Event::Route(Arc::new(swapped)));
+        .retain(|server| *server != moved);
+    reassigned.groups[1].backend_servers.push(moved);
+    session.handle(Event::Route(Arc::new(reassigned)));
     for (connection, server) in session.opens.clone() {
         if server == moved {
-            session.on(Event::Opened(connection));
+            session.handle(Event::Opened(connection));
         }
     }
     let wrong = |send: &&Send| send.backend_server == moved && send.ranges[0].start == 0;
@@ -362,33 +362,33 @@
 // Events:  servers fail part of their requests while their health is good, for seconds.
 // Cause:   a success in between made a server as good as any other.
 #[test]
-fn servers_that_fail_often_are_left_for_one_that_does_not() {
-    let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
+fn servers_that_often_fail_are_avoided() {
+    let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
     let good = server(0, 2);
-    let mut met = Vec::new();
+    let mut first_choices = Vec::new();
     for id in 1..=300 {
         let sent = session.sends.len();
-        begin(&mut session, id, search(1.0));
+        start_search(&mut session, id, search_params(1.0));
         let mut at = sent;
         while let Some(send) = session.sends.get(at).cloned() {
             let fails = send.backend_server != good && send.attempt % 5 < 3;
-            session.pass(ms(10));
+            session.advance(ms(10));
             match fails {
                 true => fail(&mut session, &send),
                 false => session.answer(&send),
             }
             at += 1;
         }
-        met.push(session.sends[sent].backend_server);
+        first_choices.push(session.sends[sent].backend_server);
     }
-    let settled = &met[20..];
-    let well = settled.iter().filter(|server| **server == good).count();
+    let settled = &first_choices[20..];
+    let sent_to_good = settled.iter().filter(|server| **server == good).count();
     assert!(
-        well * 10 >= settled.len() * 9,
-        "{well} of {}",
+        sent_to_good * 10 >= settled.len() * 9,
+        "{sent_to_good} of {}",
         settled.len()
     );
-    assert!(well < settled.len(), "the others are tried again");
+    assert!(sent_to_good < settled.len(), "the others are tried again");
 }
 
 // Symptom: of the repair tickets of eight seconds one after the other waits for its deadline, and
@@ -397,30 +397,30 @@
 // Cause:   a server with an overdue attempt was asked next, to find out how it stands, also by
 //          requests that may not run anywhere else afterwards.
 #[test]
-fn only_attempts_avoid_servers_with_overdue_ones() {
-    let mut session = Session::everyone(route(1, 3), HOSTS);
+fn execute_avoids_servers_with_overdue_attempts() {
+    let mut session = Session::with_hosts(route(1, 3), HOSTS);
     for id in 1..=60 {
-        begin(&mut session, id, once());
+        start_search(&mut session, id, execute_params());
         let send = session.sends.last().cloned().expect("it was sent");
-        session.pass(ms(5));
-        session.on(Event::Executed(send.attempt, "{}".into(), report(&[])));
+        session.advance(ms(5));
+        session.handle(Event::Executed(send.attempt, "{}".into(), report(&[])));
     }
-    begin(&mut session, 100, once());
-    let dark = session.sends.last().expect("it was sent").backend_server;
-    session.pass(ms(300));
+    start_search(&mut session, 100, execute_params());
+    let silent = session.sends.last().expect("it was sent").backend_server;
+    session.advance(ms(300));
     let sent = session.sends.len();
     for id in 101..=120 {
-        begin(&mut session, id, once());
+        start_search(&mut session, id, execute_params());
         let send = session.sends.last().cloned().expect("it was sent");
-        session.pass(ms(5));
-        if send.backend_server != dark {
-            session.on(Event::Executed(send.attempt, "{}".into(), report(&[])));
+        session.advance(ms(5));
+        if send.backend_server != silent {
+            session.handle(Event::Executed(send.attempt, "{}".into(), report(&[])));
         }
     }
-    let there = session.sends[sent..]
+    let sent_to_silent = session.sends[sent..]
         .iter()
-        .filter(|send| send.backend_server == dark);
-    assert_eq!(there.count(), 0);
+        .filter(|send| send.backend_server == silent);
+    assert_eq!(sent_to_silent.count(), 0);
 }
 
 // Symptom: after all hosts lost power, two of them had no connection to any server of one shard for
@@ -432,24 +432,24 @@
 #[test]
 fn home_of_shared_servers_connects_on_demand() {
     let division = Division::among_all_hosts(HOSTS, 58.0).on_demand();
-    let mut session = Session::divided(without_hedges(1, 2), division);
+    let mut session = Session::with_division(without_hedges(1, 2), division);
     assert_eq!(session.opens.len(), 0);
-    begin(&mut session, 1, search(1.0));
+    start_search(&mut session, 1, search_params(1.0));
     session.answer_from(0);
-    assert_eq!(session.answered(1).coverage, 1.0);
+    assert_eq!(session.answer_to(1).coverage, 1.0);
     assert_eq!(session.opens.len(), 1);
 }
 
 #[test]
-fn connection_ended_at_once_is_tried_again_within_half_a_second() {
-    let mut session = Session::everyone(without_hedges(1, 1), HOSTS);
+fn connection_rejected_is_retried_within_half_a_second() {
+    let mut session = Session::with_hosts(without_hedges(1, 1), HOSTS);
     session.pending.insert(server(0, 0));
-    session.on(Event::Closed(1));
+    session.handle(Event::Closed(1));
     for _ in 0..10 {
         let (connection, _) = *session.opens.last().expect("it was opened");
-        session.on(Event::ConnectFailed(connection, ConnectFailure::Closed));
+        session.handle(Event::ConnectFailed(connection, ConnectFailure::Closed));
         let opened = session.opens.len();
-        session.pass(ms(450));
+        session.advance(ms(450));
         assert!(session.opens.len() > opened, "{}", session.transcript);
     }
 }
@@ -458,18 +458,18 @@
 // Events:  a second request comes while the first is at the nearby server, which has three slots.
 // Cause:   an idle server far away was taken before a nearby one with one attempt.
 #[test]
-fn servers_nearby_are_taken_until_they_have_two_attempts() {
-    let mut session = Session::everyone(without_hedges(1, 3), HOSTS);
+fn nearby_servers_are_preferred_up_to_two_attempts() {
+    let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
     let near = server(0, 1);
-    let far = [server(0, 0), server(0, 2)].into_iter().collect();
-    session.on(Event::RemoteServers(far));
+    let remote = [server(0, 0), server(0, 2)].into_iter().collect();
+    session.handle(Event::RemoteServers(remote));
     for id in 1..=3 {
-        begin(&mut session, id, search(1.0));
+        start_search(&mut session, id, search_params(1.0));
     }
-    let at: Vec<bool> = session
+    let went_nearby: Vec<bool> = session
         .sends
         .iter()
         .map(|send| send.backend_server == near)
         .collect();
-    assert_eq!(at, [true, true, false]);
+    assert_eq!(went_nearby, [true, true, false]);
 }
--- a/crates/decision/tests/home_hindrance.rs
+++ b/crates/decision/tests/home_skip.rs
@@ -10,17 +10,17 @@
 // Events:  of a shard's two servers one refuses connections and one leaves; a search comes.
 // Cause:   the line named a part and a group by number, and no server.
 #[test]
-fn search_without_a_server_tells_shard_servers_and_reasons() {
+fn search_without_a_server_logs_a_reason_per_server() {
     let mut session = Session::refusing(route(2, 2), &[server(1, 0)]);
-    session.on(Event::Leaving {
+    session.handle(Event::Leaving {
         backend_server: server(1, 1),
         start: None,
     });
-    session.ask(1);
-    let told = session.log.iter().filter(|line| line.what == "give_up");
-    let told: Vec<String> = told.map(|line| line.why.to_string()).collect();
+    session.submit(1);
+    let reasons = session.log.iter().filter(|line| line.what == "give_up");
+    let reasons: Vec<String> = reasons.map(|line| line.why.to_string()).collect();
     assert_eq!(
-        told,
+        reasons,
         [
             "no server for part 1, g1: 127.0.2.1:9000 unreachable, connect: refused, 127.0.2.2:9000 leaving"
         ]
--- a/crates/decision/tests/home_alarm.rs
+++ b/crates/decision/tests/home_wakeup.rs
@@ -9,20 +9,20 @@
 use std::sync::Arc;
 
 /// How late ticks may be, and how often other events come, in milliseconds.
-const LATE_AT_MOST: u64 = 20;
-const EVENTS: usize = 30;
-const GAP_AT_MOST: u64 = 60;
+const MAX_TICK_DELAY: u64 = 20;
+const EVENT_COUNT: usize = 30;
+const MAX_EVENT_GAP: u64 = 60;
 
 /// A home that is fed nothing but what its alarm asks for, and some other events.
 struct Driver {
     home: Home,
-    alarm: Wakeup,
+    wakeup: Wakeup,
     finished: Option<Time>,
 }
 
 impl Driver {
-    fn feed(&mut self, event: Event, now: Time) {
-        self.alarm.on_event(now);
+    fn handle(&mut self, event: Event, now: Time) {
+        self.wakeup.on_event(now);
         let actions = self.home.handle(event, now);
         self.carry_out(actions, now);
     }
@@ -30,8 +30,8 @@
     fn carry_out(&mut self, actions: Vec<Action>, now: Time) {
         for action in actions {
             match action {
-                Action::Wake(at) => self.alarm.schedule(at),
-                Action::Open(id, _) => self.feed(Event::Opened(id), now),
+                Action::Wake(at) => self.wakeup.schedule(at),
+                Action::Open(id, _) => self.handle(Event::Opened(id), now),
                 Action::Finish(..) => self.finished = Some(now),
                 _ => {}
             }
@@ -46,27 +46,27 @@
     // asks for its next wake-up; then the tick comes.
     // Cause: the tick that had become pointless took the next wake-up with it.
     #[test]
-    fn alarm_events_overtake_ticks_deadline_is_kept(
-        gaps in proptest::collection::vec(0..GAP_AT_MOST, EVENTS),
-        late in 0..LATE_AT_MOST,
+    fn wakeup_events_overtake_ticks_deadline_is_kept(
+        gaps in proptest::collection::vec(0..MAX_EVENT_GAP, EVENT_COUNT),
+        tick_delay in 0..MAX_TICK_DELAY,
     ) {
         let (home, actions) = Home::new(Arc::new(route(2, 2)), 1, 7, Time::ZERO);
-        let mut driver = Driver { home, alarm: Wakeup::default(), finished: None };
+        let mut driver = Driver { home, wakeup: Wakeup::default(), finished: None };
         driver.carry_out(actions, Time::ZERO);
-        driver.feed(Event::Request(request(1, Time::ZERO)), Time::ZERO);
-        let mut others = gaps.iter().scan(0, |at, gap| { *at += gap; Some(ms(*at)) }).peekable();
+        driver.handle(Event::Request(request(1, Time::ZERO)), Time::ZERO);
+        let mut event_times = gaps.iter().scan(0, |at, gap| { *at += gap; Some(ms(*at)) }).peekable();
         while driver.finished.is_none() {
-            let tick = driver.alarm.next().map(|at| at + ms(late));
-            match others.next_if(|at| tick.is_none_or(|tick| *at < tick)) {
-                Some(at) => driver.feed(Event::Polled(server(0, 0), Some(report(&[VERSION]))), at),
+            let tick = driver.wakeup.next().map(|at| at + ms(tick_delay));
+            match event_times.next_if(|at| tick.is_none_or(|tick| *at < tick)) {
+                Some(at) => driver.handle(Event::Polled(server(0, 0), Some(report(&[VERSION]))), at),
                 None => {
                     let tick = tick.expect("a request in progress has a wake-up");
-                    driver.feed(Event::Tick, tick);
+                    driver.handle(Event::Tick, tick);
                 }
             }
         }
         let deadline = ms(1000);
         let finished = driver.finished.expect("it ends");
-        prop_assert!(finished >= deadline && finished <= deadline + ms(late + GAP_AT_MOST));
+        prop_assert!(finished >= deadline && finished <= deadline + ms(tick_delay + MAX_EVENT_GAP));
     }
 }
--- a/crates/decision/tests/restart.rs
+++ b/crates/decision/tests/restart.rs
@@ -137,11 +137,11 @@
 // Cause:   failures, latencies and idle connections of the earlier start were taken for the later one's.
 #[test]
 fn replaced_server_is_as_good_as_new() {
-    let mut session = Session::everyone(without_hedges(), HOSTS);
+    let mut session = Session::with_hosts(without_hedges(), HOSTS);
     let (bad, good) = (server(0, 0), server(0, 1));
     for id in 1..=40 {
         let from = session.sends.len();
-        session.ask(id);
+        session.submit(id);
         while let Some(send) = session.sends.get(from..).and_then(<[_]>::last).cloned() {
             match send.backend_server == bad {
                 true => {
@@ -154,20 +154,20 @@
                 break;
             }
         }
-        session.pass(ms(10));
+        session.advance(ms(10));
     }
     let from = session.sends.len();
-    session.ask(100);
+    session.submit(100);
     assert_eq!(session.sends[from].backend_server, good);
     session.answer_from(from);
     let (opens, closes) = (session.opens.len(), session.closes.len());
-    session.on(Event::Replaced([bad].into()));
+    session.handle(Event::Replaced([bad].into()));
     assert!(session.closes.len() > closes, "its connections are closed");
     assert!(session.opens[opens..].iter().any(|(_, at)| *at == bad));
     let mut asked = 0;
     for id in 101..=140 {
         let from = session.sends.len();
-        session.ask(id);
+        session.submit(id);
         asked += usize::from(session.sends[from].backend_server == bad);
         session.answer_from(from);
     }
@@ -179,11 +179,11 @@
 // Cause:   the failure was counted as the later start's, and its connection used again.
 #[test]
 fn replaced_server_is_not_blamed_for_an_earlier_attempt() {
-    let mut session = Session::everyone(without_hedges(), HOSTS);
-    session.ask(1);
+    let mut session = Session::with_hosts(without_hedges(), HOSTS);
+    session.submit(1);
     let send = session.sends[0].clone();
     let before = session.closes.len();
-    session.on(Event::Replaced([send.backend_server].into()));
+    session.handle(Event::Replaced([send.backend_server].into()));
     session.answer(&send);
     assert!(session.is_finished(1), "its answer still counts");
     let closed = &session.closes[before..];
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 
 /// Keys of each group of a test route.
-pub(crate) const KEYS: u64 = 100;
+pub(crate) const KEYS_PER_GROUP: u64 = 100;
 
 /// Version that test servers serve unless told otherwise.
 pub(crate) const VERSION: IndexVersion = 6;
@@ -36,15 +36,18 @@
 
 /// Returns the address of a replica of a group.
 pub(crate) fn server(group: usize, replica: usize) -> BackendServerId {
-    let text = format!("127.0.{}.{}:9000", group + 1, replica + 1);
-    text.parse().expect("a socket address")
+    let address = format!("127.0.{}.{}:9000", group + 1, replica + 1);
+    address.parse().expect("a socket address")
 }
 
 /// Returns a search route with as many groups and replicas.
 pub(crate) fn route(groups: usize, replicas: usize) -> Route {
     let group = |index: usize| Group {
         name: format!("g{index}").into(),
-        keys: Range::new(index as u64 * KEYS, (index as u64 + 1) * KEYS),
+        keys: Range::new(
+            index as u64 * KEYS_PER_GROUP,
+            (index as u64 + 1) * KEYS_PER_GROUP,
+        ),
         weight: 1.0,
         backend_servers: (0..replicas)
             .map(|replica| server(index, replica))
@@ -71,7 +74,7 @@
         },
         max_body_bytes: 65536,
         minimum_index_version: 0,
-        keys: Range::new(0, groups as u64 * KEYS),
+        keys: Range::new(0, groups as u64 * KEYS_PER_GROUP),
         groups: (0..groups).map(group).collect(),
     }
 }
@@ -158,7 +161,7 @@
     pub(crate) cancels: Vec<AttemptId>,
     pub(crate) closes: Vec<ConnectionId>,
     pub(crate) finishes: Vec<(RequestId, Outcome)>,
-    pub(crate) others: Vec<Action>,
+    pub(crate) other_actions: Vec<Action>,
     pub(crate) log: Vec<Decision>,
     pub(crate) transcript: String,
     wakes: BTreeSet<Time>,
@@ -171,36 +174,40 @@
 
     /// Returns a session in which some servers refuse connections from the start.
     pub(crate) fn refusing(route: Route, refusing: &[BackendServerId]) -> Self {
-        Self::with(route, refusing, &[])
+        Self::with_connects(route, refusing, &[])
     }
 
     /// Returns a session in which connections to some servers take as long as the test wants.
     pub(crate) fn pending(route: Route, pending: &[BackendServerId]) -> Self {
-        Self::with(route, &[], pending)
+        Self::with_connects(route, &[], pending)
     }
 
-    fn with(route: Route, refusing: &[BackendServerId], pending: &[BackendServerId]) -> Self {
+    fn with_connects(
+        route: Route,
+        refusing: &[BackendServerId],
+        pending: &[BackendServerId],
+    ) -> Self {
         let (home, actions) = Home::new(Arc::new(route), 1, 7, Time::ZERO);
-        Self::started(home, actions, refusing, pending)
+        Self::with_home(home, actions, refusing, pending)
     }
 
     /// Returns a session of a home that is one of `hosts` which all are homes, and that takes
     /// nothing but a refused connect for a sign that a server died.
-    pub(crate) fn everyone(route: Route, hosts: usize) -> Self {
-        Self::divided(route, Division::among_all_hosts(hosts, 58.0))
+    pub(crate) fn with_hosts(route: Route, hosts: usize) -> Self {
+        Self::with_division(route, Division::among_all_hosts(hosts, 58.0))
     }
 
     /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
-    pub(crate) fn divided(route: Route, division: Division) -> Self {
+    pub(crate) fn with_division(route: Route, division: Division) -> Self {
         let policy = Policy {
             crash_signal: CrashSignal::ConnectFailed,
             ..Policy::default()
         };
         let (home, actions) = Home::with_policy(Arc::new(route), division, 7, policy, Time::ZERO);
-        Self::started(home, actions, &[], &[])
+        Self::with_home(home, actions, &[], &[])
     }
 
-    fn started(
+    fn with_home(
         home: Home,
         actions: Vec<Action>,
         refusing: &[BackendServerId],
@@ -216,7 +223,7 @@
             cancels: Vec::new(),
             closes: Vec::new(),
             finishes: Vec::new(),
-            others: Vec::new(),
+            other_actions: Vec::new(),
             log: Vec::new(),
             transcript: String::new(),
             wakes: BTreeSet::new(),
@@ -231,20 +238,20 @@
         let servers: Vec<BackendServerId> = servers.copied().collect();
         let mut session = Self::new(route);
         for server in servers {
-            session.on(Event::Polled(server, Some(report(versions))));
+            session.handle(Event::Polled(server, Some(report(versions))));
         }
         session
     }
 
     /// Feeds an event, and what follows from it by itself.
-    pub(crate) fn on(&mut self, event: Event) {
-        let line = describe(&event);
+    pub(crate) fn handle(&mut self, event: Event) {
+        let line = describe_event(&event);
         let is_tick = event == Event::Tick;
         let actions = self.home.handle(event, self.now);
-        let quiet = actions
+        let only_wakes = actions
             .iter()
             .all(|action| matches!(action, Action::Wake(_)));
-        if !(is_tick && quiet) {
+        if !(is_tick && only_wakes) {
             self.write("<-", &line);
         }
         self.carry_out(actions);
@@ -254,7 +261,7 @@
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             if !matches!(action, Action::Wake(_)) {
-                self.write("->", &show(&action));
+                self.write("->", &describe_action(&action));
             }
             match action {
                 Action::Open(connection, server) => {
@@ -266,7 +273,7 @@
                         true => Event::ConnectFailed(connection, ConnectFailure::Refused),
                         false => Event::Opened(connection),
                     };
-                    self.write("<-", &describe(&event));
+                    self.write("<-", &describe_event(&event));
                     actions.extend(self.home.handle(event, self.now));
                 }
                 Action::Close(connection) => self.closes.push(connection),
@@ -277,36 +284,36 @@
                     self.wakes.insert(at);
                 }
                 Action::Log(decision) => self.log.push(decision),
-                other => self.others.push(other),
+                action => self.other_actions.push(action),
             }
         }
     }
 
-    fn write(&mut self, way: &str, text: &str) {
-        let line = format!("{:>6} {way} {text}\n", self.now.as_millis());
+    fn write(&mut self, direction: &str, text: &str) {
+        let line = format!("{:>6} {direction} {text}\n", self.now.as_millis());
         self.transcript.push_str(&line);
     }
 
     /// Lets time pass, with a tick at each wake-up that was asked for.
-    pub(crate) fn pass(&mut self, time: Time) {
+    pub(crate) fn advance(&mut self, time: Time) {
         let end = self.now + time;
         while let Some(at) = self.wakes.first().copied().filter(|at| *at <= end) {
             self.wakes.remove(&at);
             self.now = at.max(self.now);
-            self.on(Event::Tick);
+            self.handle(Event::Tick);
         }
         self.now = end;
-        self.on(Event::Tick);
+        self.handle(Event::Tick);
     }
 
-    pub(crate) fn ask(&mut self, id: RequestId) {
-        self.on(Event::Request(request(id, self.now)));
+    pub(crate) fn submit(&mut self, id: RequestId) {
+        self.handle(Event::Request(request(id, self.now)));
     }
 
     /// Answers an attempt in full, from the version that was asked for.
     pub(crate) fn answer(&mut self, send: &Send) {
         let version = send.index_version.unwrap_or(VERSION);
-        self.on(Event::Reply(send.attempt, reply(&send.ranges, version)));
+        self.handle(Event::Reply(send.attempt, reply(&send.ranges, version)));
     }
 
     /// Answers the attempts sent from the `from`th on.
@@ -319,14 +326,14 @@
     }
 
     pub(crate) fn fail(&mut self, attempt: AttemptId, failure: Failure) {
-        self.on(Event::Failed(attempt, failure));
+        self.handle(Event::Failed(attempt, failure));
     }
 
     /// Returns the attempts sent for a group.
-    pub(crate) fn sent_to(&self, group: usize) -> Vec<Send> {
+    pub(crate) fn sends_to(&self, group: usize) -> Vec<Send> {
         let sends = self.sends.iter();
-        let there = sends.filter(|send| (0..9).any(|r| server(group, r) == send.backend_server));
-        there.cloned().collect()
+        let to_group = sends.filter(|send| (0..9).any(|r| server(group, r) == send.backend_server));
+        to_group.cloned().collect()
     }
 
     /// Returns the outcome of a request, which must be the only one.
@@ -345,7 +352,7 @@
         self.finishes.iter().any(|(request, _)| *request == id)
     }
 
-    pub(crate) fn answered(&self, id: RequestId) -> &Answer {
+    pub(crate) fn answer_to(&self, id: RequestId) -> &Answer {
         match self.outcome(id) {
             Outcome::Answered(answer) => answer,
             other => unreachable!("request {id} ended otherwise: {other:?}"),
@@ -353,12 +360,12 @@
     }
 
     /// Tells whether a decision of this kind was logged.
-    pub(crate) fn logged(&self, what: &str) -> bool {
+    pub(crate) fn has_logged(&self, what: &str) -> bool {
         self.log.iter().any(|decision| decision.what == what)
     }
 }
 
-fn describe(event: &Event) -> String {
+fn describe_event(event: &Event) -> String {
     match event {
         Event::Request(request) => format!("request {}", request.id),
         Event::Reply(attempt, reply) => format!(
@@ -376,7 +383,7 @@
     }
 }
 
-fn show(action: &Action) -> String {
+fn describe_action(action: &Action) -> String {
     match action {
         Action::Send(send) => format!(
             "send {} on {} to {} version {:?} ranges {}",
--- a/crates/decision/tests/way.rs
+++ b/crates/decision/tests/way.rs
@@ -42,22 +42,22 @@
 fn answered(objective: Duration, on_the_way: Duration, path: Duration, work: Duration) -> Duration {
     let mut without_hedges = route(SHARDS, 1);
     without_hedges.hedge.budget_percent = 0.0;
-    let mut session = Session::everyone(without_hedges, 9);
+    let mut session = Session::with_hosts(without_hedges, 9);
     // Two round trips less the last way, and half of the host's work.
     let arrived = path * 3 + work / 2;
-    session.pass(arrived);
+    session.advance(arrived);
     let asked = request(1, session.now);
     let asked = Request {
         params: Some(search(objective).terms(on_the_way)),
         ..asked
     };
-    session.on(Event::Request(asked));
+    session.handle(Event::Request(asked));
     let sends = session.sends.clone();
     for send in sends.iter().skip(1) {
         session.answer(send);
     }
     while !session.is_finished(1) {
-        session.pass(Time::from_millis(1));
+        session.advance(Time::from_millis(1));
     }
     session.now + work / 2 + path
 }
