--- a/crates/decision/tests/home_deferral.rs
+++ b/crates/decision/tests/home_deferral.rs
@@ -1,4 +1,4 @@
-//! Which searches get the further attempts when there are not enough for all.
+//! Deferred retries: which searches get retries while the retry budget is scarce.
 
 mod session;
 
@@ -16,16 +16,18 @@
 
 const GROUPS: usize = 10;
 
-/// Searches that were answered whole before; each group then allows a tenth of them.
+/// Searches before the tested one; each group's retry budget is a tenth of them.
 const WARM_UP_SEARCHES: u128 = 100;
 
-/// Further attempts that searches took which would have had an answer without them.
+/// Retries per group that these searches spend.
 const RETRIES_PER_GROUP: u128 = 8;
 
 const MIN_COVERAGE: f64 = 0.89;
 
-/// Time up to the soft deadline, and the longest time that a failed part waits for the others.
+/// Soft deadline after the start of a search, in milliseconds.
 const SOFT_DEADLINE_MS: u64 = 100;
+
+/// Longest deferral of a failed part, in milliseconds.
 const MAX_DEFER_MS: u64 = 35;
 
 fn params() -> Params {
@@ -42,7 +44,7 @@
     }
 }
 
-/// Begins a search and returns its attempts, one for each group.
+/// Starts a search and returns its attempts, one for each group.
 fn start_search(session: &mut Session, id: u128) -> Vec<Send> {
     let from = session.sends.len();
     let request = Request {
@@ -58,7 +60,7 @@
     session.fail(send.attempt, Failure::ServerError { report });
 }
 
-/// Returns a home at which the further attempts of each group are nearly used up.
+/// Returns a session in which the retry budget of each group is nearly spent.
 fn with_scarce_budget() -> Session {
     let mut route = route(GROUPS, 3);
     route.hedge.budget_percent = 0.0;
@@ -81,20 +83,17 @@
     session
 }
 
-// Symptom: while servers fail two requests of five, one search in three is answered, although the
-// further attempts that their owners allow would do for more.
-// Events: most searches lose three shards or more; each takes the first attempts that it gets.
-// Cause: further attempts are handed out as failures come, most of them to searches that are lost all
-// the same.
+// Guards against retries granted in the order of failures: most would go to searches that fail
+// anyway.
 #[test]
 fn fail_few_parts_are_retried() {
     let mut session = with_scarce_budget();
     let sends = start_search(&mut session, 1_000);
     let sent = session.sends.len();
     sends[..2].iter().for_each(|send| fail(&mut session, send));
-    assert_eq!(session.sends.len(), sent, "both wait for the others");
+    assert_eq!(session.sends.len(), sent, "both parts are deferred");
     sends[2..].iter().for_each(|send| session.answer(send));
-    assert_eq!(session.sends.len(), sent + 2, "both are asked again");
+    assert_eq!(session.sends.len(), sent + 2, "both parts are retried");
     session.answer_from(sent);
     assert!((session.answer_to(1_000).coverage - 1.0).abs() < f64::EPSILON);
 }
@@ -106,11 +105,11 @@
     let sent = session.sends.len();
     sends[1..].iter().for_each(|send| fail(&mut session, send));
     session.answer(&sends[0]);
-    assert_eq!(session.sends.len(), sent, "nothing is spent on it");
+    assert_eq!(session.sends.len(), sent, "no retry is spent");
     assert!(matches!(session.outcome(1_000), Outcome::Failed { .. }));
 }
 
-// A tenth of ten groups is one, whatever rounding makes of it.
+// The answer can do without one group of ten, despite rounding errors in the coverage.
 #[test]
 fn fail_parts_beyond_the_dispensable_are_retried() {
     let mut session = with_scarce_budget();
@@ -127,12 +126,13 @@
     let sent = session.sends.len();
     sends[..5].iter().for_each(|send| fail(&mut session, send));
     sends[5..].iter().for_each(|send| session.answer(send));
-    assert!(session.sends.len() >= sent + 4, "four of them decide");
+    assert!(
+        session.sends.len() >= sent + 4,
+        "four of the five failed parts are retried"
+    );
 }
 
-// Symptom: a search is late because its failed parts wait for a server that pauses.
-// Events: two parts fail at once, the servers of two others pause for longer than the objective.
-// Cause: the wait has no end.
+// Guards against a search that is late because its deferred parts wait for a paused server.
 #[test]
 fn fail_beside_slow_parts_has_bounded_deferral() {
     let mut session = with_scarce_budget();
@@ -145,9 +145,8 @@
     assert_eq!(session.sends.len(), sent + 2);
 }
 
-// Symptom: a caller is held until its deadline by a search that can't be answered any more.
-// Events: so many parts are given up that the rest can't reach the least coverage; others are slow.
-// Cause: a search ends only when nothing of it is in progress.
+// Guards against a search that keeps its caller waiting after it can no longer reach the minimum
+// coverage.
 #[test]
 fn give_up_too_many_parts_ends_the_search() {
     let mut route = route(GROUPS, 3);
@@ -161,15 +160,14 @@
     assert_eq!(
         session.cancels.len(),
         GROUPS - 2,
-        "the others are cancelled"
+        "the other attempts are cancelled"
     );
 }
 
-// Symptom: servers get more further attempts than their owners allow whenever some are replaced.
-// Events: parts wait for the others of their search; a new configuration comes.
-// Cause: what nobody works on is dealt out again, and what is dealt out costs no budget.
-#[test_case(0 ; "of its own group")]
-#[test_case(5 ; "of another group")]
+// Guards against retries outside the budget when a new configuration arrives while parts are
+// deferred.
+#[test_case(0 ; "its own group")]
+#[test_case(5 ; "another group")]
 fn route_change_keeps_parts_deferred(changed: usize) {
     let mut session = with_scarce_budget();
     let sends = start_search(&mut session, 1_000);
--- a/crates/decision/tests/home_delegation.rs
+++ b/crates/decision/tests/home_delegation.rs
@@ -1,4 +1,4 @@
-//! Searches of which another home looks through a part.
+//! Searches that delegate some of their groups to another home.
 
 mod session;
 
@@ -18,13 +18,13 @@
 
 const GROUPS: usize = 8;
 
-/// Groups that the other home looks through: the last ones.
+/// Number of groups that the other home searches, the last ones of the route.
 const DELEGATED_COUNT: usize = 4;
 
-/// An answer may lack one group of eight.
+/// An answer may miss one of the eight groups.
 const MIN_COVERAGE: f64 = 0.85;
 
-/// Time up to the soft deadline, in milliseconds.
+/// Soft deadline after the start of the search, in milliseconds.
 const SOFT_DEADLINE_MS: u64 = 100;
 
 fn keys_of(groups: &[usize]) -> KeySet {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Begins a search of which the other home looks through its groups.
+/// Starts a search that delegates the last groups to the other home.
 fn start_search(session: &mut Session) {
     let request = Request {
         params: Some(params()),
@@ -68,14 +68,14 @@
     session.handle(Event::Request(request));
 }
 
-/// The other home tells that it has looked through these groups.
+/// Delivers the other home's reply, which covers `groups`.
 fn receive_delegated_reply(session: &mut Session, groups: &[usize]) {
     let covered = keys_of(groups);
     let reply = reply(covered.ranges(), VERSION);
     session.handle(Event::DelegatedReply(1, reply));
 }
 
-/// Returns the groups that servers here were asked for.
+/// Returns the groups for which this home has sent attempts.
 fn requested_groups(session: &Session) -> Vec<usize> {
     let group = |send: &Send| (send.ranges[0].start / KEYS_PER_GROUP) as usize;
     let mut groups: Vec<usize> = session.sends.iter().map(group).collect();
@@ -93,7 +93,7 @@
         (0..GROUPS - DELEGATED_COUNT).collect::<Vec<_>>()
     );
     session.answer_from(0);
-    assert!(!session.is_finished(1), "the other part is missing");
+    assert!(!session.is_finished(1), "the delegated groups are missing");
     receive_delegated_reply(&mut session, &delegated_groups());
     let answer = session.answer_to(1);
     assert_eq!(answer.coverage, 1.0);
@@ -101,7 +101,7 @@
     assert_eq!(
         answer.items.len(),
         GROUPS - DELEGATED_COUNT + 1,
-        "one range came from there"
+        "the delegated reply has one range"
     );
 }
 
@@ -115,9 +115,8 @@
     assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
-// Symptom: an answer calls itself whole and lacks a shard, or is refused although it has enough.
-// Events:  the other home covers all of its groups but one.
-// Cause:   what it lacks was not counted with what is missing here.
+// Guards against an answer that claims to be complete, or is refused, because the keys that the
+// delegated reply misses are not counted.
 #[test]
 fn delegated_reply_partial_reports_missing_keys() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
@@ -129,9 +128,8 @@
     assert_eq!(answer.coverage, 7.0 / 8.0);
 }
 
-// Symptom: servers are asked for a shard more often than a request may run.
-// Events:  the connection to the other home ends after it has been asked.
-// Cause:   it may have asked as many servers as the request may run on.
+// Guards against a shard that is searched more often than `max_runs` allows: the other home may
+// have sent its attempts before the connection to it ended.
 #[test]
 fn delegation_failed_maybe_started_is_not_retried_locally() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
@@ -143,7 +141,7 @@
         (0..GROUPS - DELEGATED_COUNT).collect::<Vec<_>>()
     );
     let Outcome::Failed { reason, .. } = session.outcome(1) else {
-        unreachable!("half of the data can't be had: {:?}", session.outcome(1));
+        unreachable!("half of the groups are lost: {:?}", session.outcome(1));
     };
     assert_eq!(*reason, Reason::Lost);
 }
@@ -158,9 +156,8 @@
     assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
-// Symptom: a caller is told that its search has not run, and servers worked on it.
-// Events:  nothing could be sent here, the other home was asked, and the time is over.
-// Cause:   only what was sent from here counted as run.
+// Guards against `NotRun` for a search that the other home may have run, although this home sent
+// nothing.
 #[test]
 fn deadline_with_delegated_keys_may_have_run() {
     let route = route(GROUPS, 1);
@@ -174,9 +171,7 @@
     assert!(matches!(outcome, Outcome::Failed { .. }), "{outcome:?}");
 }
 
-// Symptom: a record twice in an answer, or one of a shard that is not named.
-// Events:  the other home tells of keys that it was not asked for, or tells twice.
-// Cause:   what came was merged as it came.
+// Guards against duplicate records, and records of shards that were not requested, in an answer.
 #[test]
 fn delegated_reply_with_other_keys_is_not_merged() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
@@ -203,11 +198,10 @@
     );
 }
 
-// Symptom: an answer leaves half empty at its soft deadline, or waits on although it has enough.
-// Events:  the other home is late.
-// Cause:   the soft deadline looked at what was asked here.
-#[test_case(&[4, 5, 6], true; "enough_is_in")]
-#[test_case(&[4, 5], false; "too_little_is_in")]
+// Guards against a soft deadline that counts only the keys searched by this home: the answer would
+// be too small, or later than necessary.
+#[test_case(&[4, 5, 6], true; "min_coverage_reached")]
+#[test_case(&[4, 5], false; "below_min_coverage")]
 fn soft_deadline_counts_delegated_keys(covered: &[usize], ends: bool) {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     start_search(&mut session);
@@ -219,11 +213,10 @@
     assert_eq!(matches!(session.outcome(1), Outcome::Answered(_)), ends);
 }
 
-// Symptom: answers of half the data where the other half comes a moment later.
-// Events:  half is enough for an answer; the other home leaves its soft deadline a moment before this one's.
-// Cause:   what is in at the soft deadline left without it.
-#[test_case(4, 1.0; "comes_in_time")]
-#[test_case(6, 0.5; "does_not_come")]
+// Guards against answers with half of the data because the other home, which has the same soft
+// deadline, replies slightly later.
+#[test_case(4, 1.0; "reply_in_time")]
+#[test_case(6, 0.5; "no_reply")]
 fn soft_deadline_waits_briefly_for_the_other_home(after: u64, coverage: f64) {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
     let soft_deadline = Some(SoftDeadline {
@@ -251,9 +244,7 @@
     assert_eq!(session.answer_to(1).coverage, coverage);
 }
 
-// Symptom: a shard is asked for twice while an index is repartitioned.
-// Events:  the servers of the route change while the other home looks through its part.
-// Cause:   keys that nobody here was asked for were dealt out again.
+// Guards against a second search of the delegated keys when the route changes in the meantime.
 #[test]
 fn route_change_keeps_delegated_keys() {
     let mut session = Session::polled(route(GROUPS, 2), &[VERSION]);
@@ -285,14 +276,14 @@
     sends[1..].iter().for_each(|send| session.answer(send));
     session.advance(ms(SOFT_DEADLINE_MS + 1));
     let answer = session.answer_to(1);
-    assert_eq!(answer.coverage, 0.75, "of what it was asked for");
+    assert_eq!(answer.coverage, 0.75, "share of the requested groups");
     assert_eq!(answer.missing, keys_of(&delegated_groups()[..1]).ranges());
 }
 
-#[test_case(0.95, 21, 42, 19.0 / 21.0; "as_many_as_the_whole_may_lack")]
-#[test_case(0.95, 31, 63, 28.0 / 31.0; "three")]
-#[test_case(0.5, 4, 10, 0.0; "all_of_it")]
-#[test_case(1.0, 4, 10, 1.0; "none")]
+#[test_case(0.95, 21, 42, 19.0 / 21.0; "two_of_21")]
+#[test_case(0.95, 31, 63, 28.0 / 31.0; "three_of_31")]
+#[test_case(0.5, 4, 10, 0.0; "all_of_4")]
+#[test_case(1.0, 4, 10, 1.0; "none_of_4")]
 fn for_groups_may_miss_as_many_groups(of_all: f64, groups: u64, total: usize, expected: f64) {
     let params = Params {
         min_coverage: of_all,
@@ -302,8 +293,9 @@
     assert!((coverage - expected).abs() < 1e-9, "{coverage}");
 }
 
-// Whatever comes in whatever order: a search ends once, what it says of its coverage is true, keys elsewhere are asked
-// for here only after they were declined, and nothing is said not to have run that may have.
+// With replies in any order: a search ends once, reports its coverage correctly, searches delegated
+// keys locally only after the other home declined them, and never reports `NotRun` for work that may
+// have run.
 #[test]
 fn search_with_delegation_random_events_keeps_invariants() {
     for seed in 0..500 {
@@ -343,7 +335,10 @@
         let sent_to_delegated = requested_groups(&session)
             .into_iter()
             .any(|group| group >= GROUPS - DELEGATED_COUNT);
-        assert!(!sent_to_delegated || declined, "seed {seed}: asked twice");
+        assert!(
+            !sent_to_delegated || declined,
+            "seed {seed}: delegated keys were searched twice"
+        );
         assert!(
             !matches!(outcome, Outcome::NotRun { .. }),
             "seed {seed}: {outcome:?}"
@@ -358,7 +353,8 @@
             let missing: KeySet = answer.missing.iter().copied().collect();
             let key_space = KeySet::from(Range::new(0, GROUPS as u64 * KEYS_PER_GROUP));
             let included = key_space.difference(&missing);
-            // It may have left at its soft deadline, before all was in, but it holds nothing that did not come.
+            // The search may end at its soft deadline before all replies have arrived, but an answer
+            // never includes keys without a reply.
             assert!(
                 included.difference(&keys_of(&answered)).is_empty(),
                 "seed {seed}"
--- a/crates/decision/tests/home_execute.rs
+++ b/crates/decision/tests/home_execute.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests at a home, driven by events.
+//! Non-idempotent requests at a home.
 
 mod session;
 
@@ -23,23 +23,21 @@
 
 #[test]
 fn execute_connection_lost_is_unknown_immediately() {
-    // Symptom: a doubled ticket sends two teams to the same valve.
-    // Events: the connection ends after the request has left and before the reply.
-    // Cause: the server may have run it; a retry elsewhere would run it twice.
+    // Guards against a second run: the server may have executed the request before the connection
+    // was lost.
     let mut session = Session::polled(tickets(3), &[VERSION]);
     session.submit(1);
     session.fail(session.sends[0].attempt, Failure::Lost);
     let reason = Reason::Lost;
     assert_eq!(session.outcome(1), &Outcome::Unknown { reason });
     session.advance(ms(5000));
-    assert_eq!(session.sends.len(), 1, "no second run");
+    assert_eq!(session.sends.len(), 1, "the request is not resent");
 }
 
 #[test]
 fn execute_deadline_while_running_is_unknown_immediately() {
-    // Symptom: a caller is told "not run" of a request that a slow server finishes later.
-    // Events: the deadline passes while the request is out; its result comes afterwards.
-    // Cause: only a refusal or a connection that took no byte proves that it did not run.
+    // Guards against `NotRun` for a request that a slow server finishes after the deadline. Only a
+    // refusal or a connection that accepted no byte proves that it did not run.
     let mut session = Session::polled(tickets(3), &[VERSION]);
     session.submit(1);
     session.advance(ms(1000));
@@ -127,9 +125,7 @@
 
 #[test]
 fn execute_slow_server_is_never_hedged() {
-    // Symptom: a grower is credited twice.
-    // Events: the server is slow; the time after which searches are hedged passes.
-    // Cause: the tail is cut by a second attempt, without regard to what the request does.
+    // Guards against a hedge for a non-idempotent request.
     let mut session = Session::polled(tickets(3), &[VERSION]);
     session.submit(1);
     session.advance(ms(999));
@@ -139,9 +135,7 @@
 
 #[test]
 fn execute_without_a_server_is_not_run_immediately() {
-    // Symptom: a caller waits for its deadline and is then told "unknown".
-    // Events: no server can be reached.
-    // Cause: the request waits for a server that nobody expects.
+    // Guards against a request that waits until its deadline although no server is reachable.
     let servers = [session::server(0, 0), session::server(0, 1)];
     let mut session = Session::refusing(tickets(2), &servers);
     session.submit(1);
@@ -178,9 +172,8 @@
 
 #[test]
 fn execute_deadline_in_the_queue_is_not_run() {
-    // Symptom: a request that waited too long is still sent, and runs after its caller was told.
-    // Events: its only server asks to be left alone until just before the deadline.
-    // Cause: the deadline is looked at when the request arrives, and not again.
+    // Guards against a request that is sent after its deadline, when its only server's backoff has
+    // ended.
     let mut session = Session::polled(tickets(1), &[VERSION]);
     session.submit(1);
     let shed = Failure::Refused {
@@ -198,16 +191,15 @@
 
 #[test]
 fn execute_abandoned_while_running_ends_with_its_result() {
-    // Symptom: the second send of a key is answered "unknown" although the result came.
-    // Events: the caller goes away while the request runs, and sends the key again.
-    // Cause: the result is thrown away with the connection to the caller.
+    // Guards against the loss of a result because its caller disconnected: a retry with the same
+    // key needs it.
     let mut session = Session::polled(tickets(2), &[VERSION]);
     session.submit(1);
     session.handle(Event::Abandoned(1));
     assert!(!session.is_finished(1));
     assert!(
         session.cancels.is_empty(),
-        "what may be running is not cancelled"
+        "a request that may be running is not cancelled"
     );
     let attempt = session.sends[0].attempt;
     session.handle(Event::Executed(attempt, "7".into(), report(&[VERSION])));
@@ -224,9 +216,8 @@
 
 #[test]
 fn execute_stale_connection_is_replaced_first() {
-    // Symptom: now and then a ticket ends as unknown although all servers are well.
-    // Events: a connection has been idle for long, and something between the ends has dropped it.
-    // Cause: the request is put on a connection that nobody has seen working lately.
+    // Guards against a request that is sent on a long-idle connection that may have been dropped by
+    // the network.
     let mut session = Session::polled(tickets(1), &[VERSION]);
     session.advance(ms(60_000));
     session.submit(1);
@@ -242,12 +233,11 @@
     );
 }
 
-#[test_case(true; "answered after all")]
-#[test_case(false; "silent for good")]
+#[test_case(true; "answered late")]
+#[test_case(false; "never answered")]
 fn execute_on_a_silent_connection_waits_until_the_deadline(is_answered: bool) {
-    // Symptom: a ticket ends as unknown although its result arrives in time.
-    // Events: one connection is silent for long while others to the same server are answered.
-    // Cause: silence is taken for loss, which is a guess.
+    // Guards against an `Unknown` outcome before the deadline because silence was treated as a lost
+    // connection.
     let mut session = Session::polled(tickets(1), &[VERSION]);
     session.submit(1);
     let first = session.sends[0].clone();
@@ -262,7 +252,7 @@
             executed(&mut session, send.attempt);
         }
     }
-    assert!(!session.is_finished(1), "given up before its deadline");
+    assert!(!session.is_finished(1), "ended before its deadline");
     if is_answered {
         executed(&mut session, first.attempt);
         assert_eq!(session.outcome(1), &Outcome::Executed("0".into()));
@@ -275,9 +265,7 @@
 
 #[test]
 fn execute_crash_takes_down_two_servers_at_most() {
-    // Symptom: each send of one request takes down a server, another one or the same again.
-    // Events: the request crashes whichever server runs it; its caller sends it again and again.
-    // Cause: each send is a new request to whoever looks at one alone.
+    // Guards against a request that crashes a server each time its caller retries it.
     let mut session = Session::polled(tickets(5), &[VERSION]);
     for id in 1..40 {
         let mut repeated = session::request(id, session.now);
@@ -289,11 +277,7 @@
         }
         session.advance(ms(600));
     }
-    assert_eq!(
-        session.sends.len(),
-        2,
-        "each is a death, of whichever server"
-    );
+    assert_eq!(session.sends.len(), 2, "each attempt took down a server");
     assert!(matches!(
         session.outcome(39),
         Outcome::NotRun {
--- a/crates/decision/tests/home_failures.rs
+++ b/crates/decision/tests/home_failures.rs
@@ -1,4 +1,4 @@
-//! What fails while a search runs.
+//! Failures of servers, connections and attempts during a search.
 
 mod session;
 
@@ -14,9 +14,8 @@
 
 #[test]
 fn reply_duplicated_or_late_changes_nothing() {
-    // Symptom: a caller gets items of somebody else's answer, or a second answer.
-    // Events: replies arrive twice, after the caller left, and for attempts that never were.
-    // Cause: replies are taken by whoever waits on the connection, and not by attempt.
+    // Guards against a reply that is matched by connection instead of attempt: callers would get a
+    // second answer, or one to another request.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     session.submit(1);
     session.submit(2);
@@ -34,9 +33,8 @@
 #[test_case(1; "truncated or of another attempt")]
 #[test_case(2; "of another kind")]
 fn reply_mismatched_ends_its_connection(kind: u8) {
-    // Symptom: from some moment on every caller gets the answer to the request before.
-    // Events: a reply does not match its attempt; the next request goes out on its connection.
-    // Cause: what is left on the connection is read as the reply to the next request.
+    // Guards against the reuse of a connection after a mismatched reply: each later request on it
+    // would get the answer to the one before.
     let mut session = Session::polled(route(1, 2), &[VERSION]);
     session.submit(1);
     let first = session.sends[0].clone();
@@ -63,9 +61,8 @@
 
 #[test]
 fn reply_mismatched_long_after_the_cancellation_ends_its_connection() {
-    // Symptom: as above, but rarely.
-    // Events: an attempt is cancelled and its confirmation stays away; then a wrong reply comes.
-    // Cause: by then the fleet has forgotten the attempt, and has no verdict on its connection.
+    // Guards against the reuse of such a connection when the fleet has already forgotten the
+    // cancelled attempt.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     let mut long_request = session::request(1, ms(0));
     long_request.deadline = ms(60_000);
@@ -79,9 +76,8 @@
 
 #[test]
 fn slow_server_is_hedged_and_the_loser_cancelled() {
-    // Symptom: the slowest shard sets the latency of every answer.
-    // Events: one server does not answer; its replica would.
-    // Cause: nobody asks the replica.
+    // Guards against a latency that the slowest server of each fan-out determines although its
+    // replica is idle.
     let mut session = Session::polled(route(2, 2), &[VERSION]);
     session.submit(1);
     session.answer(&session.sends_to(0)[0].clone());
@@ -106,9 +102,8 @@
 
 #[test]
 fn retry_budget_spent_fails_immediately() {
-    // Symptom: a failing server's load is doubled by retries, and its callers wait for nothing.
-    // Events: every attempt fails; the budget holds one retry.
-    // Cause: each request retries by itself, without regard to the others.
+    // Guards against retries that double the load of a failing server because each request retries
+    // independently.
     let mut limited = route(1, 3);
     limited.retry.budget_percent = 1.0;
     let mut session = Session::polled(limited, &[VERSION]);
@@ -128,19 +123,25 @@
         };
         assert_eq!(session.outcome(id), &failed);
     }
-    assert_eq!(session.sends.len(), 10, "nine first attempts and one retry");
+    assert_eq!(
+        session.sends.len(),
+        10,
+        "nine primary attempts and one retry"
+    );
 }
 
 #[test]
 fn soft_deadline_answers_with_min_coverage() {
-    // Symptom: lorries queue at the gate for the last shard.
-    // Events: half the groups answer at once, one after the soft deadline, one never.
-    // Cause: the answer is held until all is there or the deadline has come.
+    // Guards against an answer that is held for the last shard although the minimum coverage is
+    // reached after the soft deadline.
     let mut session = Session::polled(gate_desk(4, 1), &[VERSION]);
     session.submit(1);
     session.answer(&session.sends[0].clone());
     session.advance(ms(200));
-    assert!(!session.is_finished(1), "a quarter is not enough");
+    assert!(
+        !session.is_finished(1),
+        "a quarter of the keys is below the minimum"
+    );
     session.answer(&session.sends[1].clone());
     assert_eq!(session.answer_to(1).coverage, 0.5);
     assert_eq!(session.cancels.len(), 2);
@@ -172,9 +173,7 @@
 
 #[test]
 fn group_unreachable_is_partial_immediately() {
-    // Symptom: callers wait out the deadline although nothing more can come.
-    // Events: no server of one group can be reached; the others answer.
-    // Cause: a part without any usable server is waited for.
+    // Guards against a search that waits until its deadline for a group without a reachable server.
     let mut session = Session::refusing(route(2, 2), &[server(1, 0), server(1, 1)]);
     session.submit(1);
     session.answer_from(0);
@@ -184,9 +183,8 @@
 
 #[test]
 fn group_reachable_again_is_searched() {
-    // Symptom: a hole in an answer that was given long after the hole's servers were back.
-    // Events: a group can't be reached at first; it is back before the other group has answered.
-    // Cause: a part once given up is never looked at again.
+    // Guards against a missing group in an answer although its servers became reachable while the
+    // search ran.
     let mut session = Session::refusing(route(2, 1), &[server(1, 0)]);
     session.submit(1);
     session.refusing.clear();
@@ -198,9 +196,8 @@
 
 #[test]
 fn every_server_sheds_is_not_run_with_retry_after() {
-    // Symptom: callers of a saturated route wait for their deadline, and all come back together.
-    // Events: the only server refuses for longer than the deadline.
-    // Cause: the refusal is treated like a failure that may pass.
+    // Guards against callers of an overloaded route that wait until their deadline and then all
+    // retry together.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     session.submit(1);
     let shed = Failure::Refused {
@@ -227,7 +224,7 @@
     };
     session.fail(session.sends[0].attempt, shed);
     session.advance(ms(99));
-    assert_eq!(session.sends.len(), 1, "not before the server wants it");
+    assert_eq!(session.sends.len(), 1, "no retry before the delay is over");
     session.advance(ms(101));
     session.answer_from(1);
     assert_eq!(session.answer_to(1).coverage, 1.0);
@@ -235,9 +232,7 @@
 
 #[test]
 fn leaving_server_gets_no_new_work() {
-    // Symptom: a server that is being taken out still gets requests, and cuts them off.
-    // Events: a reply says that its server is draining.
-    // Cause: the mark is not heeded before the host list shows it.
+    // Guards against new requests for a server whose reply said that it is draining.
     let mut session = Session::polled(route(1, 2), &[VERSION]);
     session.submit(1);
     let first = session.sends[0].clone();
@@ -248,7 +243,7 @@
     assert_eq!(
         session.other_actions,
         [announcement],
-        "the other homes are told once"
+        "announced to the other homes once"
     );
     for id in 2..20 {
         session.submit(id);
@@ -275,15 +270,14 @@
 
 #[test]
 fn crash_on_two_servers_refuses_the_request_everywhere() {
-    // Symptom: one request takes down a whole group, server after server.
-    // Events: a request's connection is lost on one server, then on its replica; others send it too.
-    // Cause: the retry, and the caller's next send, carry the crash on.
+    // Guards against a request that takes down all replicas of a group through retries, or when its
+    // caller sends it again.
     let mut session = Session::polled(route(1, 4), &[VERSION]);
     session.submit(1);
     session.fail(session.sends[0].attempt, Failure::Lost);
     session.advance(ms(600));
     session.fail(session.sends[1].attempt, Failure::Lost);
-    assert_eq!(session.sends.len(), 2, "no third server");
+    assert_eq!(session.sends.len(), 2, "not sent to a third server");
     let is_announced = |action: &Action| matches!(action, Action::AnnounceSuspect(1, _));
     assert!(session.other_actions.iter().any(is_announced));
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
@@ -298,18 +292,17 @@
         }
     ));
     session.submit(3);
-    assert_eq!(session.sends.len(), 3, "other requests go on");
+    assert_eq!(session.sends.len(), 3, "other requests are still sent");
 }
 
 #[test]
 fn connection_lost_is_retried_while_other_groups_work() {
-    // Symptom: each server that is replaced adds the slowest group's time to the queries it had.
-    // Events: one group's server dies while the others still work; no request is to blame.
-    // Cause: the retry waits until nothing else of the request is running, in case it is a crash.
+    // Guards against a retry that waits for the other groups' replies, in case the request itself
+    // caused the loss.
     let mut session = Session::polled(route(3, 2), &[VERSION]);
     session.submit(1);
     session.fail(session.sends[0].attempt, Failure::Lost);
-    let retry = session.sends.get(3).cloned().expect("a retry at once");
+    let retry = session.sends.get(3).cloned().expect("an immediate retry");
     assert_ne!(retry.backend_server, session.sends[0].backend_server);
     session.answer_from(1);
     assert_eq!(session.answer_to(1).coverage, 1.0);
@@ -330,9 +323,8 @@
 
 #[test]
 fn silent_connection_is_closed_server_stays_in_use() {
-    // Symptom: some requests run into their deadline, though every server is well.
-    // Events: one connection has gone silent; requests on others to the same server are answered.
-    // Cause: something between the two ends has lost track of the connection.
+    // Guards against a search that waits until its deadline on a connection that the network has
+    // silently dropped, while the server answers on others.
     let mut without_hedges = route(1, 1);
     without_hedges.hedge.budget_percent = 0.0;
     let mut session = Session::polled(without_hedges, &[VERSION]);
@@ -346,15 +338,15 @@
     }
     assert!(
         session.closes.contains(&silent.connection),
-        "closed\n{}",
+        "the silent connection is closed\n{}",
         session.transcript
     );
     let resent = session.sends.iter().filter(|send| send.request == 1);
-    assert_eq!(resent.count(), 2, "sent again on another connection");
+    assert_eq!(resent.count(), 2, "resent on another connection");
     assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
-/// Returns a session without any budget whose home has seen ninety-nine searches answered in 3 ms.
+/// Returns a session without hedge and retry budgets that has answered 99 searches in 3 ms each.
 fn warmed_up(mut route: Route) -> Session {
     route.hedge.budget_percent = 0.0;
     route.retry.budget_percent = 0.0;
@@ -368,13 +360,11 @@
     session
 }
 
-#[test_case(1; "all of one server")]
-#[test_case(3; "all of each group's first server")]
+#[test_case(1; "one server")]
+#[test_case(3; "first server of each group")]
 fn silent_connections_together_are_all_retried(groups: usize) {
-    // Symptom: the slowest hundredth of the answers comes at the deadline, or with holes.
-    // Events: something between the two ends loses track of all open connections to some servers
-    //   at the same time; new ones work.
-    // Cause: budgets are for a few attempts, and are spent; nothing but the deadline is left.
+    // Guards against late or incomplete answers when all open connections to some servers go silent
+    // at the same time and the budgets are spent.
     let mut session = warmed_up(route(groups, 2));
     let lost: Vec<_> = session.opens.clone();
     let is_lost = |send: &monsoonring_decision::home::action::Send| {
@@ -407,14 +397,16 @@
     let old_connections = lost
         .iter()
         .filter(|(_, to)| (0..groups).any(|group| *to == server(group, 0)));
-    assert!(resent <= old_connections.count(), "{resent} more than once");
+    assert!(
+        resent <= old_connections.count(),
+        "{resent} resent attempts"
+    );
 }
 
 #[test]
 fn slow_server_is_not_treated_as_silent() {
-    // Symptom: each attempt at a slow server is made twice, beyond every budget.
-    // Events: a server becomes ten times slower; it answers in the order of sending.
-    // Cause: slowness is taken for silence, which costs no budget.
+    // Guards against a server that slows down but still answers in order: its attempts would be
+    // resent without budget.
     let mut session = warmed_up(route(1, 1));
     let mut next = session.sends.len();
     for id in 100..200 {
@@ -431,9 +423,8 @@
 
 #[test]
 fn process_paused_checks_the_deadline_before_the_reply() {
-    // Symptom: an answer is given long after the caller has gone, as if it were in time.
-    // Events: the process pauses; when it wakes up, the reply is the first thing it sees.
-    // Cause: events are handled in order of arrival, and the tick comes after them.
+    // Guards against an answer after the deadline when a paused process receives the reply before
+    // the tick.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     session.submit(1);
     session.now = ms(5000);
@@ -449,9 +440,7 @@
 
 #[test]
 fn stop_finishes_requests_in_flight_and_refuses_new_ones() {
-    // Symptom: a planned stop cuts off requests.
-    // Events: the daemon stops while a query runs, and another arrives.
-    // Cause: stopping is treated as an end instead of a beginning of it.
+    // Guards against a planned stop that cuts off requests in flight.
     let mut session = Session::polled(route(2, 1), &[VERSION]);
     session.submit(1);
     session.handle(Event::Stop);
--- a/crates/decision/tests/home_golden.rs
+++ b/crates/decision/tests/home_golden.rs
@@ -1,4 +1,4 @@
-//! Whole sessions, event by event, as golden files.
+//! Transcripts of whole sessions, compared with golden files.
 
 mod session;
 
@@ -8,7 +8,7 @@
 use monsoonring_decision::reply::Report;
 use session::{Session, VERSION, gate_desk, ms, refused, reply, report, route, server, tickets};
 
-/// Takes over the sizes of a route of today, but for the number of groups.
+/// Sets the capacity of a route, with a small hedge and retry budget.
 fn sized(mut route: Route, slots: u32, connections: u32) -> Route {
     route.capacity.slots = slots;
     route.capacity.connections = connections;
--- a/crates/decision/tests/home_leave_out.rs
+++ b/crates/decision/tests/home_leave_out.rs
@@ -1,4 +1,4 @@
-//! Searches over groups some of which are short of servers, played against servers that queue.
+//! Searches over groups that lack capacity, simulated against servers with queues.
 
 mod session;
 
@@ -18,16 +18,18 @@
 const GROUPS: usize = 10;
 const SLOTS: usize = 2;
 
-/// Time that a server works on an attempt, in milliseconds.
+/// Service time of an attempt, in milliseconds.
 const WORK_MS: u64 = 20;
 
-/// Time up to the soft deadline, and that in which an answer is worth most, in milliseconds.
+/// Soft deadline after the start of a search, in milliseconds.
 const SOFT_DEADLINE_MS: u64 = 100;
+
+/// Latency up to which an answer is in time, in milliseconds.
 const OBJECTIVE_MS: u64 = 106;
 
 const SEARCH_COUNT: u64 = 400;
 
-/// One backend server: what it works on, with the time left, and what waits.
+/// A backend server: attempts in service with their remaining time, and waiting attempts.
 #[derive(Default)]
 struct Queue {
     running: Vec<(Send, u64)>,
@@ -35,7 +37,7 @@
 }
 
 impl Queue {
-    /// Lets a millisecond pass. Returns what was finished.
+    /// Advances by a millisecond and returns the finished attempts.
     fn step(&mut self) -> Vec<Send> {
         self.running
             .iter_mut()
@@ -66,7 +68,7 @@
     }
 }
 
-/// The load, and what came of it.
+/// A home with simulated servers, and the start and duration of each search.
 struct Simulation {
     session: Session,
     servers: BTreeMap<BackendServerId, Queue>,
@@ -123,8 +125,8 @@
     }
 }
 
-/// Plays searches that come every so many milliseconds, where `short` groups have one server and the
-/// others three.
+/// Simulates a search every `interval` milliseconds. The first `short_groups` groups have one server,
+/// the others three.
 fn simulate(short_groups: usize, interval: u64) -> Simulation {
     let mut groups = route(GROUPS, 3);
     groups.capacity.slots = SLOTS as u32;
@@ -170,10 +172,8 @@
     simulation
 }
 
-// Symptom: one search in four is answered late and one in twenty refused, though each could do without
-//          one group of ten.
-// Events:  two groups have one server of three left, and more is asked of each than it can do.
-// Cause:   every search asked both; the more waited for, the later all were.
+// Guards against late and refused searches when one or two overloaded groups, which an answer can
+// do without, are waited for by every search.
 #[test_case(1, 9; "one_group_short")]
 #[test_case(2, 9; "two_groups_short")]
 #[test_case(2, 7; "two_groups_far_short")]
--- a/crates/decision/tests/home_properties.rs
+++ b/crates/decision/tests/home_properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens, in whatever order and however often.
+//! Invariants of a home under random sequences of events.
 
 mod session;
 
@@ -18,10 +18,10 @@
 const GROUPS: usize = 3;
 const REPLICAS: usize = 3;
 const PERCENT: f64 = 20.0;
-/// Longer than any request's deadline and the time that its connections are kept after it.
+/// Longer than any request's deadline plus the time that its connections stay open afterwards.
 const DRAIN_MS: u64 = 5000;
 
-/// Something that happens; numbers choose among what there is.
+/// A step of a random sequence. `nth` selects an attempt or server, modulo their number.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Submit,
@@ -70,12 +70,12 @@
     }
 }
 
-/// Whether the failure proves that the attempt did not run.
+/// Returns whether the failure proves that the attempt did not run.
 fn is_not_run(failure: &Failure) -> bool {
     matches!(failure, Failure::Refused { .. } | Failure::NotSent)
 }
 
-/// Keys `0..300` split at `border` between groups 0 and 1.
+/// Returns the route with all keys split at `border` between groups 0 and 1.
 fn split_at(mut route: Route, border: u64) -> Route {
     let end = route.keys.end;
     route.groups.truncate(2);
@@ -85,7 +85,8 @@
     route
 }
 
-/// A reply that covers a share of what was asked, with one item per key that names the version.
+/// Returns a reply that covers `percent` of each requested range, with an item per key whose value
+/// is the version.
 fn partial_reply(send: &Send, percent: u64, version: u64) -> Reply {
     let part = |range: &Range| Range::new(range.start, range.start + range.len() * percent / 100);
     let ranges: Vec<Range> = send.ranges.iter().map(part).collect();
@@ -102,12 +103,12 @@
     }
 }
 
-/// A session, and how each attempt first ended.
+/// A session, and how each attempt ended.
 struct Trial {
     session: Session,
     route: Route,
     submitted: u128,
-    /// First end of each attempt: whether it provably did not run.
+    /// For each attempt that has ended: whether it provably did not run.
     ended: BTreeMap<AttemptId, bool>,
 }
 
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Returns the connection on which a step brings a reply that does not match its attempt.
+    /// Returns the connection on which a step delivers a mismatched reply, if any.
     fn spoiled_connection(&self, step: Step) -> Option<u64> {
         let nth = match step {
             Step::Mismatched(nth) | Step::Fail { nth, kind: 1 } => nth,
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Plays the steps and lets every deadline pass.
+    /// Carries out the steps and then advances past every deadline.
     fn run(&mut self, steps: Vec<Step>) {
         for step in steps {
             self.step(step);
@@ -246,17 +247,17 @@
         .collect();
     assert_eq!(
         keys_of, expected,
-        "each covered key once, and none of a hole"
+        "each covered key once, and no missing key"
     );
     let version = answer.index_version.to_string();
     assert!(
         answer.items.iter().all(|item| *item.value == *version),
-        "one snapshot"
+        "all items have the answer's version"
     );
     assert_eq!(answer.coverage == 1.0, answer.missing.is_empty());
 }
 
-/// Small budgets, and so few connections that requests wait for them.
+/// Returns the route with small budgets, and so few connections that requests wait for them.
 fn constrained(mut route: Route) -> Route {
     route.capacity.connections = 3;
     route.hedge.budget_percent = PERCENT;
@@ -325,10 +326,10 @@
             spoiled.extend(trial.spoiled_connection(step));
             trial.step(step);
             for send in &trial.session.sends[seen..] {
-                prop_assert!(!spoiled.contains(&send.connection), "a reply on it did not match");
+                prop_assert!(!spoiled.contains(&send.connection), "connection reused after a mismatched reply");
                 let before = in_use.insert(send.connection, send.attempt);
                 let free = before.is_none_or(|before| trial.ended.contains_key(&before));
-                prop_assert!(free, "connection {} is taken", send.connection);
+                prop_assert!(free, "connection {} is in use", send.connection);
             }
             seen = trial.session.sends.len();
             let closed: BTreeSet<u64> = trial.session.closes.iter().copied().collect();
--- a/crates/decision/tests/home_queue.rs
+++ b/crates/decision/tests/home_queue.rs
@@ -1,4 +1,4 @@
-//! What waits: for admission, for room at a server, for a connection.
+//! Requests that wait for admission, for a slot at a server or for a connection.
 
 mod session;
 
@@ -8,17 +8,20 @@
 use monsoonring_decision::outcome::{Outcome, Reason};
 use session::{Session, VERSION, ms, report, request, route, server, tickets};
 
-/// Server for which the last attempt was made.
+/// Returns the server that was chosen last.
 fn last_chosen_server(session: &Session) -> BackendServerId {
     let servers = session
         .log
         .iter()
         .rev()
         .filter_map(|decision| decision.backend_server);
-    servers.into_iter().next().expect("an attempt was logged")
+    servers
+        .into_iter()
+        .next()
+        .expect("an attempt is in the log")
 }
 
-/// Lets the connections to a server that were asked for open.
+/// Opens all pending connections to a server.
 fn open_pending(session: &mut Session, server: BackendServerId) {
     session.pending.remove(&server);
     for (connection, to) in session.opens.clone() {
@@ -48,9 +51,8 @@
 
 #[test]
 fn request_over_the_limit_is_refused_immediately() {
-    // Symptom: past saturation every answer is late, and servers work for callers that have gone.
-    // Events: far more requests arrive than the servers can work on.
-    // Cause: each of them is taken on, and waits behind the others.
+    // Guards against unbounded queues: beyond saturation every answer would be late, and servers
+    // would work for callers that have left.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     for id in 1..2000 {
         session.submit(id);
@@ -65,9 +67,7 @@
 
 #[test]
 fn search_without_a_connection_waits_urgent_first() {
-    // Symptom: dispatchers wait behind planners.
-    // Events: all connections are in use; a background search waits, then an urgent one does.
-    // Cause: those who wait are served in order of arrival.
+    // Guards against urgent requests that wait behind background requests for a connection.
     let mut small = route(1, 1);
     small.capacity.connections = 2;
     let mut session = Session::polled(small, &[VERSION]);
@@ -77,11 +77,7 @@
         waiting.class = class;
         session.handle(Event::Request(waiting));
     }
-    assert_eq!(
-        session.sends.len(),
-        1,
-        "one connection is this home's share"
-    );
+    assert_eq!(session.sends.len(), 1, "this home may use one connection");
     session.answer_from(0);
     let order: Vec<u128> = session.sends.iter().map(|send| send.request).collect();
     assert_eq!(order, [1, 3, 2]);
@@ -90,9 +86,8 @@
 
 #[test]
 fn leaving_server_queue_moves_to_another() {
-    // Symptom: requests are sent to a server seconds after it was marked as leaving.
-    // Events: an attempt waits for a connection; meanwhile its server is marked.
-    // Cause: the mark is looked at when a server is chosen, and not when the request leaves.
+    // Guards against an attempt that is sent to a leaving server because it was already queued for
+    // a connection when the server was marked.
     let servers = [server(0, 0), server(0, 1)];
     let mut session = Session::pending(route(1, 2), &servers);
     session.submit(1);
@@ -117,7 +112,7 @@
         .opens
         .iter()
         .find(|(_, to)| *to == unreachable)
-        .expect("asked for");
+        .expect("a connection was requested");
     session.handle(Event::Closed(connection));
     for server in servers.into_iter().filter(|server| *server != unreachable) {
         open_pending(&mut session, server);
@@ -128,9 +123,8 @@
 
 #[test]
 fn execute_deadline_before_the_connection_opens_is_not_run() {
-    // Symptom: a ticket whose caller was told "unknown" is opened seconds later.
-    // Events: the connection opens after the deadline.
-    // Cause: the request was put into a queue in time, and nobody looks at the time again.
+    // Guards against a non-idempotent request that is sent when a connection opens after its
+    // deadline.
     let pending_server = server(0, 0);
     let mut session = Session::pending(tickets(1), &[pending_server]);
     session.submit(1);
@@ -148,9 +142,8 @@
 
 #[test]
 fn minimum_raised_during_a_search_restarts_it() {
-    // Symptom: answers from an index that the operators have withdrawn.
-    // Events: the minimum version is raised while a query runs at the version before.
-    // Cause: the minimum is looked at when a version is pinned, and not when an answer is given.
+    // Guards against an answer at an index version that fell below the minimum while the search
+    // ran.
     let newer = VERSION + 1;
     let mut session = Session::polled(route(2, 1), &[VERSION]);
     session.handle(Event::Polled(server(0, 0), Some(report(&[VERSION, newer]))));
--- a/crates/decision/tests/home_ranks.rs
+++ b/crates/decision/tests/home_ranks.rs
@@ -1,5 +1,5 @@
-//! Searches of several ranks at the same servers, which are asked for more than they can do, played with
-//! several homes against servers that queue.
+//! Searches of several ranks at overloaded servers, simulated with several homes and servers with
+//! queues.
 
 mod session;
 
@@ -25,21 +25,21 @@
 const REPLICAS: usize = 3;
 const SLOTS: usize = 4;
 
-/// How long a search may take at most, in milliseconds.
+/// Deadline of a search, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
 
-/// Time within which a refusal has to come to be of use, as a share of the objective.
+/// A refusal has to come within the objective divided by this.
 const REFUSAL_DIVISOR: u64 = 4;
 
-/// One kind of request.
+/// A kind of request.
 #[derive(Clone, Copy, Debug)]
 struct RequestKind {
     rank: Rank,
-    /// Milliseconds within which an answer is in time.
+    /// Latency up to which an answer is in time, in milliseconds.
     objective: u64,
-    /// Milliseconds that each part takes.
+    /// Service time of each part, in milliseconds.
     work: u64,
-    /// Share of what the servers can do that is asked for.
+    /// Load, as a share of the servers' capacity.
     load: f64,
 }
 
@@ -62,7 +62,7 @@
         Self { load, ..self }
     }
 
-    /// Returns how many searches come in a millisecond.
+    /// Returns the arrival rate in searches per millisecond.
     fn rate(&self) -> f64 {
         self.load * (REPLICAS * SLOTS) as f64 / self.work as f64
     }
@@ -85,12 +85,12 @@
     }
 }
 
-/// One backend server.
+/// A backend server with its attempts in service and in its queue.
 #[derive(Default)]
 struct Queue {
     running: Vec<(usize, Send, u64)>,
     waiting: VecDeque<(usize, Send)>,
-    /// Until when it stands still, in milliseconds.
+    /// End of its current pause, in milliseconds.
     paused: u64,
 }
 
@@ -130,17 +130,17 @@
     }
 }
 
-/// A search that was asked for.
+/// A submitted search and its outcome.
 struct Search {
     kind: RequestKind,
     arrived: u64,
     duration: Option<u64>,
-    /// `None` while it is in progress, and whether it was answered after that.
+    /// Whether it was answered; `None` while it is in progress.
     answered: Option<bool>,
     is_overload: bool,
 }
 
-/// The homes, the servers and what came of the searches.
+/// The homes, the servers and the outcomes of the searches.
 struct Simulation {
     rng: ChaCha8Rng,
     homes: Vec<Session>,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Plays so much of the kinds from one time to another, in milliseconds.
+    /// Simulates the given load from one time to another, in milliseconds.
     fn run(mut self, kinds: &[RequestKind], from: u64, to: u64) -> Self {
         for now in from..to {
             for kind in kinds {
@@ -219,7 +219,7 @@
         let searches = &self.searches;
         let work = |send: &Send| searches[&send.request].kind.work;
         for queue in self.servers.values_mut() {
-            // Each server stands still for a moment now and then, at another time than the others.
+            // Each server pauses now and then, independently of the others.
             if self.rng.random::<f64>() < 1.0 / 6_000.0 {
                 queue.paused = now + 250;
             }
@@ -232,7 +232,7 @@
         for home in 0..HOMES {
             let finishes = &self.homes[home].finishes[self.finishes_seen[home]..];
             for (id, outcome) in finishes {
-                let search = self.searches.get_mut(id).expect("it was asked for");
+                let search = self.searches.get_mut(id).expect("the search was submitted");
                 search.duration = Some(now - search.arrived);
                 search.answered = Some(matches!(outcome, Outcome::Answered(_)));
                 search.is_overload = matches!(
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Returns the searches of a rank that were asked for from a time on.
+    /// Returns the searches of a rank submitted since `from`.
     fn searches_of(&self, rank: Rank, from: u64) -> Vec<&Search> {
         let searches = self.searches.values();
         searches
@@ -296,13 +296,11 @@
     }
 }
 
-/// Milliseconds after which the homes have learned what is usual, and the load is counted.
+/// Time after which the homes know the usual latencies and searches are counted, in milliseconds.
 const WARM_UP_MS: u64 = 1_000;
 
-// Symptom: three urgent searches in ten are answered in time while the servers do nothing but less urgent ones, and
-//          as many searches are answered late as in time.
-// Events:  the less urgent kind is asked for as often as the servers can do, and more.
-// Cause:   all are let in up to the deadline and wait in the servers' queues, in the order of arrival.
+// Guards against urgent searches that wait in the servers' queues behind less urgent ones, and
+// against late answers, under overload.
 #[test_case(0.7; "0_8_of_capacity")]
 #[test_case(0.9; "at_capacity")]
 #[test_case(1.4; "one_and_a_half_times_capacity")]
@@ -321,14 +319,12 @@
         late <= 0.05,
         "urgent {urgent}, routine {routine}, late {late}"
     );
-    // Of what is left beside the urgent ones, three fifths are used in time.
+    // At least three fifths of the capacity that urgent searches leave is used in time.
     let capacity = (0.9 / load).min(1.0);
     assert!(routine >= 0.6 * capacity, "routine {routine} of {capacity}");
 }
 
-// Symptom: a kind of request is not served at all for as long as a more urgent one comes.
-// Events:  the urgent kind alone is asked for twice as often as the servers can do.
-// Cause:   the less urgent one is let in only when nothing makes the urgent one wait.
+// Guards against starvation of less urgent searches while urgent ones alone exceed the capacity.
 #[test]
 fn search_less_urgent_does_not_starve() {
     let simulation =
@@ -343,9 +339,8 @@
     assert!(urgent >= 0.25, "urgent {urgent}, routine {routine}");
 }
 
-// Symptom: callers are refused or answered late for seconds after a surge is over.
-// Events:  four times what the servers can do for three seconds, and half of it after that.
-// Cause:   what was let in during the surge still waits, or the limit has not been raised again.
+// Guards against refused and late searches for seconds after a surge, due to a backlog or a limit
+// that stays low.
 #[test]
 fn search_after_surge_is_served_within_a_second() {
     let surge = [URGENT, ROUTINE.with_load(3.9)];
@@ -354,15 +349,13 @@
         .run(&surge, 0, 3_000)
         .run(&calm, 3_000, 6_000);
     for rank in [0, 1] {
-        // One in 24 servers stands still at any moment.
+        // One in 24 servers is paused at any time.
         let share = simulation.in_time(rank, 4_000);
         assert!(share >= 0.95, "rank {rank}: {share}");
     }
 }
 
-// Symptom: callers that can't be served wait for their answer until nearly their deadline.
-// Events:  four times what the servers can do.
-// Cause:   they are let in to a queue.
+// Guards against callers that wait nearly until their deadline to be refused.
 #[test]
 fn search_over_capacity_is_refused_early() {
     let simulation = Simulation::new().run(&[URGENT, ROUTINE.with_load(3.9)], 0, 4_000);
@@ -370,7 +363,7 @@
     let refused: Vec<_> = refused.filter(|search| search.is_overload).collect();
     assert!(!refused.is_empty());
     for search in refused {
-        let duration = search.duration.expect("it has ended");
+        let duration = search.duration.expect("the search has finished");
         assert!(
             duration <= search.kind.objective / REFUSAL_DIVISOR,
             "after {duration} ms"
@@ -378,9 +371,8 @@
     }
 }
 
-// Symptom: of ten kinds at the same servers the second and third are served no better than the last.
-// Events:  each of ten ranks is asked for a fifth of what the servers can do.
-// Cause:   only few classes are told apart.
+// Guards against ranks that are treated alike: with ten ranks under overload the first must be
+// served better than the last.
 #[test]
 fn search_of_ten_ranks_is_served_in_order() {
     let kinds: Vec<RequestKind> = (0..10)
@@ -402,11 +394,11 @@
     assert!(first >= last + 0.05, "first {first}, last {last}");
     let lowest = (0..10).map(|rank| simulation.in_time(rank, WARM_UP_MS));
     let lowest = lowest.fold(1.0, f64::min);
-    assert!(lowest > 0.0, "some rank is not served at all");
+    assert!(lowest > 0.0, "a rank got no answers in time");
 }
 
-/// Plays a calm load at homes where all servers of the first groups report long queues which they do not have. Returns the share of the
-/// less urgent searches that are in time.
+/// Simulates a low load while all servers of the first `groups` groups report long queues that do not
+/// exist. Returns the share of the less urgent searches that are in time.
 fn run_with_false_reports(groups: usize) -> f64 {
     let mut simulation = Simulation::new();
     let false_report = Report {
@@ -431,18 +423,17 @@
     simulation.in_time(1, WARM_UP_MS)
 }
 
-// Symptom: every search is refused although servers are idle.
-// Events:  the servers of a group report long queues which they do not have; an answer can do without one group.
-// Cause:   their reports are believed, whatever their answers show.
+// Guards against refused searches when the servers of one group, which an answer can do without,
+// report queues that do not exist.
 #[test]
 fn search_at_servers_that_report_too_much_is_served() {
     let share = run_with_false_reports(1);
     assert!(share >= 0.9, "{share}");
 }
 
-// Symptom: six searches in ten are refused although servers are idle.
-// Events:  the servers of half of the groups report long queues which they do not have.
-// Cause:   a reported queue counts for up to three times the latency of the answers, which is more than urgent requests can wait.
+// Guards against refused searches when the servers of half of the groups report queues that do not
+// exist. A reported queue counts for up to three times the latency of the answers, which is longer
+// than urgent searches can wait.
 #[test]
 fn search_at_many_servers_that_report_too_much_is_served() {
     let share = run_with_false_reports(GROUPS / 2);
--- a/crates/decision/tests/home_search.rs
+++ b/crates/decision/tests/home_search.rs
@@ -1,4 +1,4 @@
-//! Searches at a home, driven by events.
+//! Searches at a home: fan-out, deadline and partial replies.
 
 mod session;
 
@@ -37,9 +37,8 @@
 
 #[test]
 fn search_deadline_with_a_silent_group_is_partial() {
-    // Symptom: a dispatcher waits past the deadline, or takes a partial answer for a complete one.
-    // Events: one group of four never answers.
-    // Cause: a straggler whose replicas are slow too; the home has to end the query by itself.
+    // Guards against a search that exceeds its deadline because of a silent group, and against a
+    // partial answer that does not name the missing keys.
     let mut session = Session::polled(route(4, 1), &[VERSION]);
     session.submit(1);
     for send in session.sends.clone().iter().skip(1) {
--- a/crates/decision/tests/home_shared_servers.rs
+++ b/crates/decision/tests/home_shared_servers.rs
@@ -1,4 +1,4 @@
-//! A home that is one of many, all of which are homes of the same backend servers.
+//! A home that shares its backend servers with the homes on many other hosts.
 
 mod session;
 
@@ -14,7 +14,7 @@
 
 const HOSTS: usize = 9;
 
-/// Params of a search over many shards: two servers may run a part, most shards are enough.
+/// Returns the parameters of a search that may run each part twice and needs `min_coverage`.
 fn search_params(min_coverage: f64) -> Params {
     Params {
         kind: Kind::Search,
@@ -36,19 +36,19 @@
     }
 }
 
-/// Feeds a request on these terms.
+/// Submits a request with these parameters.
 fn start_search(session: &mut Session, id: u128, params: Params) {
     let request = new_request(session, id, params);
     session.handle(Event::Request(request));
 }
 
-/// Has a server fail an attempt that it ran.
+/// Makes an attempt fail with a server error.
 fn fail(session: &mut Session, send: &Send) {
     let report = report(&[VERSION]);
     session.fail(send.attempt, Failure::ServerError { report });
 }
 
-/// Params of a request that may run once.
+/// Returns the parameters of a non-idempotent request.
 fn execute_params() -> Params {
     Params {
         kind: Kind::Execute,
@@ -66,11 +66,8 @@
     route
 }
 
-// Symptom: hundreds of harmless requests are refused for a minute each, on a day on which the
-//          network resets connections.
-// Events:  two servers reset the connection of the same request while it was alone there, as far as
-//          this host knows; both go on to serve.
-// Cause:   each reset was taken for the death of a server, though others kept it busy and well.
+// Guards against the refusal of harmless requests on a network that resets connections: a reset is
+// no crash while the server accepts connections.
 #[test]
 fn connection_lost_server_reachable_is_no_crash() {
     let mut session = Session::with_hosts(without_hedges(2, 2), HOSTS);
@@ -90,9 +87,7 @@
     assert_eq!(session.sends.len(), sent + 2, "the same request runs again");
 }
 
-// Symptom: replica after replica goes down, each a moment after the same request reached it.
-// Events:  a request crashes its server, which can't be connected to from then on; it is sent again.
-// Cause:   nobody refuses it.
+// Guards against a request that takes down one replica after the other because nothing refuses it.
 #[test]
 fn connection_lost_server_unreachable_is_a_crash() {
     let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
@@ -102,7 +97,7 @@
             ..new_request(&session, id, search_params(1.0))
         };
         session.handle(Event::Request(request));
-        let send = session.sends.last().cloned().expect("it was sent");
+        let send = session.sends.last().cloned().expect("the request was sent");
         session.refusing.insert(send.backend_server);
         session.fail(send.attempt, Failure::Lost);
         if !session.is_finished(id) {
@@ -123,10 +118,8 @@
     );
 }
 
-// Symptom: 88,026 connections in 50 s, of which servers reset 76,458 as too many, while each took a
-//          work slot for 6 ms.
-// Events:  a server takes a connection and ends it at once, as others hold all that it accepts.
-// Cause:   the end of a connection that was idle was taken for a reason to open the next at once.
+// Guards against a reconnect storm at a server that is at its connection limit and closes each new
+// connection.
 #[test]
 fn connection_rejected_is_not_reopened_immediately() {
     let mut session = Session::with_hosts(without_hedges(1, 1), HOSTS);
@@ -134,17 +127,23 @@
     start_search(&mut session, 1, search_params(1.0));
     start_search(&mut session, 2, search_params(1.0));
     let opened = session.opens.len();
-    let (connection, _) = *session.opens.last().expect("one more is wanted");
+    let (connection, _) = *session
+        .opens
+        .last()
+        .expect("another connection was requested");
     session.handle(Event::ConnectFailed(connection, ConnectFailure::Closed));
     session.advance(ms(50));
-    assert_eq!(session.opens.len(), opened, "the server is left alone");
+    assert_eq!(
+        session.opens.len(),
+        opened,
+        "no reconnect before the pause is over"
+    );
     session.advance(ms(1_500));
-    assert!(session.opens.len() > opened, "and asked again later");
+    assert!(session.opens.len() > opened, "reconnects after the pause");
 }
 
-// Symptom: one request runs on three servers where its operator allows two.
-// Events:  a part is hedged, and both attempts are lost.
-// Cause:   hedges were not counted among the attempts.
+// Guards against a request that runs on more servers than `max_runs` allows, because hedges are not
+// counted.
 #[test]
 fn max_runs_counts_hedges() {
     let mut session = Session::with_hosts(route(1, 3), HOSTS);
@@ -159,9 +158,8 @@
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
 }
 
-// Symptom: a request that two full servers turned away fails although a third one has room.
-// Events:  both refuse it, and say that they did not run it.
-// Cause:   refusals were counted as runs.
+// Guards against the failure of a request that servers refused without running it while another
+// server is available.
 #[test]
 fn max_runs_does_not_count_refusals() {
     let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
@@ -174,9 +172,7 @@
     assert_eq!(session.answer_to(1).coverage, 1.0);
 }
 
-// Symptom: an answer from three shards of ten passes for a success.
-// Events:  the other shards are down; the caller can do nothing with less than nine.
-// Cause:   any coverage above nothing was an answer.
+// Guards against an answer with less than the minimum coverage that passes for a success.
 #[test]
 fn answer_below_min_coverage_is_a_failure() {
     let mut session = Session::with_hosts(without_hedges(2, 1), HOSTS);
@@ -201,15 +197,13 @@
         session.answer(send);
     }
     session.advance(ms(99));
-    assert!(!session.is_finished(1), "the last shard may still come");
+    assert!(!session.is_finished(1), "the last shard may still reply");
     session.advance(ms(2));
     assert_eq!(session.answer_to(1).coverage, 0.75);
 }
 
-// Symptom: whenever servers are replaced, each attempt that they still work on is sent a second
-//          time, beyond what the servers' owners allow.
-// Events:  a server says that it is leaving while it works on a part; its group goes on without it.
-// Cause:   the part was dealt out again, as if its keys had moved to another group.
+// Guards against a second attempt, outside the retry budget, for each part that a leaving server
+// still works on.
 #[test]
 fn part_at_a_leaving_server_is_not_resent() {
     let full = without_hedges(2, 2);
@@ -221,7 +215,7 @@
         .backend_servers
         .retain(|server| *server != leaving.backend_server);
     session.handle(Event::Route(Arc::new(remaining)));
-    assert_eq!(session.sends.len(), 2, "nothing is sent again");
+    assert_eq!(session.sends.len(), 2, "nothing is resent");
     session.answer_from(0);
     assert_eq!(session.answer_to(1).coverage, 1.0);
     start_search(&mut session, 2, search_params(1.0));
@@ -232,10 +226,7 @@
     );
 }
 
-// Symptom: a server gets twice the extra attempts that its owners allow for its group, while the
-//          other nine groups get none.
-// Events:  one group of ten loses every attempt.
-// Cause:   all groups' first attempts filled one budget.
+// Guards against a retry budget that is shared by all groups and spent on the one group that fails.
 #[test]
 fn retries_of_one_group_are_bounded_by_its_own_requests() {
     let mut session = Session::with_hosts(without_hedges(10, 3), HOSTS);
@@ -265,10 +256,7 @@
     assert!(extra as f64 <= limit, "{extra} extra attempts of {limit}");
 }
 
-// Symptom: a request that may run once and one that may run often share servers, and the first is
-//          hedged.
-// Events:  both kinds of route lead to one service.
-// Cause:   the kind was the home's and not the request's.
+// Guards against a hedge for a non-idempotent request that shares a home with searches.
 #[test]
 fn kinds_share_a_home() {
     let mut session = Session::with_hosts(route(1, 2), HOSTS);
@@ -285,11 +273,8 @@
     assert!(matches!(session.outcome(1), Outcome::Unknown { .. }));
 }
 
-// Symptom: while half of the servers of a shard turn away what they get, the shard is missing in most
-//          answers, although its servers' owners allow one extra attempt in five.
-// Events:  one attempt in two is refused, for many requests on end.
-// Cause:   each failure shrank the budget, to a hundredth in the end, and what hedges did not need
-//          was not there for retries.
+// Guards against a retry budget that shrinks with each failure until none is left, while one
+// attempt in two fails.
 #[test]
 fn retries_continue_while_many_attempts_fail() {
     let mut bounded = route(1, 3);
@@ -310,13 +295,14 @@
         }
     }
     let extra = session.sends.len() - 400;
-    assert!((78..=87).contains(&extra), "{extra} of 80 and a burst of 6");
+    assert!(
+        (78..=87).contains(&extra),
+        "{extra} extra attempts, budget 80 and a burst of 6"
+    );
 }
 
-// Symptom: an answer holds two parts of one shard and none of another, and calls itself complete.
-// Events:  a server ends and its address goes to a server of another shard of the same set, while a
-//          hedge for the first shard waits for a connection to that address.
-// Cause:   servers are known by their addresses, and the attempt was sent to whoever has it now.
+// Guards against an answer with data of the wrong shard: a hedge waits for a connection to an
+// address that is reassigned to another group in the meantime.
 #[test]
 fn hedge_queued_at_a_reassigned_address_is_withdrawn() {
     let full = route(2, 2);
@@ -328,7 +314,7 @@
         .map(|send| send.backend_server)
         .expect("it was sent");
     let moved = if primary == moved { original } else { moved };
-    // The hedge finds its server's only connection gone, and waits for another.
+    // The hedge has to wait for a connection because its server's only one is closed.
     session.pending.insert(moved);
     for (connection, server) in session.opens.clone() {
         if server == moved {
@@ -357,10 +343,8 @@
     );
 }
 
-// Symptom: shards are missing in most answers while two of three servers of each turn away or break
-//          off 60 % of what they get, and the third is idle.
-// Events:  servers fail part of their requests while their health is good, for seconds.
-// Cause:   a success in between made a server as good as any other.
+// Guards against servers that fail most requests but keep their share of the load because of a
+// success now and then.
 #[test]
 fn servers_that_often_fail_are_avoided() {
     let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
@@ -388,14 +372,11 @@
         "{sent_to_good} of {}",
         settled.len()
     );
-    assert!(sent_to_good < settled.len(), "the others are tried again");
+    assert!(sent_to_good < settled.len(), "the other servers are probed");
 }
 
-// Symptom: of the repair tickets of eight seconds one after the other waits for its deadline, and
-//          ends in doubt.
-// Events:  a server goes dark: connections stay open and nothing comes back.
-// Cause:   a server with an overdue attempt was asked next, to find out how it stands, also by
-//          requests that may not run anywhere else afterwards.
+// Guards against non-idempotent requests that are sent to a silent server to probe it: each would
+// end as `Unknown` at its deadline.
 #[test]
 fn execute_avoids_servers_with_overdue_attempts() {
     let mut session = Session::with_hosts(route(1, 3), HOSTS);
@@ -423,12 +404,8 @@
     assert_eq!(sent_to_silent.count(), 0);
 }
 
-// Symptom: after all hosts lost power, two of them had no connection to any server of one shard for
-//          eight seconds, and left it out of each answer.
-// Events:  one route leads to all shards, another to just one of them; the servers of that one are
-//          held connections to by two homes of each host, and count those of before the loss too.
-// Cause:   each home kept a connection ready without need, and the pauses between tries doubled to
-//          seconds.
+// Guards against a home that can't get a connection to a shared server because each home keeps one
+// ready without needing it.
 #[test]
 fn home_of_shared_servers_connects_on_demand() {
     let division = Division::among_all_hosts(HOSTS, 58.0).on_demand();
@@ -446,7 +423,7 @@
     session.pending.insert(server(0, 0));
     session.handle(Event::Closed(1));
     for _ in 0..10 {
-        let (connection, _) = *session.opens.last().expect("it was opened");
+        let (connection, _) = *session.opens.last().expect("a connection was requested");
         session.handle(Event::ConnectFailed(connection, ConnectFailure::Closed));
         let opened = session.opens.len();
         session.advance(ms(450));
@@ -454,9 +431,8 @@
     }
 }
 
-// Symptom: a third of all bytes cross between data centres although each has a replica of each shard.
-// Events:  a second request comes while the first is at the nearby server, which has three slots.
-// Cause:   an idle server far away was taken before a nearby one with one attempt.
+// Guards against requests that cross to another data centre although a nearby server has a free
+// slot.
 #[test]
 fn nearby_servers_are_preferred_up_to_two_attempts() {
     let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
--- a/crates/decision/tests/home_skip.rs
+++ b/crates/decision/tests/home_skip.rs
@@ -1,14 +1,12 @@
-//! What the log says of a search that found no server for a part.
+//! Log lines of a search that finds no server for one of its parts.
 
 mod session;
 
 use monsoonring_decision::home::Event;
 use session::{Session, route, server};
 
-// Symptom: a search is refused as unavailable, and nobody can say which shard had no server, or why none:
-//          whether all had left, were dead, or were full of other hosts' connections.
-// Events:  of a shard's two servers one refuses connections and one leaves; a search comes.
-// Cause:   the line named a part and a group by number, and no server.
+// Guards against a log line for a refused search that does not say which shard had no server, and
+// why each of its servers was skipped.
 #[test]
 fn search_without_a_server_logs_a_reason_per_server() {
     let mut session = Session::refusing(route(2, 2), &[server(1, 0)]);
--- a/crates/decision/tests/home_snapshot.rs
+++ b/crates/decision/tests/home_snapshot.rs
@@ -1,4 +1,4 @@
-//! One snapshot and true coverage while versions and placement change.
+//! Answers stay at one index version, with correct coverage, while versions and placement change.
 
 mod session;
 
@@ -14,9 +14,8 @@
 
 #[test]
 fn reply_at_another_version_is_discarded() {
-    // Symptom: a hydrant that was condemned last month stands in an answer next to its successor.
-    // Events: a server that was asked for version 6 answers from version 7.
-    // Cause: it switched over between the request and the work; only its reply's own name tells.
+    // Guards against an answer that mixes index versions because a server switched versions before
+    // it ran the attempt.
     let mut session = Session::polled(route(2, 2), &[VERSION]);
     session.submit(1);
     let first = session.sends[0].clone();
@@ -29,7 +28,7 @@
         .sends
         .iter()
         .filter(|send| send.ranges == first.ranges);
-    assert_eq!(resent.count(), 2, "the keys were asked for again");
+    assert_eq!(resent.count(), 2, "the keys were requested again");
 }
 
 #[test]
@@ -61,7 +60,8 @@
     })
 }
 
-/// Group 0 has answered at the pinned version when group 1 turns out to have dropped it.
+/// Returns a session in which group 0 has answered at the pinned version and reported the versions
+/// `reported`, and group 1 has refused because it dropped the pinned version.
 fn drop_version_after_one_answer(reported: &[u64]) -> Session {
     let mut session = Session::polled(route(2, 1), &[VERSION]);
     session.submit(1);
@@ -76,9 +76,8 @@
 
 #[test]
 fn version_dropped_restarts_at_a_newer_one() {
-    // Symptom: an answer with a hole although every server is well, for as long as a roll-out lasts.
-    // Events: one group has dropped the pinned version when it is asked; both have the newer one.
-    // Cause: a pin holds for the whole query, and nobody serves it any more.
+    // Guards against incomplete answers during a roll-out, when a group has dropped the pinned
+    // version and all groups serve a newer one.
     let mut session = drop_version_after_one_answer(&[VERSION, NEWER]);
     session.answer_from(2);
     let answer = session.answer_to(1);
@@ -88,7 +87,7 @@
     assert_eq!(
         versions,
         [Some(NEWER); 2],
-        "both groups again, the merged one too"
+        "both groups are searched again, including the one that answered"
     );
 }
 
@@ -105,9 +104,8 @@
 
 #[test]
 fn version_dropped_unanswered_restart_keeps_the_first_coverage() {
-    // Symptom: beginning again turns half an answer into none.
-    // Events: the pinned version vanishes; at the newer one nobody answers before the deadline.
-    // Cause: what was merged at the first version is thrown away by the second start.
+    // Guards against the loss of a partial answer when a restart at a newer version gets no
+    // replies.
     let mut session = drop_version_after_one_answer(&[VERSION, NEWER]);
     session.advance(ms(1000));
     let answer = session.answer_to(1);
@@ -116,9 +114,8 @@
 
 #[test]
 fn version_roll_out_keeps_full_coverage() {
-    // Symptom: holes in answers during each roll-out.
-    // Events: servers take over version 7 one by one, then drop version 6 one by one.
-    // Cause: pinning 7 before every group has it, or 6 after a group has dropped it.
+    // Guards against incomplete answers during a roll-out: a version must be pinned neither before
+    // every group has it nor after one has dropped it.
     let mut session = Session::polled(route(3, 3), &[VERSION]);
     let order = || (0..3).flat_map(|replica| (0..3).map(move |group| server(group, replica)));
     let roll_out = order()
@@ -137,7 +134,7 @@
             let pinned = send.index_version.expect("a version is known");
             assert!(
                 server_versions.contains(&pinned),
-                "{pinned} asked of a server with {server_versions:?}"
+                "{pinned} requested from a server with {server_versions:?}"
             );
             let mut full = reply(&send.ranges, pinned);
             full.report = report(&server_versions);
@@ -148,7 +145,7 @@
     assert_eq!(session.home.index_version(), Some(NEWER));
 }
 
-/// Group 0 split at key 50; its upper half is on a new group with other servers.
+/// Returns a route with group 0 split at key 50 and its upper half moved to a new group.
 fn split() -> Route {
     let mut split = route(1, 2);
     let mut upper = split.groups[0].clone();
@@ -162,9 +159,7 @@
 
 #[test]
 fn split_during_a_search_requests_keys_from_the_new_group() {
-    // Symptom: an answer lacks what was moved while the query ran.
-    // Events: a group is split; the old server answers with the half that it has kept.
-    // Cause: the rest is asked of the placement at the start of the query.
+    // Guards against an answer that misses keys which moved to a new group while the search ran.
     let mut session = Session::polled(route(1, 2), &[VERSION]);
     session.submit(1);
     let old = session.sends[0].clone();
@@ -180,16 +175,15 @@
         .iter()
         .find(|send| send.backend_server == server(5, 0));
     assert_eq!(
-        upper.expect("the new group was asked").ranges,
+        upper.expect("the new group got an attempt").ranges,
         [Range::new(50, 100)]
     );
 }
 
 #[test]
 fn split_reply_of_the_old_server_counts_once_and_cancels() {
-    // Symptom: keys count twice after a split, and servers work for nothing.
-    // Events: a group is split and its halves are asked; then the old server answers for all of it.
-    // Cause: two attempts are out for the same keys under different parts.
+    // Guards against keys that are counted twice, and attempts that are not cancelled, when the old
+    // server still answers for all keys of a split group.
     let mut session = Session::polled(route(1, 2), &[VERSION]);
     session.submit(1);
     let old = session.sends[0].clone();
@@ -215,6 +209,6 @@
     assert_eq!(
         session.sends[2].ranges,
         [Range::new(100, 200)],
-        "only what is missing"
+        "only the missing keys"
     );
 }
--- a/crates/decision/tests/home_wakeup.rs
+++ b/crates/decision/tests/home_wakeup.rs
@@ -1,4 +1,4 @@
-//! When a home is fed the time.
+//! Wake-ups of a home whose ticks arrive late.
 
 mod session;
 
@@ -8,12 +8,15 @@
 use session::{VERSION, ms, report, request, route, server};
 use std::sync::Arc;
 
-/// How late ticks may be, and how often other events come, in milliseconds.
+/// Longest delay of a tick, in milliseconds.
 const MAX_TICK_DELAY: u64 = 20;
+/// Number of events other than ticks.
 const EVENT_COUNT: usize = 30;
+
+/// Longest time between two of these events, in milliseconds.
 const MAX_EVENT_GAP: u64 = 60;
 
-/// A home that is fed nothing but what its alarm asks for, and some other events.
+/// A home that receives ticks when its `Wakeup` is due, and other events.
 struct Driver {
     home: Home,
     wakeup: Wakeup,
@@ -40,11 +43,8 @@
 }
 
 proptest! {
-    // Symptom: hedges, retries and even the end of a request come hundreds of milliseconds late, on
-    // a process that is busy.
-    // Events: a tick is due; before it, another event is fed and does what was due, and the home
-    // asks for its next wake-up; then the tick comes.
-    // Cause: the tick that had become pointless took the next wake-up with it.
+    // Guards against a lost wake-up when another event arrives before a due tick: hedges, retries
+    // and the end of a request would be late on a busy process.
     #[test]
     fn wakeup_events_overtake_ticks_deadline_is_kept(
         gaps in proptest::collection::vec(0..MAX_EVENT_GAP, EVENT_COUNT),
@@ -66,7 +66,7 @@
             }
         }
         let deadline = ms(1000);
-        let finished = driver.finished.expect("it ends");
+        let finished = driver.finished.expect("the request has finished");
         prop_assert!(finished >= deadline && finished <= deadline + ms(tick_delay + MAX_EVENT_GAP));
     }
 }
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -1,8 +1,8 @@
-//! Drives a home with events, as the daemon does, and keeps what it did.
+//! Drives a home with events, as the daemon does, and records its actions.
 //!
-//! Connections open by themselves unless their server is in `refusing`; replies are given by the
-//! test. Each event and action is a line of the transcript, which the golden files hold; ticks are
-//! left out unless something but the next wake-up follows from them, and so are the wake-ups.
+//! A connection opens immediately unless its server is in `refusing` or `pending`. Tests send the
+//! replies. The transcript has a line per event and action; the golden files hold transcripts. It
+//! omits wake-ups, and ticks that cause no action other than a wake-up.
 #![allow(dead_code, reason = "no test file uses all of it")]
 
 use monsoonring_configuration::Range;
@@ -23,24 +23,24 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Keys of each group of a test route.
+/// Number of keys in each group of a test route.
 pub(crate) const KEYS_PER_GROUP: u64 = 100;
 
-/// Version that test servers serve unless told otherwise.
+/// Index version that test servers serve by default.
 pub(crate) const VERSION: IndexVersion = 6;
 
-/// Returns milliseconds as a time.
+/// Returns the time `value` milliseconds after the start.
 pub(crate) fn ms(value: u64) -> Time {
     Time::from_millis(value)
 }
 
-/// Returns the address of a replica of a group.
+/// Returns the address of a replica in a group.
 pub(crate) fn server(group: usize, replica: usize) -> BackendServerId {
     let address = format!("127.0.{}.{}:9000", group + 1, replica + 1);
-    address.parse().expect("a socket address")
+    address.parse().expect("the address is valid")
 }
 
-/// Returns a search route with as many groups and replicas.
+/// Returns a search route with this many groups, each with this many replicas.
 pub(crate) fn route(groups: usize, replicas: usize) -> Route {
     let group = |index: usize| Group {
         name: format!("g{index}").into(),
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns a route like the gate desk: half the data is worth more than a late answer.
+/// Returns a search route whose soft deadline accepts answers that cover half of the keys.
 pub(crate) fn gate_desk(groups: usize, replicas: usize) -> Route {
     let mut route = route(groups, replicas);
     route.name = "gate-desk".into();
@@ -98,7 +98,7 @@
     route
 }
 
-/// Returns a request with the id, 1000 ms before its deadline.
+/// Returns an urgent request that has 1000 ms until its deadline.
 pub(crate) fn request(id: RequestId, now: Time) -> Request {
     Request {
         id,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Returns what a healthy server says of itself.
+/// Returns the report of a healthy server that serves `versions`.
 pub(crate) fn report(versions: &[IndexVersion]) -> Report {
     Report {
         load: None,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns a reply that covers the ranges, with an item at the start of each.
+/// Returns a reply that covers `ranges`, with one item at the start of each range.
 pub(crate) fn reply(ranges: &[Range], version: IndexVersion) -> Reply {
     let item = |range: &Range| Item {
         key: range.start,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns a refusal by the server itself.
+/// Returns the failure of an attempt that the server refused.
 pub(crate) fn refused(refusal: Refusal) -> Failure {
     Failure::Refused {
         refusal,
@@ -146,17 +146,17 @@
     }
 }
 
-/// A home and all that it did.
+/// A home and the actions that it has returned.
 pub(crate) struct Session {
     pub(crate) home: Home,
     pub(crate) now: Time,
-    /// Servers that refuse connections.
+    /// Servers that refuse every connect.
     pub(crate) refusing: BTreeSet<BackendServerId>,
-    /// Servers to which connections take as long as the test wants.
+    /// Servers to which connections stay pending until the test opens them.
     pub(crate) pending: BTreeSet<BackendServerId>,
-    /// Connections asked for.
+    /// Connections that the home asked to open.
     pub(crate) opens: Vec<(ConnectionId, BackendServerId)>,
-    /// Attempts sent, whether they have ended or not.
+    /// Attempts sent, including those that have ended.
     pub(crate) sends: Vec<Send>,
     pub(crate) cancels: Vec<AttemptId>,
     pub(crate) closes: Vec<ConnectionId>,
@@ -172,12 +172,12 @@
         Self::refusing(route, &[])
     }
 
-    /// Returns a session in which some servers refuse connections from the start.
+    /// Returns a session in which the `refusing` servers refuse every connect.
     pub(crate) fn refusing(route: Route, refusing: &[BackendServerId]) -> Self {
         Self::with_connects(route, refusing, &[])
     }
 
-    /// Returns a session in which connections to some servers take as long as the test wants.
+    /// Returns a session in which connections to the `pending` servers stay pending.
     pub(crate) fn pending(route: Route, pending: &[BackendServerId]) -> Self {
         Self::with_connects(route, &[], pending)
     }
@@ -191,13 +191,13 @@
         Self::with_home(home, actions, refusing, pending)
     }
 
-    /// Returns a session of a home that is one of `hosts` which all are homes, and that takes
-    /// nothing but a refused connect for a sign that a server died.
+    /// Returns a session for one of `hosts` hosts that are all homes of the route. Only a refused
+    /// connect counts as a server crash.
     pub(crate) fn with_hosts(route: Route, hosts: usize) -> Self {
         Self::with_division(route, Division::among_all_hosts(hosts, 58.0))
     }
 
-    /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
+    /// Like [`Self::with_hosts`], with the given division of the servers' capacity.
     pub(crate) fn with_division(route: Route, division: Division) -> Self {
         let policy = Policy {
             crash_signal: CrashSignal::ConnectFailed,
@@ -232,7 +232,7 @@
         session
     }
 
-    /// Returns a session whose home has heard from each server that it serves `versions`.
+    /// Returns a session in which a poll of each server has reported `versions`.
     pub(crate) fn polled(route: Route, versions: &[IndexVersion]) -> Self {
         let servers = route.groups.iter().flat_map(|group| &group.backend_servers);
         let servers: Vec<BackendServerId> = servers.copied().collect();
@@ -243,7 +243,7 @@
         session
     }
 
-    /// Feeds an event, and what follows from it by itself.
+    /// Sends the home an event and carries out the resulting actions.
     pub(crate) fn handle(&mut self, event: Event) {
         let line = describe_event(&event);
         let is_tick = event == Event::Tick;
@@ -294,7 +294,7 @@
         self.transcript.push_str(&line);
     }
 
-    /// Lets time pass, with a tick at each wake-up that was asked for.
+    /// Advances the time, with a tick at each wake-up that the home scheduled.
     pub(crate) fn advance(&mut self, time: Time) {
         let end = self.now + time;
         while let Some(at) = self.wakes.first().copied().filter(|at| *at <= end) {
@@ -310,13 +310,13 @@
         self.handle(Event::Request(request(id, self.now)));
     }
 
-    /// Answers an attempt in full, from the version that was asked for.
+    /// Answers an attempt in full, at the requested index version or [`VERSION`].
     pub(crate) fn answer(&mut self, send: &Send) {
         let version = send.index_version.unwrap_or(VERSION);
         self.handle(Event::Reply(send.attempt, reply(&send.ranges, version)));
     }
 
-    /// Answers the attempts sent from the `from`th on.
+    /// Answers the attempts from index `from` on, including those sent meanwhile.
     pub(crate) fn answer_from(&mut self, from: usize) {
         let mut next = from;
         while let Some(send) = self.sends.get(next).cloned() {
@@ -329,21 +329,21 @@
         self.handle(Event::Failed(attempt, failure));
     }
 
-    /// Returns the attempts sent for a group.
+    /// Returns the attempts sent to the servers of a group.
     pub(crate) fn sends_to(&self, group: usize) -> Vec<Send> {
         let sends = self.sends.iter();
         let to_group = sends.filter(|send| (0..9).any(|r| server(group, r) == send.backend_server));
         to_group.cloned().collect()
     }
 
-    /// Returns the outcome of a request, which must be the only one.
+    /// Returns the outcome of a request; panics unless there is exactly one.
     pub(crate) fn outcome(&self, id: RequestId) -> &Outcome {
         let finishes = self.finishes.iter().filter(|(request, _)| *request == id);
         let outcomes: Vec<&Outcome> = finishes.map(|(_, outcome)| outcome).collect();
         assert_eq!(
             outcomes.len(),
             1,
-            "one result of request {id}: {outcomes:?}"
+            "request {id} has exactly one outcome: {outcomes:?}"
         );
         outcomes[0]
     }
@@ -355,11 +355,11 @@
     pub(crate) fn answer_to(&self, id: RequestId) -> &Answer {
         match self.outcome(id) {
             Outcome::Answered(answer) => answer,
-            other => unreachable!("request {id} ended otherwise: {other:?}"),
+            other => unreachable!("request {id} was not answered: {other:?}"),
         }
     }
 
-    /// Tells whether a decision of this kind was logged.
+    /// Returns whether the home has logged a decision with this `what` label.
     pub(crate) fn has_logged(&self, what: &str) -> bool {
         self.log.iter().any(|decision| decision.what == what)
     }
