--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -32,23 +32,23 @@
 /// Servers of the one shard, the connections that the configuration grants at each, and those that it takes
 /// while a queue stands there.
 const SERVERS: u16 = 3;
-const LIMIT: u32 = 62;
-const TAKEN: usize = 50;
+const CONFIGURED_CONNECTIONS: u32 = 62;
+const ACCEPTED_CONNECTIONS: usize = 50;
 
 /// Length of the game and of one step, in milliseconds.
-const LENGTH: u64 = 20_000;
-const STEP: u64 = 10;
+const DURATION_MS: u64 = 20_000;
+const STEP_MS: u64 = 10;
 
 /// Steps that a request waits for a connection, and that it then works.
-const PATIENCE: u64 = 10;
-const WORK: u64 = 3;
+const MAX_WAIT_STEPS: u64 = 10;
+const WORK_STEPS: u64 = 3;
 
 /// Chance that a host gets a request of a kind in a step: two a second, and one in two seconds.
-const FIRST: f64 = 0.02;
-const ADDED: f64 = 0.005;
+const FIRST_CHANCE: f64 = 0.02;
+const ADDED_CHANCE: f64 = 0.005;
 
 /// One set of shards at one host.
-struct Set {
+struct ShardSet {
     pool: Pool,
     /// Servers that it asks first.
     near: BTreeSet<u16>,
@@ -58,34 +58,36 @@
     waiting: Vec<(u16, u64)>,
     /// Requests at work, by the step at which they end.
     working: Vec<(ConnectionId, u64)>,
-    asked: u32,
+    requests: u32,
     served: u32,
 }
 
-impl Set {
-    fn new(division: Division, far: &BTreeSet<u16>) -> Self {
+impl ShardSet {
+    fn new(division: Division, remote: &BTreeSet<u16>) -> Self {
         let mut route = route(1, SERVERS);
-        route.capacity.connections = LIMIT;
+        route.capacity.connections = CONFIGURED_CONNECTIONS;
         let mut pool = Pool::new(&route, division, 1, ms(0));
-        pool.set_far(far.iter().map(|one| server(*one)).collect());
+        pool.set_far(remote.iter().map(|number| server(*number)).collect());
         Self {
             pool,
-            near: (0..SERVERS).filter(|one| !far.contains(one)).collect(),
+            near: (0..SERVERS)
+                .filter(|number| !remote.contains(number))
+                .collect(),
             open: HashMap::new(),
             waiting: Vec::new(),
             working: Vec::new(),
-            asked: 0,
+            requests: 0,
             served: 0,
         }
     }
 
     /// A request comes: to a server nearby if it is in reach, to another one otherwise. With none in reach it
     /// is refused at once.
-    fn ask(&mut self, step: u64, rng: &mut ChaCha8Rng) {
-        self.asked += 1;
-        let reachable = (0..SERVERS).filter(|one| self.pool.is_reachable(server(*one)));
+    fn submit(&mut self, step: u64, rng: &mut ChaCha8Rng) {
+        self.requests += 1;
+        let reachable = (0..SERVERS).filter(|number| self.pool.is_reachable(server(*number)));
         let reachable: Vec<u16> = reachable.collect();
-        let near = reachable.iter().find(|one| self.near.contains(one));
+        let near = reachable.iter().find(|number| self.near.contains(number));
         let any = || reachable.get(rng.random_range(0..reachable.len().max(1)));
         if let Some(chosen) = near.or_else(any) {
             self.waiting.push((*chosen, step));
@@ -94,20 +96,22 @@
 
     /// Ends what is done, opens and closes, and puts what waits onto connections.
     fn step(&mut self, open: &mut [usize], step: u64) {
-        let now = ms(step * STEP);
+        let now = ms(step * STEP_MS);
         let working = std::mem::take(&mut self.working).into_iter();
         let (ended, working): (Vec<_>, _) = working.partition(|(_, until)| *until <= step);
         self.working = working;
         for (id, _) in ended {
             self.pool.release(id, now);
         }
-        for (chosen, asked) in std::mem::take(&mut self.waiting) {
+        for (chosen, requested_at) in std::mem::take(&mut self.waiting) {
             match self.pool.acquire(server(chosen), now) {
                 Some(id) => {
-                    self.working.push((id, step + WORK));
+                    self.working.push((id, step + WORK_STEPS));
                     self.served += 1;
                 }
-                None if step - asked < PATIENCE => self.waiting.push((chosen, asked)),
+                None if step - requested_at < MAX_WAIT_STEPS => {
+                    self.waiting.push((chosen, requested_at))
+                }
                 None => {}
             }
         }
@@ -123,11 +127,11 @@
     }
 
     fn carry_out(&mut self, command: Command, open: &mut [usize], step: u64) {
-        let now = ms(step * STEP);
+        let now = ms(step * STEP_MS);
         match command {
             Command::Open(id, to) => {
                 let to = usize::from(to.port() - server(0).port());
-                if open[to] < TAKEN {
+                if open[to] < ACCEPTED_CONNECTIONS {
                     open[to] += 1;
                     self.open.insert(id, to);
                     self.pool.opened(id, now);
@@ -145,35 +149,40 @@
 }
 
 /// Returns the shares of the requests that are served: of the first routes and of the added one.
-fn play(homes: impl Fn(usize) -> Homes, is_far: impl Fn(usize, u16) -> bool) -> (f64, f64) {
+fn simulate(homes: impl Fn(usize) -> Homes, is_remote: impl Fn(usize, u16) -> bool) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut sets = Vec::new();
     for host in 0..HOSTS {
-        let far: BTreeSet<u16> = (0..SERVERS).filter(|one| is_far(host, *one)).collect();
+        let remote: BTreeSet<u16> = (0..SERVERS)
+            .filter(|number| is_remote(host, *number))
+            .collect();
         let division = Division::among_all_hosts(homes(host), 162.0);
-        let mut first = Set::new(division, &far);
+        let mut first = ShardSet::new(division, &remote);
         first.pool.set_identity(host as u64);
         sets.push(first);
-        sets.push(Set::new(division.on_demand(), &far));
+        sets.push(ShardSet::new(division.on_demand(), &remote));
     }
     let mut open = vec![0; usize::from(SERVERS)];
-    for step in 0..LENGTH / STEP {
-        for (index, chance) in (0..sets.len()).zip([FIRST, ADDED].into_iter().cycle()) {
+    for step in 0..DURATION_MS / STEP_MS {
+        for (index, chance) in (0..sets.len()).zip([FIRST_CHANCE, ADDED_CHANCE].into_iter().cycle())
+        {
             if rng.random_bool(chance) {
-                sets[index].ask(step, &mut rng);
+                sets[index].submit(step, &mut rng);
             }
             sets[index].step(&mut open, step);
         }
     }
-    let share = |of: usize| {
-        let of: Vec<&Set> = sets.iter().skip(of).step_by(2).collect();
-        let sum = |get: fn(&Set) -> u32| f64::from(of.iter().map(|set| get(set)).sum::<u32>());
-        sum(|set| set.served) / sum(|set| set.asked)
+    let share = |offset: usize| {
+        let selected: Vec<&ShardSet> = sets.iter().skip(offset).step_by(2).collect();
+        let sum = |field: fn(&ShardSet) -> u32| {
+            f64::from(selected.iter().map(|set| field(set)).sum::<u32>())
+        };
+        sum(|set| set.served) / sum(|set| set.requests)
     };
     (share(0), share(1))
 }
 
-fn is_elsewhere(host: usize, server: u16) -> bool {
+fn is_in_other_data_centre(host: usize, server: u16) -> bool {
     host % DATA_CENTRES != usize::from(server) % DATA_CENTRES
 }
 
@@ -192,17 +201,17 @@
     }
 }
 
-fn alike(_host: usize) -> Homes {
+fn equal_hosts(_host: usize) -> Homes {
     Homes {
         near: HOSTS / DATA_CENTRES,
         ..Homes::from(HOSTS)
     }
 }
 
-#[test_case(alike; "hosts_alike")]
+#[test_case(equal_hosts; "equal_hosts")]
 #[test_case(strong_and_weak; "strong_and_weak_hosts")]
 fn added_route_is_served_like_the_first(homes: fn(usize) -> Homes) {
-    let (first, added) = play(homes, is_elsewhere);
+    let (first, added) = simulate(homes, is_in_other_data_centre);
     assert!(first > 0.95, "of the first routes {first:.3} served");
     assert!(
         added > 0.9,
@@ -211,10 +220,10 @@
 }
 
 #[test]
-fn added_route_is_refused_where_all_keep_one_everywhere() {
+fn added_route_is_refused_if_all_hosts_keep_connections_everywhere() {
     // What the product did when it was seen: nothing counts as further away, so that everybody keeps a
     // connection at every server.
-    let (first, added) = play(|_| Homes::from(HOSTS), |_, _| false);
+    let (first, added) = simulate(|_| Homes::from(HOSTS), |_, _| false);
     // 0.48 of the added route and 0.98 of the first, in place of 0.9 and 0.95 at least.
     assert!(
         added < 0.6,
--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -16,9 +16,9 @@
 use test_case::test_case;
 
 const SLOTS: usize = 9;
-const WORK: f64 = 0.010;
+const SERVICE_TIME: f64 = 0.010;
 const DEADLINE: Duration = Duration::from_millis(200);
-const SECONDS: f64 = 60.0;
+const DURATION: f64 = 60.0;
 
 fn gate() -> Gate {
     let mut route = route(1, 3);
@@ -28,11 +28,11 @@
 
 /// What one run of the simulation counted.
 #[derive(Default, Debug)]
-struct Count {
+struct Counts {
     offered: BTreeMap<Class, u32>,
     in_time: BTreeMap<Class, u32>,
     refused: u32,
-    worked_in_vain: u32,
+    finished_late: u32,
 }
 
 struct Request {
@@ -45,30 +45,30 @@
     rng: ChaCha8Rng,
     gate: Option<Gate>,
     /// How many times the true load the home believes; less than 1 hides what others have there.
-    believed: f64,
+    load_factor: f64,
     queue: VecDeque<Request>,
     busy: BTreeMap<u64, Request>,
     done: BinaryHeap<Reverse<(Duration, u64)>>,
-    count: Count,
+    count: Counts,
 }
 
 impl Simulation {
-    fn new(gate: Option<Gate>, believed: f64) -> Self {
+    fn new(gate: Option<Gate>, load_factor: f64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(11),
             gate,
-            believed,
+            load_factor,
             queue: VecDeque::new(),
             busy: BTreeMap::new(),
             done: BinaryHeap::new(),
-            count: Count::default(),
+            count: Counts::default(),
         }
     }
 
-    fn run(mut self, load: f64) -> Count {
-        let gap = WORK / SLOTS as f64 / load;
+    fn run(mut self, load: f64) -> Counts {
+        let gap = SERVICE_TIME / SLOTS as f64 / load;
         let (mut next, mut now) = (0.0, 0.0);
-        while now < SECONDS {
+        while now < DURATION {
             let done = self.done.peek().map(|Reverse((at, _))| at.as_secs_f64());
             if let Some(at) = done.filter(|at| *at < next) {
                 now = at;
@@ -87,14 +87,14 @@
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 
-    fn room(&self) -> GroupLoad {
-        let busy = (self.queue.len() + self.busy.len()) as f64 * self.believed;
+    fn group_load(&self) -> GroupLoad {
+        let busy = (self.queue.len() + self.busy.len()) as f64 * self.load_factor;
         let ahead = (busy + 1.0 - SLOTS as f64).max(0.0);
         GroupLoad {
             slots: SLOTS as f64,
             busy,
-            wait: Duration::from_secs_f64(WORK * ahead / SLOTS as f64),
-            service_time: Duration::from_secs_f64(WORK),
+            wait: Duration::from_secs_f64(SERVICE_TIME * ahead / SLOTS as f64),
+            service_time: Duration::from_secs_f64(SERVICE_TIME),
         }
     }
 
@@ -105,9 +105,9 @@
             _ => Class::Background,
         };
         *self.count.offered.entry(class).or_default() += 1;
-        let (room, time) = (self.room(), Time::from_secs_f64(now));
+        let (group_load, time) = (self.group_load(), Time::from_secs_f64(now));
         let admission = match &mut self.gate {
-            Some(gate) => gate.admit(class, time + DEADLINE, &room, time),
+            Some(gate) => gate.admit(class, time + DEADLINE, &group_load, time),
             None => Admission::Admit,
         };
         match admission {
@@ -122,7 +122,7 @@
     fn start(&mut self, now: f64) {
         while self.busy.len() < SLOTS && !self.queue.is_empty() {
             let id = self.rng.random();
-            let work = self.exponential(WORK);
+            let work = self.exponential(SERVICE_TIME);
             self.done
                 .push(Reverse((Duration::from_secs_f64(now + work), id)));
             self.busy
@@ -135,23 +135,27 @@
             return;
         };
         let request = self.busy.remove(&id).expect("it is being worked on");
-        let took = Duration::from_secs_f64(now - request.arrived);
-        if took <= DEADLINE {
+        let latency = Duration::from_secs_f64(now - request.arrived);
+        if latency <= DEADLINE {
             *self.count.in_time.entry(request.class).or_default() += 1;
         } else {
-            self.count.worked_in_vain += 1;
+            self.count.finished_late += 1;
         }
         if let Some(gate) = &mut self.gate {
-            gate.finished(request.class, took.min(DEADLINE), Time::from_secs_f64(now));
+            gate.finished(
+                request.class,
+                latency.min(DEADLINE),
+                Time::from_secs_f64(now),
+            );
         }
     }
 }
 
-impl Count {
+impl Counts {
     /// Requests answered in time, as a share of what the servers can do.
     fn goodput(&self) -> f64 {
         let in_time: u32 = self.in_time.values().sum();
-        f64::from(in_time) * WORK / SLOTS as f64 / SECONDS
+        f64::from(in_time) * SERVICE_TIME / SLOTS as f64 / DURATION
     }
 
     /// Share of a class's requests that were answered in time.
@@ -166,23 +170,23 @@
 #[test_case(1.5, 1.0; "half as much again")]
 #[test_case(3.0, 1.0; "three times")]
 #[test_case(3.0, 0.3; "three times, most of the load hidden")]
-fn admit_past_saturation_keeps_goodput(load: f64, believed: f64) {
-    let count = Simulation::new(Some(gate()), believed).run(load);
+fn admit_past_saturation_keeps_goodput(load: f64, load_factor: f64) {
+    let count = Simulation::new(Some(gate()), load_factor).run(load);
     assert!(
         count.goodput() > 0.95,
         "goodput {:.3}, {count:?}",
         count.goodput()
     );
-    let open = Simulation::new(None, believed).run(load);
+    let ungated = Simulation::new(None, load_factor).run(load);
     assert!(
-        open.goodput() < 0.1,
+        ungated.goodput() < 0.1,
         "goodput without a gate {:.3}",
-        open.goodput()
+        ungated.goodput()
     );
 }
 
 #[test]
-fn admit_below_saturation_refuses_next_to_none() {
+fn admit_below_saturation_refuses_almost_none() {
     let count = Simulation::new(Some(gate()), 1.0).run(0.7);
     let offered: u32 = count.offered.values().sum();
     assert!(count.refused * 1_000 < offered, "{count:?}");
@@ -219,7 +223,7 @@
     assert_eq!(gate.in_flight(), 0);
 }
 
-fn room(wait: u64) -> GroupLoad {
+fn group_load(wait: u64) -> GroupLoad {
     GroupLoad {
         slots: 9.0,
         busy: 9.0,
@@ -230,8 +234,13 @@
 
 #[test_case(0, 5, Reason::Deadline, None; "less time left than the work takes")]
 #[test_case(150, 100, Reason::Overload, Some(ms(150)); "the wait is longer than the time left")]
-fn admit_hopeless_is_refused(wait: u64, left: u64, expected: Reason, after: Option<Duration>) {
-    let admission = gate().admit(Class::Urgent, ms(left), &room(wait), ms(0));
+fn admit_without_enough_time_is_refused(
+    wait: u64,
+    time_left: u64,
+    expected_reason: Reason,
+    expected_retry_after: Option<Duration>,
+) {
+    let admission = gate().admit(Class::Urgent, ms(time_left), &group_load(wait), ms(0));
     let Admission::Refuse {
         reason,
         retry_after,
@@ -239,40 +248,43 @@
     else {
         unreachable!("it is hopeless");
     };
-    assert_eq!((reason, retry_after), (expected, after));
+    assert_eq!(
+        (reason, retry_after),
+        (expected_reason, expected_retry_after)
+    );
 }
 
 // Symptom: after an overload waves of requests come in, each refused nearly whole.
 // Events:  a hundred requests are refused at the same moment.
 // Cause:   all were told the same time to come back.
 #[test]
-fn admit_refused_many_gives_each_its_turn() {
+fn admit_refused_many_returns_staggered_retry_times() {
     let mut gate = gate();
     for step in 0..100 {
         gate.admit(
             Class::Urgent,
             ms(step * 10) + DEADLINE,
-            &room(0),
+            &group_load(0),
             ms(step * 10),
         );
         gate.finished(Class::Urgent, ms(10), ms(step * 10 + 10));
     }
     let now = ms(1_000);
     for _ in 0..100 {
-        gate.admit(Class::Urgent, now + DEADLINE, &room(0), now);
+        gate.admit(Class::Urgent, now + DEADLINE, &group_load(0), now);
     }
-    let turns: Vec<Duration> = (0..100)
+    let retry_times: Vec<Duration> = (0..100)
         .map(
-            |_| match gate.admit(Class::Urgent, now + DEADLINE, &room(0), now) {
+            |_| match gate.admit(Class::Urgent, now + DEADLINE, &group_load(0), now) {
                 Admission::Refuse { retry_after, .. } => retry_after.expect("it can come back"),
                 Admission::Admit => unreachable!("there is no room"),
             },
         )
         .collect();
-    assert!(turns.windows(2).all(|pair| pair[1] > pair[0]));
+    assert!(retry_times.windows(2).all(|pair| pair[1] > pair[0]));
     // A request ends every ten milliseconds.
     assert!(
-        (ms(900)..ms(1_100)).contains(&(turns[99] - turns[0])),
-        "{turns:?}"
+        (ms(900)..ms(1_100)).contains(&(retry_times[99] - retry_times[0])),
+        "{retry_times:?}"
     );
 }
--- a/crates/decision/tests/backend.rs
+++ b/crates/decision/tests/backend.rs
@@ -100,14 +100,18 @@
 #[test_case(|_| 0; "stuck at nothing")]
 #[test_case(|step| step * 7919 % 10; "made up")]
 #[test_case(|step| 9 - step % 10; "inverted")]
-fn choose_with_lying_report_is_no_worse_than_without(lie: fn(u64) -> u64) {
+fn choose_ignores_false_load_reports(false_load: fn(u64) -> u64) {
     let mut fleet = fleet();
     for step in 0..200 {
         for number in 0..REPLICAS {
             let attempt = step * 3 + u64::from(number);
             // Others' load comes and goes; honest servers report it and get slower with it.
             let others = step % 10;
-            let reported = if number == 0 { lie(step) } else { others };
+            let reported = if number == 0 {
+                false_load(step)
+            } else {
+                others
+            };
             let at = ms(step * 20);
             fleet.polled(server(number), Some(&loaded(reported as u32)), at);
             fleet.sent(server(number), attempt, at);
@@ -136,7 +140,7 @@
 // Events:  it has a bad disk; few requests are outstanding, so that counts are all alike.
 // Cause:   outstanding attempts say nothing of speed while there are hardly any.
 #[test]
-fn choose_slow_replica_seldom_but_again_later() {
+fn choose_slow_replica_is_avoided_then_probed() {
     let mut fleet = fleet();
     answer(&mut fleet, 1, 50, ms(5), &Report::default());
     answer(&mut fleet, 2, 50, ms(5), &Report::default());
@@ -152,7 +156,7 @@
 // Events:  nine in ten attempts there are cancelled after 100 ms, the tenth takes 5 ms.
 // Cause:   only replies are measured.
 #[test]
-fn cancelling_counts_as_slow() {
+fn cancelling_counts_as_high_latency() {
     let mut fleet = fleet();
     (1..REPLICAS).for_each(|number| answer(&mut fleet, number, 50, ms(5), &Report::default()));
     for step in 0..50 {
@@ -217,10 +221,10 @@
     let verdict = fleet.failed(1, &failure, ms(1));
     assert!(verdict.status_change.leaving && verdict.not_run);
 }; "refusal")]
-fn leave_by_any_sign_ends_only_with_higher_start(sign: fn(&mut Fleet)) {
+fn leaving_ends_only_with_higher_start(report_leaving: fn(&mut Fleet)) {
     let mut fleet = fleet();
     fleet.polled(server(0), Some(&started(5)), ms(0));
-    sign(&mut fleet);
+    report_leaving(&mut fleet);
     fleet.polled(server(0), Some(&started(5)), ms(2));
     assert!(
         !fleet.mark_leaving(server(0), Some(5), ms(2)),
@@ -256,9 +260,9 @@
     fleet.set_reachable(server(0), false, ms(0));
     fleet.set_reachable(server(0), true, ms(1));
 }; "reachable again")]
-fn replied_ramps_cold_server(cold: fn(&mut Fleet)) {
+fn replied_ramps_cold_server(make_cold: fn(&mut Fleet)) {
     let mut fleet = fleet();
-    cold(&mut fleet);
+    make_cold(&mut fleet);
     let limit = |fleet: &Fleet| fleet.snapshot(ms(10))[0].limit;
     assert_eq!(limit(&fleet), 1);
     answer(&mut fleet, 0, 3, ms(5), &Report::default());
@@ -281,7 +285,7 @@
 // Cause:   the time is not kept, or kept by everybody to the millisecond.
 #[test]
 fn failed_shedding_backs_off_with_jitter() {
-    let mut untils = Vec::new();
+    let mut delays = Vec::new();
     for start in 0..5 {
         let mut fleet = fleet();
         fleet.sent(server(0), 1, ms(start));
@@ -296,10 +300,10 @@
         assert_eq!(fleet.next_wake(), Some(until));
         assert_eq!(fleet.tick(until), [server(0)]);
         assert!(shares(&mut fleet, until)[0] > 0);
-        untils.push(until - ms(start));
+        delays.push(until - ms(start));
     }
-    untils.dedup();
-    assert!(untils.len() > 1, "{untils:?}");
+    delays.dedup();
+    assert!(delays.len() > 1, "{delays:?}");
 }
 
 #[test_case(&Failure::NotSent, true, true, false; "not sent")]
@@ -321,17 +325,17 @@
 
 #[test_case(5, true, false; "same process")]
 #[test_case(6, false, true; "next process")]
-fn polled_after_loss_tells(start: u64, survived: bool, restarted: bool) {
+fn polled_after_loss_detects_survival_or_restart(start: u64, survived: bool, restarted: bool) {
     let mut fleet = fleet();
     fleet.polled(server(0), Some(&started(5)), ms(0));
     fleet.sent(server(0), 1, ms(0));
     fleet.failed(1, &Failure::Lost, ms(1));
-    let news = fleet.polled(server(0), Some(&started(start)), ms(2));
-    assert_eq!((news.survived, news.restarted), (survived, restarted));
+    let change = fleet.polled(server(0), Some(&started(start)), ms(2));
+    assert_eq!((change.survived, change.restarted), (survived, restarted));
 }
 
 #[test]
-fn reconfigure_keeps_what_stays_and_ends_what_goes() {
+fn reconfigure_keeps_remaining_servers_and_drops_removed() {
     let mut fleet = fleet();
     answer(&mut fleet, 0, 100, ms(10), &Report::default());
     fleet.sent(server(2), 1_000, ms(1));
@@ -344,7 +348,7 @@
 }
 
 #[test]
-fn room_of_busiest_group() {
+fn busiest_group_reports_its_load() {
     let mut fleet = Fleet::new(&route(2, 3), 1, ms(0));
     assert_eq!(
         (
@@ -356,24 +360,24 @@
     for attempt in 0..18 {
         fleet.sent(server(3 + (attempt % 3) as u16), attempt, ms(0));
     }
-    let room = fleet.busiest_group(ms(0));
-    assert_eq!(room.busy, 18.0);
+    let load = fleet.busiest_group(ms(0));
+    assert_eq!(load.busy, 18.0);
     // Ten of eighteen must end before the next starts, on nine slots, 250 ms each by default.
-    assert_eq!(room.wait.as_millis(), 277);
+    assert_eq!(load.wait.as_millis(), 277);
 }
 
 // Symptom: searches are refused although nearly all servers are idle.
 // Events: the servers of one shard are slow; answers can do without it.
 // Cause: the tightest group decides how long a search is expected to wait.
 #[test]
-fn room_without_the_busiest_group() {
+fn busiest_group_without_skips_the_busiest() {
     let mut fleet = Fleet::new(&route(3, 3), 1, ms(0));
     for attempt in 0..18 {
         fleet.sent(server(3 + (attempt % 3) as u16), attempt, ms(0));
     }
     fleet.sent(server(6), 18, ms(0));
-    let room = fleet.busiest_group_without(1, ms(0));
-    assert_eq!((room.busy, room.wait), (1.0, ms(0)));
+    let load = fleet.busiest_group_without(1, ms(0));
+    assert_eq!((load.busy, load.wait), (1.0, ms(0)));
     assert_eq!(
         fleet.busiest_group_without(9, ms(0)).busy,
         0.0,
@@ -393,14 +397,14 @@
     version: Option<u64>,
 ) -> bool {
     let versions = fleet.versions(chosen);
-    let serves = version.is_none_or(|one| versions.is_empty() || versions.contains(&one));
+    let serves = version.is_none_or(|required| versions.is_empty() || versions.contains(&required));
     serves && !tried.contains(&chosen) && !fleet.is_leaving(chosen)
 }
 
 proptest! {
     /// Each step is a kind of event and a number that tells what it is about.
     #[test]
-    fn choose_after_anything_is_allowed(
+    fn choose_after_any_events_is_allowed(
         steps in prop::collection::vec((0..16_u8, any::<usize>()), 0..300),
     ) {
         let mut fleet = fleet();
@@ -409,7 +413,7 @@
         for (step, (kind, index)) in steps.into_iter().enumerate() {
             let now = ms(step as u64);
             let attempt = sent.iter().nth(index % sent.len().max(1)).copied().unwrap_or_default();
-            let at = server((index % 3) as u16);
+            let target = server((index % 3) as u16);
             let versions = Report { index_versions: vec![index as u64 % 3 + 5], ..loaded(2) };
             match kind {
                 0..8 => {
@@ -427,8 +431,8 @@
                 8..11 => { fleet.replied(attempt, &versions, now); }
                 11 => { fleet.failed(attempt, &Failure::Lost, now); }
                 12 => { fleet.failed(attempt, &refused(Refusal::Shedding, None, Report::default()), now); }
-                13 => { fleet.mark_leaving(at, None, now); }
-                14 => { fleet.polled(at, Some(&started(index as u64 % 9)), now); }
+                13 => { fleet.mark_leaving(target, None, now); }
+                14 => { fleet.polled(target, Some(&started(index as u64 % 9)), now); }
                 _ => {
                     fleet.set_homes(index % 9, now);
                     fleet.reconfigure(&route(1, (index % 4) as u16), now);
--- a/crates/decision/tests/budget.rs
+++ b/crates/decision/tests/budget.rs
@@ -37,8 +37,8 @@
         budget.take_deferrable(NOW);
     }
     assert!(!budget.take_deferrable(NOW));
-    let kept = (0..).take_while(|_| budget.take(NOW)).count();
-    assert!((9..=11).contains(&kept), "a fifth of 50: {kept}");
+    let reserve = (0..).take_while(|_| budget.take(NOW)).count();
+    assert!((9..=11).contains(&reserve), "a fifth of 50: {reserve}");
 }
 
 proptest! {
@@ -56,20 +56,20 @@
                 Step::Success => budget.succeeded(NOW),
                 Step::Failure => budget.failed(NOW),
             }
-            let most = Budget::INITIAL + percent / 100.0 * f64::from(firsts);
-            prop_assert!(f64::from(extras) <= most + 1e-6);
+            let limit = Budget::INITIAL + percent / 100.0 * f64::from(firsts);
+            prop_assert!(f64::from(extras) <= limit + 1e-6);
         }
     }
 }
 
 /// Runs first attempts of which `failing` in a hundred fail, each failure asking for a retry, and
 /// returns the retries per hundred first attempts.
-fn retries_per_hundred(failing: u32) -> u32 {
+fn retries_per_hundred(failing_percent: u32) -> u32 {
     let mut budget = Budget::new(10.0);
     let mut retries = 0;
     for first in 0..10_000_u32 {
         budget.deposit(NOW);
-        if first * 37 % 100 < failing {
+        if first * 37 % 100 < failing_percent {
             budget.failed(NOW);
             retries += u32::from(budget.take(NOW));
         } else {
@@ -85,8 +85,8 @@
 #[test_case(5, 4, 5; "few failures are all retried")]
 #[test_case(50, 0, 2; "half failing leaves a fifth of the budget at most")]
 #[test_case(100, 0, 0; "all failing leaves next to nothing")]
-fn failed_often_shrinks_budget(failing: u32, at_least: u32, at_most: u32) {
-    let retries = retries_per_hundred(failing);
+fn failed_often_shrinks_budget(failing_percent: u32, at_least: u32, at_most: u32) {
+    let retries = retries_per_hundred(failing_percent);
     assert!(
         (at_least..=at_most).contains(&retries),
         "{retries} retries per hundred first attempts"
@@ -104,7 +104,7 @@
 // Events:  a million first attempts succeed; then everything asks for a retry.
 // Cause:   tokens that nobody needed pile up without a bound.
 #[test]
-fn deposit_for_long_keeps_bounded_tokens() {
+fn deposit_many_keeps_bounded_tokens() {
     let mut budget = Budget::new(10.0);
     (0..1_000_000).for_each(|_| budget.deposit(NOW));
     assert!(budget.available() <= 100.0, "{}", budget.available());
@@ -113,7 +113,7 @@
 /// Length of the owners' window.
 const WINDOW: Duration = Duration::from_secs(10);
 
-fn lately(times: &[Duration], now: Duration) -> usize {
+fn in_window(times: &[Duration], now: Duration) -> usize {
     let from = now.saturating_sub(WINDOW);
     times.iter().filter(|time| **time >= from).count()
 }
@@ -123,7 +123,7 @@
 // Cause:   what one window left over was spent in the next.
 proptest! {
     #[test]
-    fn window_any_events_keep_extras_within_any_ten_seconds(
+    fn window_any_events_bound_extras_in_any_ten_seconds(
         events in proptest::collection::vec((0_u8..10, 0_u64..400), 1..600),
     ) {
         let (percent, slack) = (18.0, 4.0);
@@ -149,8 +149,8 @@
             };
             if taken {
                 extras.push(now);
-                let allowed = percent / 100.0 * lately(&firsts, now) as f64 + slack;
-                prop_assert!(lately(&extras, now) as f64 <= allowed);
+                let allowed = percent / 100.0 * in_window(&firsts, now) as f64 + slack;
+                prop_assert!(in_window(&extras, now) as f64 <= allowed);
             }
         }
     }
@@ -161,7 +161,7 @@
 // Events:  six calm seconds, then a storm.
 // Cause:   a bucket that bounds a window's extra attempts can save up next to nothing.
 #[test]
-fn window_lends_what_a_calm_left_over() {
+fn window_unused_budget_is_available_in_a_burst() {
     let mut window = Window::new(18.0, 4.0, WINDOW);
     let mut answered = 0;
     for number in 0..1_000_u64 {
--- a/crates/decision/tests/coverage.rs
+++ b/crates/decision/tests/coverage.rs
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn share_weights_are_as_published() {
+fn share_uses_group_weights() {
     let mut route = route(2, 1);
     route.groups[0].weight = 3.0;
     assert!((share(&set(&[(0, 50)]), &route) - 0.375).abs() < 1e-12);
 }
 
 #[test]
-fn share_lacking_a_weightless_key_is_not_complete() {
+fn share_without_a_weightless_group_is_not_complete() {
     // Symptom: "complete" on an answer that misses keys.
     // Events: all groups but one of weight 0 answer.
     // Cause: the sum of weights is all there; completeness has to be asked of the keys.
@@ -61,11 +61,11 @@
     // between them.
     // Cause: replies are counted by server; only the keys tell what was merged before.
     let mut merge = Merge::default();
-    let asked = set(&[(0, 100)]);
-    let first = merge.accept(&asked, reply(&[Range::new(0, 60)], VERSION));
+    let requested = set(&[(0, 100)]);
+    let first = merge.accept(&requested, reply(&[Range::new(0, 60)], VERSION));
     assert_eq!(first, set(&[(0, 60)]));
     let second = merge.accept(
-        &asked,
+        &requested,
         reply(&[Range::new(0, 40), Range::new(40, 100)], VERSION),
     );
     assert_eq!(second, set(&[(60, 100)]));
@@ -78,22 +78,22 @@
 }
 
 #[test]
-fn accept_unasked_keys_are_left_out() {
+fn accept_drops_keys_not_requested() {
     let mut merge = Merge::default();
-    let asked = set(&[(0, 10)]);
+    let requested = set(&[(0, 10)]);
     merge.accept(
-        &asked,
+        &requested,
         reply(&[Range::new(0, 10), Range::new(20, 30)], VERSION),
     );
-    assert_eq!(merge.covered(), &asked);
+    assert_eq!(merge.covered(), &requested);
     assert_eq!(merge.into_items().len(), 1);
 }
 
 #[test]
-fn check_item_outside_the_claim_is_an_error() {
-    let mut wrong = reply(&[Range::new(0, 10)], VERSION);
-    wrong.items[0].key = 10;
-    assert_eq!(check(&wrong), Err(Error::Outside { key: 10 }));
+fn check_item_outside_its_ranges_is_an_error() {
+    let mut invalid = reply(&[Range::new(0, 10)], VERSION);
+    invalid.items[0].key = 10;
+    assert_eq!(check(&invalid), Err(Error::Outside { key: 10 }));
 }
 
 fn some_ranges() -> impl Strategy<Value = Vec<(u64, u64)>> {
@@ -105,8 +105,8 @@
     fn set_operations_agree_with_sets_of_keys(left in some_ranges(), right in some_ranges()) {
         let (a, b) = (set(&left), set(&right));
         let (ka, kb) = (keys(&a), keys(&b));
-        let by_hand: BTreeSet<u64> = left.iter().flat_map(|(start, end)| *start..*end).collect();
-        prop_assert_eq!(&ka, &by_hand);
+        let expected: BTreeSet<u64> = left.iter().flat_map(|(start, end)| *start..*end).collect();
+        prop_assert_eq!(&ka, &expected);
         prop_assert_eq!(keys(&a.intersection(&b)), ka.intersection(&kb).copied().collect::<BTreeSet<_>>());
         prop_assert_eq!(keys(&a.difference(&b)), ka.difference(&kb).copied().collect::<BTreeSet<_>>());
         for key in 0..KEY_SPACE {
@@ -117,23 +117,23 @@
     }
 
     #[test]
-    fn is_whole_agrees_with_what_is_missing(ranges in some_ranges(), start in 0..KEY_SPACE, end in 0..KEY_SPACE) {
+    fn is_complete_agrees_with_missing(ranges in some_ranges(), start in 0..KEY_SPACE, end in 0..KEY_SPACE) {
         let covered = set(&ranges);
         let route = Route { keys: Range::new(start, end), ..route(1, 1) };
         prop_assert_eq!(is_complete(&covered, &route), missing(&covered, &route).is_empty());
-        let whole = set(&[ranges, vec![(start, end)]].concat());
-        prop_assert!(is_complete(&whole, &route));
+        let complete = set(&[ranges, vec![(start, end)]].concat());
+        prop_assert!(is_complete(&complete, &route));
     }
 
     #[test]
     fn accept_any_replies_merge_each_key_once(replies in prop::collection::vec((some_ranges(), some_ranges()), 0..6)) {
         let mut merge = Merge::default();
         let mut added = 0;
-        for (asked, claimed) in replies {
+        for (requested, claimed) in replies {
             let claimed = set(&claimed);
             let mut full = reply(claimed.ranges(), VERSION);
             full.items = keys(&claimed).into_iter().map(|key| monsoonring_decision::reply::Item { key, value: "".into() }).collect();
-            added += keys(&merge.accept(&set(&asked), full)).len();
+            added += keys(&merge.accept(&set(&requested), full)).len();
         }
         let covered = keys(merge.covered());
         prop_assert_eq!(covered.len(), added);
--- a/crates/decision/tests/many_hosts.rs
+++ b/crates/decision/tests/many_hosts.rs
@@ -12,11 +12,11 @@
 use support::{ms, route, server};
 use test_case::test_case;
 
-const SHORT: u64 = 9;
-const LONG: u64 = 28;
+const SHORT_WORK: u64 = 9;
+const LONG_WORK: u64 = 28;
 
 /// Time between two searches at one of 89 hosts.
-const INTERVAL: u64 = 500;
+const REQUEST_INTERVAL: u64 = 500;
 
 fn homes(all: usize) -> Homes {
     Homes {
@@ -26,9 +26,9 @@
 }
 
 /// Lets a server answer an attempt for a kind of work.
-fn answer(fleet: &mut Fleet, number: u16, attempt: u64, (work, took): (u64, u64), now: Time) {
+fn answer(fleet: &mut Fleet, number: u16, attempt: u64, (work, latency): (u64, u64), now: Time) {
     fleet.sent_for(work, server(number), attempt, now);
-    fleet.replied(attempt, &Report::default(), now + ms(took));
+    fleet.replied(attempt, &Report::default(), now + ms(latency));
 }
 
 // Symptom: suggestions that have to be there in 80 ms and take 9 wait for a paused server until it is too
@@ -36,74 +36,83 @@
 // Events:  servers answer short and long requests; a short one meets a pause.
 // Cause:   it was hedged after the time that long ones take.
 #[test]
-fn hedge_delay_of_short_requests_is_their_own() {
+fn hedge_delay_is_separate_per_kind_of_work() {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
     for step in 0..200 {
-        let work = if step % 4 == 0 { SHORT } else { LONG };
-        let took = work + step % 5;
+        let work = if step % 4 == 0 { SHORT_WORK } else { LONG_WORK };
+        let latency = work + step % 5;
         answer(
             &mut fleet,
             (step % 3) as u16,
             step,
-            (work, took),
+            (work, latency),
             ms(step * 50),
         );
     }
     let now = ms(20_000);
     let all = fleet.hedge_delay(server(0), 0.92, now);
-    let short = fleet.hedge_delay_of(SHORT, server(0), 0.92, now);
-    let long = fleet.hedge_delay_of(LONG, server(0), 0.92, now);
-    assert!(all >= ms(LONG), "{all:?}");
-    assert!(short <= ms(2 * SHORT), "{short:?}, before {all:?}");
-    assert!(long >= ms(LONG), "{long:?}");
+    let short = fleet.hedge_delay_of(SHORT_WORK, server(0), 0.92, now);
+    let long = fleet.hedge_delay_of(LONG_WORK, server(0), 0.92, now);
+    assert!(all >= ms(LONG_WORK), "{all:?}");
+    assert!(short <= ms(2 * SHORT_WORK), "{short:?}, before {all:?}");
+    assert!(long >= ms(LONG_WORK), "{long:?}");
     let unknown = fleet.hedge_delay_of(77, server(0), 0.92, now);
     assert_eq!(unknown, all, "nothing is known of that kind");
 }
 
 /// Plays a server that turns slow by ten among three, asked twice a second, for as many seconds. Returns how
 /// many of the attempts went to it.
-fn asked_while_slow(seconds: u64) -> (u32, u32) {
+fn choices_while_slow(seconds: u64) -> (u32, u32) {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
     fleet.set_far(&[server(1), server(2)].into());
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let servers: Vec<_> = (0..3).map(server).collect();
-    let (mut asked, mut all) = (0, 0);
+    let (mut slow_choices, mut choices) = (0, 0);
     for step in 0..(60 + seconds * 2) {
-        let now = ms(step * INTERVAL);
+        let now = ms(step * REQUEST_INTERVAL);
         let choice = fleet.choose(&servers, &[], None, now, &mut rng);
         let chosen = choice.expect("all are open").server;
         let is_slow = step >= 60;
-        let took = match chosen == server(0) && is_slow {
-            true => 10 * LONG,
-            false => LONG,
+        let latency = match chosen == server(0) && is_slow {
+            true => 10 * LONG_WORK,
+            false => LONG_WORK,
         };
-        answer(&mut fleet, chosen.port() - 1_000, step, (1, took), now);
-        asked += u32::from(is_slow && chosen == server(0));
-        all += u32::from(is_slow);
+        answer(&mut fleet, chosen.port() - 1_000, step, (1, latency), now);
+        slow_choices += u32::from(is_slow && chosen == server(0));
+        choices += u32::from(is_slow);
     }
-    (asked, all)
+    (slow_choices, choices)
 }
 
 // Symptom: servers are slow for eight seconds, and for as long every other search is late.
 // Events:  a server nearby turns slow; the home asks it twice a second.
 // Cause:   it took four attempts to leave it, and it was tried again every second.
 #[test]
-fn choose_slow_server_asked_rarely_is_left() {
-    let (asked, all) = asked_while_slow(20);
-    assert!(asked <= all / 8, "{asked} of {all} attempts");
+fn choose_slow_server_rarely_used_is_avoided() {
+    let (slow_choices, choices) = choices_while_slow(20);
+    assert!(
+        slow_choices <= choices / 8,
+        "{slow_choices} of {choices} attempts"
+    );
 }
 
 #[test]
-fn choose_one_pause_leaves_nothing() {
+fn choose_after_one_pause_keeps_server() {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
     fleet.set_far(&[server(1), server(2)].into());
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let servers: Vec<_> = (0..3).map(server).collect();
     for step in 0..60 {
-        answer(&mut fleet, 0, step, (1, LONG), ms(step * INTERVAL));
+        answer(
+            &mut fleet,
+            0,
+            step,
+            (1, LONG_WORK),
+            ms(step * REQUEST_INTERVAL),
+        );
     }
-    answer(&mut fleet, 0, 60, (1, 200), ms(60 * INTERVAL));
-    let now = ms(61 * INTERVAL);
+    answer(&mut fleet, 0, 60, (1, 200), ms(60 * REQUEST_INTERVAL));
+    let now = ms(61 * REQUEST_INTERVAL);
     let choice = fleet.choose(&servers, &[], None, now, &mut rng);
     assert_eq!(choice.expect("all are open").server, server(0));
 }
@@ -128,7 +137,7 @@
 // Cause:   each kept one ready at every server, and held what it had needed for five seconds.
 #[test_case(9, 5_000; "few_hosts")]
 #[test_case(89, 2_000; "many_hosts")]
-fn want_further_away_is_held_while_there_is_room(all: usize, held: u64) {
+fn reconcile_remote_connection_is_held_while_connections_last(all: usize, hold_time: u64) {
     let division = Division::among_all_hosts(homes(all), 218.0);
     let mut pool = Pool::new(&route(1, 2), division, 1, ms(0));
     pool.set_far([server(1)].into());
@@ -138,7 +147,7 @@
     let id = pool.acquire(server(1), ms(20)).expect("it is open");
     pool.release(id, ms(30));
     settle(&mut pool, ms(30));
-    let early = settle(&mut pool, ms(held / 10));
-    let late = settle(&mut pool, ms(held + 1_000));
+    let early = settle(&mut pool, ms(hold_time / 10));
+    let late = settle(&mut pool, ms(hold_time + 1_000));
     assert_eq!((early, late), ([1, 1], [1, 0]));
 }
--- a/crates/decision/tests/demand.rs
+++ b/crates/decision/tests/on_demand.rs
@@ -13,7 +13,7 @@
 //          before the connection was asked for.
 #[test_case(75; "more_hosts_nearby_than_a_server_has_connections_to_spare")]
 #[test_case(10; "few_hosts_nearby")]
-fn weak_host_opens_a_connection_that_it_needs(near: usize) {
+fn weak_host_opens_a_connection_on_demand(near: usize) {
     let weak = Homes {
         all: near * 4,
         near,
@@ -37,7 +37,7 @@
 
 // What waits for a connection is a need only while it waits: a server that is gone is not connected to for ever.
 #[test]
-fn weak_host_leaves_a_server_alone_that_refuses() {
+fn weak_host_stops_connecting_to_a_refusing_server() {
     let weak = Homes {
         all: 300,
         near: 75,
--- a/crates/decision/tests/pin.rs
+++ b/crates/decision/tests/pin.rs
@@ -33,7 +33,7 @@
 #[test_case(&[&[NEW, NEW], &[NEW, NEW], &[OLD, OLD]], 7; "the new one reaches more")]
 #[test_case(&[&[&[5], &[5]], &[&[5], &[5]]], 5; "the pinned one is served nowhere")]
 #[test_case(&[&[&[5], OLD], &[&[5], &[5]]], 6; "an older one reaches more")]
-fn update_while_6_is_pinned_gives(replicas: &[&[&[u64]]], expected: u64) {
+fn update_while_6_is_pinned_selects(replicas: &[&[&[u64]]], expected: u64) {
     let mut pin = pinned_at(6);
     pin.update(&groups(replicas), 0);
     assert_eq!(pin.version(), Some(expected));
--- a/crates/decision/tests/pool.rs
+++ b/crates/decision/tests/pool.rs
@@ -35,21 +35,21 @@
 }
 
 /// Takes `count` connections to server 0, opening them as needed.
-fn take(pool: &mut Pool, count: usize, now: u64) -> Vec<ConnectionId> {
-    let mut taken = Vec::new();
+fn acquire_many(pool: &mut Pool, count: usize, now: u64) -> Vec<ConnectionId> {
+    let mut acquired = Vec::new();
     for _ in 0..count * 4 {
         settle(pool, now);
-        taken.extend(pool.acquire(server(0), ms(now)));
-        if taken.len() == count {
+        acquired.extend(pool.acquire(server(0), ms(now)));
+        if acquired.len() == count {
             break;
         }
     }
-    assert_eq!(taken.len(), count);
-    taken
+    assert_eq!(acquired.len(), count);
+    acquired
 }
 
 /// Returns those of the connections that are silent, with a patience of 50 ms.
-fn silent(pool: &Pool, ids: &[ConnectionId], now: u64) -> Vec<ConnectionId> {
+fn silent_connections(pool: &Pool, ids: &[ConnectionId], now: u64) -> Vec<ConnectionId> {
     let is_silent = |id: &&ConnectionId| pool.health(**id, ms(50), ms(now)) == Health::Silent;
     ids.iter().filter(is_silent).copied().collect()
 }
@@ -58,7 +58,7 @@
 // Events:  nothing was asked yet, or all connections but the spare have been closed.
 // Cause:   connections are opened only when they are needed.
 #[test]
-fn want_before_need_opens_spare() {
+fn reconcile_without_use_opens_spare() {
     let mut pool = pool(3);
     assert_eq!(settle(&mut pool, 0).len(), 3);
     assert!(pool.acquire(server(2), ms(1)).is_some());
@@ -69,7 +69,7 @@
 // Events:  a restarted server has lost all connections; ten requests want one at the same time.
 // Cause:   each request that finds no connection opens one.
 #[test]
-fn want_after_many_misses_opens_few_at_once() {
+fn reconcile_after_many_misses_opens_few() {
     let mut pool = Pool::new(&route(1, 1), 1, 0, ms(0));
     (0..10).for_each(|_| assert!(pool.acquire(server(0), ms(0)).is_none()));
     assert_eq!(pool.reconcile(ms(0)).len(), 2);
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn want_without_need_shrinks_slowly() {
+fn reconcile_after_use_shrinks_slowly() {
     let mut pool = pool(1);
-    for id in take(&mut pool, 3, 0) {
+    for id in acquire_many(&mut pool, 3, 0) {
         pool.release(id, ms(10));
     }
     assert_eq!(pool.connections(server(0)), SHARE);
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn next_wake_after_want_is_later() {
+fn next_wake_after_reconcile_is_later() {
     let mut pool = pool(2);
-    let ids = take(&mut pool, 3, 0);
+    let ids = acquire_many(&mut pool, 3, 0);
     ids.iter().for_each(|id| pool.release(*id, ms(1)));
     let mut now = ms(1);
     while let Some(wake) = pool.next_wake() {
@@ -108,9 +108,9 @@
 // Events:  the number of homes doubles while all connections are in use.
 // Cause:   the old share is kept until the connections are closed for another reason.
 #[test]
-fn set_homes_higher_closes_what_is_too_many() {
+fn set_homes_higher_closes_excess() {
     let mut pool = pool(1);
-    let ids = take(&mut pool, SHARE, 0);
+    let ids = acquire_many(&mut pool, SHARE, 0);
     pool.set_homes(HOMES * 2, ms(1));
     settle(&mut pool, 1);
     ids.iter().for_each(|id| pool.release(*id, ms(2)));
@@ -121,7 +121,7 @@
 #[test]
 fn set_leaving_closes_idle_and_opens_none() {
     let mut pool = pool(1);
-    let ids = take(&mut pool, 2, 0);
+    let ids = acquire_many(&mut pool, 2, 0);
     pool.release(ids[0], ms(1));
     pool.set_leaving(server(0), true, ms(2));
     assert!(settle(&mut pool, 2).is_empty());
@@ -135,18 +135,21 @@
 // Events:  one connection goes silent under an attempt; later attempts on another are answered.
 // Cause:   the silence of a connection is taken for the silence of the server.
 #[test]
-fn silent_while_others_answer_is_connections_fault() {
+fn silent_connection_while_others_answer_is_discarded() {
     let mut pool = pool(1);
-    let ids = take(&mut pool, 2, 0);
+    let ids = acquire_many(&mut pool, 2, 0);
     pool.release(ids[1], ms(30));
     assert!(
-        silent(&pool, &ids, 100).is_empty(),
+        silent_connections(&pool, &ids, 100).is_empty(),
         "no answer since it was overdue"
     );
-    let other = pool.acquire(server(0), ms(90)).expect("one is idle");
-    pool.release(other, ms(100));
-    assert!(silent(&pool, &ids, 49).is_empty(), "not overdue yet");
-    assert_eq!(silent(&pool, &ids, 100), [ids[0]]);
+    let second = pool.acquire(server(0), ms(90)).expect("one is idle");
+    pool.release(second, ms(100));
+    assert!(
+        silent_connections(&pool, &ids, 49).is_empty(),
+        "not overdue yet"
+    );
+    assert_eq!(silent_connections(&pool, &ids, 100), [ids[0]]);
     pool.discard_silent(ids[0], ms(100));
     assert!(pool.is_reachable(server(0)));
     assert!(pool.reconcile(ms(100)).contains(&Command::Close(ids[0])));
@@ -156,9 +159,9 @@
 // Events:  a server pauses; when it goes on, it answers what came first.
 // Cause:   an answer to an earlier attempt is taken for proof that the later one's connection works.
 #[test]
-fn silent_slow_server_is_not() {
+fn slow_server_connection_is_not_silent() {
     let mut pool = pool(1);
-    let ids = take(&mut pool, 2, 0);
+    let ids = acquire_many(&mut pool, 2, 0);
     pool.release(ids[1], ms(5));
     let later = pool.acquire(server(0), ms(10)).expect("one is idle");
     pool.release(ids[0], ms(150));
@@ -169,19 +172,19 @@
 // Events:  all open connections to a server go silent at once; none can answer.
 // Cause:   the silence is only noticed where an old connection still answers.
 #[test]
-fn silent_all_is_noticed_by_new_connection() {
+fn silent_all_is_detected_by_new_connection() {
     let mut pool = pool(1);
-    let ids = take(&mut pool, 2, 0);
+    let ids = acquire_many(&mut pool, 2, 0);
     let spare = settle(&mut pool, 210);
     assert_eq!(spare.len(), 1);
-    assert_eq!(silent(&pool, &ids, 210), ids);
+    assert_eq!(silent_connections(&pool, &ids, 210), ids);
 }
 
 /// Returns a pool with three connections to a server: two that were idle when one of them was taken
 /// again and fell silent, and one that has been used since. The last one is the silent one.
-fn one_silent() -> (Pool, Vec<ConnectionId>, ConnectionId) {
+fn pool_with_silent_connection() -> (Pool, Vec<ConnectionId>, ConnectionId) {
     let mut pool = pool(1);
-    let ids = take(&mut pool, 3, 0);
+    let ids = acquire_many(&mut pool, 3, 0);
     pool.release(ids[0], ms(5));
     pool.release(ids[1], ms(10));
     let silent = pool.acquire(server(0), ms(20)).expect("two are idle");
@@ -193,8 +196,8 @@
 // Events:  the connections that were idle when one went silent are used next.
 // Cause:   only the connection that was noticed is replaced.
 #[test]
-fn condemn_gives_up_unproven_idle_ones() {
-    let (mut pool, ids, silent) = one_silent();
+fn discard_silent_closes_unverified_idle_connections() {
+    let (mut pool, ids, silent) = pool_with_silent_connection();
     pool.discard_silent(silent, ms(100));
     let closed: BTreeSet<_> = pool
         .reconcile(ms(100))
@@ -211,8 +214,8 @@
 // Events:  a ticket's connection is silent; those that were idle meanwhile are used next.
 // Cause:   only the connection of a search is given up, and with it the idle ones.
 #[test]
-fn distrust_gives_up_unproven_idle_ones_only() {
-    let (mut pool, ids, silent) = one_silent();
+fn discard_unverified_closes_only_idle_connections() {
+    let (mut pool, ids, silent) = pool_with_silent_connection();
     pool.discard_unverified(silent, ms(100));
     let commands = pool.reconcile(ms(100));
     let closes = commands
@@ -225,7 +228,7 @@
 // Events:  a connection idle for long has gone silent; a non-idempotent request is put on it.
 // Cause:   an idle connection counts as working because nobody has seen it fail.
 #[test]
-fn acquire_fresh_after_long_idle_takes_new_one() {
+fn acquire_fresh_after_long_idle_opens_new_connection() {
     let mut pool = Pool::new(&route(1, 1), 30, 0, ms(0));
     settle(&mut pool, 0);
     assert!(pool.acquire_fresh(server(0), ms(60_000)).is_none());
@@ -235,20 +238,20 @@
 }
 
 #[test]
-fn closed_idle_says_nothing_of_server() {
+fn closed_idle_keeps_server_reachable() {
     let mut pool = pool(1);
     let ids = settle(&mut pool, 0);
-    let ending = pool.closed(ids[0], ms(1)).expect("it was open");
-    assert!(!ending.became_unreachable && pool.is_reachable(server(0)));
+    let disconnect = pool.closed(ids[0], ms(1)).expect("it was open");
+    assert!(!disconnect.became_unreachable && pool.is_reachable(server(0)));
 }
 
 // Symptom: a dead server is connected to thousands of times a second, by each home.
 // Events:  the last connection ends under an attempt; each connect is refused.
 // Cause:   a connect that fails is tried again at once.
 #[test]
-fn closed_while_opening_probes_with_growing_pauses() {
+fn closed_while_opening_probes_with_backoff() {
     let mut pool = pool(1);
-    let ids = take(&mut pool, 1, 0);
+    let ids = acquire_many(&mut pool, 1, 0);
     for id in settle(&mut pool, 0).iter().chain(&ids) {
         pool.closed(*id, ms(1));
     }
@@ -271,7 +274,7 @@
 proptest! {
     /// Each step is a kind of event, the connection that it is about, and a time to wait before it.
     #[test]
-    fn want_in_any_order_stays_within_share(
+    fn reconcile_any_events_stay_within_share(
         homes in 1..40_usize,
         steps in prop::collection::vec((0..12_u8, any::<usize>(), 0..3_000_u64), 0..300),
     ) {
@@ -283,15 +286,15 @@
         for (kind, index, wait) in steps {
             now += ms(wait);
             let id = open.keys().nth(index % open.len().max(1)).copied().unwrap_or_default();
-            let at = server((index % 2) as u16);
+            let target = server((index % 2) as u16);
             match kind {
                 0..3 => { pool.opened(id, now); }
-                3..5 => { pool.acquire(at, now); }
-                5 => { pool.acquire_fresh(at, now); }
+                3..5 => { pool.acquire(target, now); }
+                5 => { pool.acquire_fresh(target, now); }
                 6..8 => pool.release(id, now),
                 8 => pool.discard(id, now),
                 9 => pool.discard_silent(id, now),
-                10 => pool.set_leaving(at, index % 4 < 2, now),
+                10 => pool.set_leaving(target, index % 4 < 2, now),
                 _ => {
                     pool.closed(id, now);
                     open.remove(&id);
@@ -299,12 +302,12 @@
             }
             for command in pool.reconcile(now) {
                 match command {
-                    Command::Open(id, at) => open.insert(id, u16::from(at == server(1))),
+                    Command::Open(id, to) => open.insert(id, u16::from(to == server(1))),
                     Command::Close(id) => open.remove(&id),
                 };
             }
             for number in 0..2 {
-                let count = open.values().filter(|one| **one == number).count();
+                let count = open.values().filter(|to| **to == number).count();
                 prop_assert!(count <= share, "{} connections", count);
                 prop_assert_eq!(count, pool.connections(server(number)));
             }
