--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -1,18 +1,8 @@
-//! Routes that few ask for, beside those that everybody asks for, at servers whose connections are all but
-//! taken.
+//! Routes that get few requests, beside busy ones, at servers whose connection limit is nearly reached.
 //!
-//! Symptom: of 791 requests on routes that had been added, 35 were served, and of 4,013 on the first routes
-//!          3,298; the others were refused within three milliseconds, at every host, for as long as it
-//!          was looked at, and with no fault anywhere.
-//! Events:  61 hosts share servers that take 62 connections. A route is added that leads to the same
-//!          servers in another set, which is a home of its own at each host. It is asked now and then.
-//! Cause:   each host kept a connection ready at every server for the first routes. What an added route
-//!          needs is opened when it is asked for, was ended at once by a server without room, and with no
-//!          server in reach the request is refused. In the class of faults: a limit that all share, divided
-//!          so that the first take all of it.
-//! Proof:   the number of connections that servers had ended, 203,276 in a calm minute at 89 hosts that asked
-//!          76 each, and that the refusals were gone, with nothing else changed, once hosts kept
-//!          connections ready at servers nearby only.
+//! Guards against an added route that is refused at every host because each host keeps a connection
+//! ready at every server for the first routes: the connections that the added route opens on demand
+//! are rejected by the servers.
 
 mod support;
 
@@ -25,38 +15,45 @@
 use support::{ms, route, server};
 use test_case::test_case;
 
-/// Hosts and their data centres.
+/// Number of hosts, and of the data centres that they are in.
 const HOSTS: usize = 61;
 const DATA_CENTRES: usize = 4;
 
-/// Servers of the one shard, the connections that the configuration grants at each, and those that it takes
-/// while a queue stands there.
+/// Number of servers of the only shard.
 const SERVERS: u16 = 3;
+
+/// Configured connection limit of each server.
 const CONFIGURED_CONNECTIONS: u32 = 62;
+
+/// Connections that each server accepts while it has a queue.
 const ACCEPTED_CONNECTIONS: usize = 50;
 
-/// Length of the game and of one step, in milliseconds.
+/// Length of the simulation and of one step, in milliseconds.
 const DURATION_MS: u64 = 20_000;
 const STEP_MS: u64 = 10;
 
-/// Steps that a request waits for a connection, and that it then works.
+/// Longest time that a request waits for a connection, in steps.
 const MAX_WAIT_STEPS: u64 = 10;
+
+/// Service time of a request, in steps.
 const WORK_STEPS: u64 = 3;
 
-/// Chance that a host gets a request of a kind in a step: two a second, and one in two seconds.
+/// Probability that a host gets a request on the first routes in a step: two per second.
 const FIRST_CHANCE: f64 = 0.02;
+
+/// Probability of a request on the added route: one every two seconds.
 const ADDED_CHANCE: f64 = 0.005;
 
-/// One set of shards at one host.
+/// The requests and connections of one host for one set of shards.
 struct ShardSet {
     pool: Pool,
-    /// Servers that it asks first.
+    /// Servers that are preferred.
     near: BTreeSet<u16>,
-    /// The server that each open connection leads to.
+    /// Server of each open connection.
     open: HashMap<ConnectionId, usize>,
-    /// Requests that wait, by the server that they wait for and the step at which they came.
+    /// Waiting requests: their server and the step in which they arrived.
     waiting: Vec<(u16, u64)>,
-    /// Requests at work, by the step at which they end.
+    /// Requests in service: their connection and the step in which they end.
     working: Vec<(ConnectionId, u64)>,
     requests: u32,
     served: u32,
@@ -81,8 +78,8 @@
         }
     }
 
-    /// A request comes: to a server nearby if it is in reach, to another one otherwise. With none in reach it
-    /// is refused at once.
+    /// Assigns a request to a reachable server, preferably nearby; refuses it if no server is
+    /// reachable.
     fn submit(&mut self, step: u64, rng: &mut ChaCha8Rng) {
         self.requests += 1;
         let reachable = (0..SERVERS).filter(|number| self.pool.is_reachable(server(*number)));
@@ -94,7 +91,7 @@
         }
     }
 
-    /// Ends what is done, opens and closes, and puts what waits onto connections.
+    /// Ends finished requests, assigns waiting ones to connections, and opens and closes connections.
     fn step(&mut self, open: &mut [usize], step: u64) {
         let now = ms(step * STEP_MS);
         let working = std::mem::take(&mut self.working).into_iter();
@@ -148,7 +145,7 @@
     }
 }
 
-/// Returns the shares of the requests that are served: of the first routes and of the added one.
+/// Returns the served shares of the requests on the first routes and on the added one.
 fn simulate(homes: impl Fn(usize) -> Homes, is_remote: impl Fn(usize, u16) -> bool) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut sets = Vec::new();
@@ -186,7 +183,7 @@
     host % DATA_CENTRES != usize::from(server) % DATA_CENTRES
 }
 
-/// A tenth of the hosts fan out for the others, which have the few that are left to them.
+/// Returns homes of which a tenth are strong, and keep most of the connections.
 fn strong_and_weak(host: usize) -> Homes {
     let role = match host / DATA_CENTRES % 10 {
         0 => Role::Strong,
@@ -221,10 +218,8 @@
 
 #[test]
 fn added_route_is_refused_if_all_hosts_keep_connections_everywhere() {
-    // What the product did when it was seen: nothing counts as further away, so that everybody keeps a
-    // connection at every server.
+    // No server counts as remote, so every host keeps a connection to each server.
     let (first, added) = simulate(|_| Homes::from(HOSTS), |_, _| false);
-    // 0.48 of the added route and 0.98 of the first, in place of 0.9 and 0.95 at least.
     assert!(
         added < 0.6,
         "of the added route {added:.3} served, {first:.3} of the first"
--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests of admission, most of them against a simulated group of servers.
+//! Admission, mostly tested against a simulated group of servers.
 
 mod support;
 
@@ -26,7 +26,7 @@
     Gate::new(&route)
 }
 
-/// What one run of the simulation counted.
+/// Requests counted in one run of the simulation.
 #[derive(Default, Debug)]
 struct Counts {
     offered: BTreeMap<Class, u32>,
@@ -40,11 +40,11 @@
     arrived: f64,
 }
 
-/// A group with one queue before it, asked `load` times what it can do.
+/// A group of servers with one shared queue.
 struct Simulation {
     rng: ChaCha8Rng,
     gate: Option<Gate>,
-    /// How many times the true load the home believes; less than 1 hides what others have there.
+    /// Estimated load divided by the true load; below 1, the home does not see all of the load.
     load_factor: f64,
     queue: VecDeque<Request>,
     busy: BTreeMap<u64, Request>,
@@ -134,7 +134,7 @@
         let Some(Reverse((_, id))) = self.done.pop() else {
             return;
         };
-        let request = self.busy.remove(&id).expect("it is being worked on");
+        let request = self.busy.remove(&id).expect("the request is in service");
         let latency = Duration::from_secs_f64(now - request.arrived);
         if latency <= DEADLINE {
             *self.count.in_time.entry(request.class).or_default() += 1;
@@ -152,22 +152,21 @@
 }
 
 impl Counts {
-    /// Requests answered in time, as a share of what the servers can do.
+    /// Returns the requests answered in time, as a share of the servers' capacity.
     fn goodput(&self) -> f64 {
         let in_time: u32 = self.in_time.values().sum();
         f64::from(in_time) * SERVICE_TIME / SLOTS as f64 / DURATION
     }
 
-    /// Share of a class's requests that were answered in time.
+    /// Returns the share of a class's requests that were answered in time.
     fn served(&self, class: Class) -> f64 {
         f64::from(self.in_time[&class]) / f64::from(self.offered[&class])
     }
 }
 
-// Symptom: at one and a half times what the servers can do nearly every answer comes too late.
-// Events:  more requests arrive than can be worked off; the queue reaches the deadline and stays.
-// Cause:   everything is taken on, and each request waits for work that is already useless.
-#[test_case(1.5, 1.0; "half as much again")]
+// Guards against the collapse of goodput beyond saturation, when the queueing delay reaches the
+// deadline and servers work on requests that are already late.
+#[test_case(1.5, 1.0; "one and a half times")]
 #[test_case(3.0, 1.0; "three times")]
 #[test_case(3.0, 0.3; "three times, most of the load hidden")]
 fn admit_past_saturation_keeps_goodput(load: f64, load_factor: f64) {
@@ -180,7 +179,7 @@
     let ungated = Simulation::new(None, load_factor).run(load);
     assert!(
         ungated.goodput() < 0.1,
-        "goodput without a gate {:.3}",
+        "goodput without admission control {:.3}",
         ungated.goodput()
     );
 }
@@ -192,9 +191,7 @@
     assert!(count.refused * 1_000 < offered, "{count:?}");
 }
 
-// Symptom: dispatchers are refused while planners' reports run.
-// Events:  three times saturation, a fifth of it urgent.
-// Cause:   who comes first is taken on first.
+// Guards against urgent requests that are refused while less urgent ones are admitted.
 #[test]
 fn admit_past_saturation_serves_urgent_first() {
     let count = Simulation::new(Some(gate()), 1.0).run(3.0);
@@ -207,9 +204,8 @@
     );
 }
 
-// Symptom: requests are refused on a fleet that is half idle.
-// Events:  one server is slow, and every search waits for it; the others have free slots.
-// Cause:   slowness is taken for overload.
+// Guards against refusals on a mostly idle fleet because the latency of one slow server is mistaken
+// for overload.
 #[test]
 fn finished_late_without_waiting_keeps_limit() {
     let mut gate = gate();
@@ -232,8 +228,8 @@
     }
 }
 
-#[test_case(0, 5, Reason::Deadline, None; "less time left than the work takes")]
-#[test_case(150, 100, Reason::Overload, Some(ms(150)); "the wait is longer than the time left")]
+#[test_case(0, 5, Reason::Deadline, None; "time left is shorter than the service time")]
+#[test_case(150, 100, Reason::Overload, Some(ms(150)); "wait is longer than the time left")]
 fn admit_without_enough_time_is_refused(
     wait: u64,
     time_left: u64,
@@ -246,7 +242,7 @@
         retry_after,
     } = admission
     else {
-        unreachable!("it is hopeless");
+        unreachable!("the request can't be served in time");
     };
     assert_eq!(
         (reason, retry_after),
@@ -254,9 +250,8 @@
     );
 }
 
-// Symptom: after an overload waves of requests come in, each refused nearly whole.
-// Events:  a hundred requests are refused at the same moment.
-// Cause:   all were told the same time to come back.
+// Guards against waves of retries after an overload because all refused requests got the same retry
+// time.
 #[test]
 fn admit_refused_many_returns_staggered_retry_times() {
     let mut gate = gate();
@@ -276,13 +271,15 @@
     let retry_times: Vec<Duration> = (0..100)
         .map(
             |_| match gate.admit(Class::Urgent, now + DEADLINE, &group_load(0), now) {
-                Admission::Refuse { retry_after, .. } => retry_after.expect("it can come back"),
-                Admission::Admit => unreachable!("there is no room"),
+                Admission::Refuse { retry_after, .. } => {
+                    retry_after.expect("a refusal for overload has a retry time")
+                }
+                Admission::Admit => unreachable!("the limit is reached"),
             },
         )
         .collect();
     assert!(retry_times.windows(2).all(|pair| pair[1] > pair[0]));
-    // A request ends every ten milliseconds.
+    // One request finishes every 10 ms.
     assert!(
         (ms(900)..ms(1_100)).contains(&(retry_times[99] - retry_times[0])),
         "{retry_times:?}"
--- a/crates/decision/tests/backend.rs
+++ b/crates/decision/tests/backend.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice between replicas and of what is learned of them.
+//! Choice between replicas, and the statistics and state kept for each server.
 
 mod support;
 
@@ -31,17 +31,18 @@
     choice.map(|choice: Choice| choice.server)
 }
 
-/// Returns how many of 300 choices at that time fall on each replica.
+/// Returns how many of 300 choices at `now` fall on each replica.
 fn shares(fleet: &mut Fleet, now: Time) -> [u32; 3] {
     let mut shares = [0; 3];
     for step in 0..300 {
-        let chosen = choose(fleet, now + Duration::from_nanos(step)).expect("one is open");
+        let chosen =
+            choose(fleet, now + Duration::from_nanos(step)).expect("a server is available");
         shares[usize::from(chosen.port() - 1_000)] += 1;
     }
     shares
 }
 
-/// Lets a replica answer `count` attempts after `latency` each, one after the other.
+/// Makes a replica answer `count` attempts, one every 10 ms, with `latency`.
 fn answer(fleet: &mut Fleet, number: u16, count: u64, latency: Duration, report: &Report) {
     for step in 0..count {
         let at = ms(step * 10);
@@ -75,10 +76,10 @@
     );
 }
 
-#[test_case(&[0, 1], None => Some(server(2)); "tried ones are left out")]
-#[test_case(&[0, 1, 2], None => None; "none is left")]
-#[test_case(&[], Some(7) => Some(server(1)); "only one serves the version")]
-#[test_case(&[1], Some(7) => None; "the one that serves it was tried")]
+#[test_case(&[0, 1], None => Some(server(2)); "tried servers are skipped")]
+#[test_case(&[0, 1, 2], None => None; "all servers were tried")]
+#[test_case(&[], Some(7) => Some(server(1)); "only one server has the version")]
+#[test_case(&[1], Some(7) => None; "the server with the version was tried")]
 fn choose_out_of(tried: &[u16], version: Option<u64>) -> Option<BackendServerId> {
     let mut fleet = fleet();
     for number in 0..REPLICAS {
@@ -94,18 +95,17 @@
     choice.map(|choice| choice.server)
 }
 
-// Symptom: one replica gets nearly all requests of every home and has a long queue.
-// Events:  its load endpoint is stuck at 0 or makes numbers up; the others report the truth.
-// Cause:   the lowest report wins, whatever it is worth.
-#[test_case(|_| 0; "stuck at nothing")]
-#[test_case(|step| step * 7919 % 10; "made up")]
+// Guards against a server that attracts nearly all requests because its load reports are constant
+// or wrong.
+#[test_case(|_| 0; "stuck at zero")]
+#[test_case(|step| step * 7919 % 10; "random")]
 #[test_case(|step| 9 - step % 10; "inverted")]
 fn choose_ignores_false_load_reports(false_load: fn(u64) -> u64) {
     let mut fleet = fleet();
     for step in 0..200 {
         for number in 0..REPLICAS {
             let attempt = step * 3 + u64::from(number);
-            // Others' load comes and goes; honest servers report it and get slower with it.
+            // Load from other hosts varies; honest servers report it and their latency follows it.
             let others = step % 10;
             let reported = if number == 0 {
                 false_load(step)
@@ -119,7 +119,7 @@
         }
     }
     let now = ms(200 * 20);
-    // Honest ones: one has less than its usual 4.5, one has more.
+    // Of the honest servers, one reports less than its mean load of 4.5 and the other more.
     for (number, reported) in [(0, 0), (1, 4), (2, 5)] {
         fleet.polled(server(number), Some(&loaded(reported)), now);
     }
@@ -132,13 +132,11 @@
     assert_eq!(
         shares(&mut fleet, now),
         [0, 300, 0],
-        "the liar attracts no work"
+        "the false report attracts no work"
     );
 }
 
-// Symptom: a replica that answers ten times slower keeps getting its full third.
-// Events:  it has a bad disk; few requests are outstanding, so that counts are all alike.
-// Cause:   outstanding attempts say nothing of speed while there are hardly any.
+// Guards against a slow replica that keeps its full share while few attempts are outstanding.
 #[test]
 fn choose_slow_replica_is_avoided_then_probed() {
     let mut fleet = fleet();
@@ -146,15 +144,14 @@
     answer(&mut fleet, 2, 50, ms(5), &Report::default());
     answer(&mut fleet, 0, 20, ms(50), &Report::default());
     assert_eq!(shares(&mut fleet, ms(300))[0], 0);
-    // One outstanding at each of the others is enough to try it again when that was long ago.
+    // Much later, one outstanding attempt at each of the other replicas is enough to probe it.
     fleet.sent(server(1), 901, ms(9_000));
     fleet.sent(server(2), 902, ms(9_000));
     assert_eq!(shares(&mut fleet, ms(9_000))[0], 300);
 }
 
-// Symptom: a straggler whose attempts always lose against their hedges stays the fastest on paper.
-// Events:  nine in ten attempts there are cancelled after 100 ms, the tenth takes 5 ms.
-// Cause:   only replies are measured.
+// Guards against a slow replica that looks fast because its cancelled attempts are not counted in
+// its latency.
 #[test]
 fn cancelling_counts_as_high_latency() {
     let mut fleet = fleet();
@@ -185,7 +182,7 @@
     assert_eq!(
         fleet.hedge_delay(server(0), 0.95, ms(0)),
         ms(250),
-        "nothing known yet"
+        "no history yet"
     );
     answer(&mut fleet, 0, 100, ms(10), &Report::default());
     let learned = fleet.hedge_delay(server(0), 0.95, ms(0));
@@ -193,13 +190,12 @@
     let fallback = fleet.hedge_delay(server(1), 0.95, ms(0));
     assert_eq!(
         fallback, learned,
-        "the group stands in for a server without history"
+        "a server without history uses the group's delay"
     );
 }
 
-// Symptom: hedging leaves the tail that one slow replica makes.
-// Events:  one replica of three takes 100 ms, the others 5 ms.
-// Cause:   by the slow replica's own quantile 100 ms are nothing unusual.
+// Guards against a slow replica whose attempts are hedged late because the delay follows its own
+// latency.
 #[test]
 fn hedge_delay_of_slow_replica_is_bounded_by_group() {
     let mut fleet = fleet();
@@ -209,11 +205,9 @@
     assert!(delay < ms(15), "{delay:?}");
 }
 
-// Symptom: new work reaches a server seconds after it said that it is leaving.
-// Events:  any one sign of leaving; after it the lagging ones still say that it serves.
-// Cause:   the sign that came last wins.
-#[test_case(|fleet| { fleet.mark_leaving(server(0), Some(5), ms(1)); }; "told with its start number")]
-#[test_case(|fleet| { fleet.mark_leaving(server(0), None, ms(1)); }; "told without")]
+// Guards against new work for a leaving server because a lagging source still says that it serves.
+#[test_case(|fleet| { fleet.mark_leaving(server(0), Some(5), ms(1)); }; "announced with start number")]
+#[test_case(|fleet| { fleet.mark_leaving(server(0), None, ms(1)); }; "announced without start number")]
 #[test_case(|fleet| { fleet.polled(server(0), Some(&Report { draining: true, ..started(5) }), ms(1)); }; "health endpoint")]
 #[test_case(|fleet| {
     fleet.sent(server(0), 1, ms(0));
@@ -228,7 +222,7 @@
     fleet.polled(server(0), Some(&started(5)), ms(2));
     assert!(
         !fleet.mark_leaving(server(0), Some(5), ms(2)),
-        "not new a second time"
+        "reported only once"
     );
     assert!(fleet.is_leaving(server(0)));
     assert_eq!(shares(&mut fleet, ms(3))[0], 0);
@@ -236,14 +230,13 @@
     assert!(!fleet.is_leaving(server(0)));
     assert!(
         !fleet.mark_leaving(server(0), Some(5), ms(5)),
-        "a late sign of the old process"
+        "a late announcement of the old process"
     );
     assert!(!fleet.is_leaving(server(0)));
 }
 
-// Symptom: a latency peak or refusals whenever a backend server has restarted.
-// Events:  a restarted, new or returning server has nothing outstanding and wins every choice.
-// Cause:   it gets its full share before its caches are warm.
+// Guards against a latency peak or refusals when a restarted, new or returning server gets its full
+// share before its caches are warm.
 #[test_case(|fleet| {
     fleet.polled(server(0), Some(&started(1)), ms(0));
     fleet.polled(server(0), Some(&started(2)), ms(1));
@@ -280,9 +273,7 @@
     assert_eq!(fleet().snapshot(ms(0))[0].limit, 31);
 }
 
-// Symptom: a server that sheds load is asked again at once, by all homes at the same moment.
-// Events:  it refuses with a time to come back; that time passes.
-// Cause:   the time is not kept, or kept by everybody to the millisecond.
+// Guards against a server that sheds load and gets retries from all homes at the same moment.
 #[test]
 fn failed_shedding_backs_off_with_jitter() {
     let mut delays = Vec::new();
@@ -294,7 +285,7 @@
             &refused(Refusal::Shedding, Some(ms(200)), Report::default()),
             ms(start),
         );
-        let until = verdict.back_off.expect("it backs off");
+        let until = verdict.back_off.expect("the server backs off");
         assert!(verdict.not_run && (ms(200)..=ms(300)).contains(&(until - ms(start))));
         assert_eq!(shares(&mut fleet, ms(start + 199))[0], 0);
         assert_eq!(fleet.next_wake(), Some(until));
@@ -309,7 +300,7 @@
 #[test_case(&Failure::NotSent, true, true, false; "not sent")]
 #[test_case(&Failure::Lost, true, false, true; "lost")]
 #[test_case(&Failure::Mismatched, true, false, false; "mismatched")]
-#[test_case(&Failure::ServerError { report: Report::default() }, false, false, false; "ran")]
+#[test_case(&Failure::ServerError { report: Report::default() }, false, false, false; "server error")]
 #[test_case(&refused(Refusal::Deadline, None, Report::default()), false, true, false; "deadline")]
 #[test_case(&refused(Refusal::Connections, None, Report::default()), true, true, false; "connections")]
 fn failed_verdict(failure: &Failure, discard: bool, not_run: bool, crash: bool) {
@@ -362,13 +353,12 @@
     }
     let load = fleet.busiest_group(ms(0));
     assert_eq!(load.busy, 18.0);
-    // Ten of eighteen must end before the next starts, on nine slots, 250 ms each by default.
+    // Ten of the 18 attempts must end before the next starts: nine slots, 250 ms each by default.
     assert_eq!(load.wait.as_millis(), 277);
 }
 
-// Symptom: searches are refused although nearly all servers are idle.
-// Events: the servers of one shard are slow; answers can do without it.
-// Cause: the tightest group decides how long a search is expected to wait.
+// Guards against refused searches because one slow group, which an answer can do without,
+// determines the expected wait.
 #[test]
 fn busiest_group_without_skips_the_busiest() {
     let mut fleet = Fleet::new(&route(3, 3), 1, ms(0));
@@ -381,7 +371,7 @@
     assert_eq!(
         fleet.busiest_group_without(9, ms(0)).busy,
         0.0,
-        "some group is left"
+        "a group always remains"
     );
     assert_eq!(
         fleet.busiest_group_without(0, ms(0)),
@@ -389,7 +379,7 @@
     );
 }
 
-/// Returns what must hold of a choice that avoided `tried` and asked for `version`.
+/// Returns whether a choice that excludes `tried` and requires `version` is valid.
 fn is_allowed(
     fleet: &Fleet,
     chosen: BackendServerId,
@@ -402,7 +392,7 @@
 }
 
 proptest! {
-    /// Each step is a kind of event and a number that tells what it is about.
+    /// Each step is a kind of event, and a number that selects its attempt or server.
     #[test]
     fn choose_after_any_events_is_allowed(
         steps in prop::collection::vec((0..16_u8, any::<usize>()), 0..300),
--- a/crates/decision/tests/budget.rs
+++ b/crates/decision/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Tests of the budgets for extra attempts.
+//! Budgets for extra attempts: hedges and retries.
 
 use monsoonring_decision::Time;
 use monsoonring_decision::budget::{Budget, Window};
@@ -25,20 +25,25 @@
     ]
 }
 
-// Symptom: the attempts at a straggler are not hedged, although the budget is there for them.
-// Events:  every twentieth attempt is hedged as it is somewhat slow; then a server becomes slow.
-// Cause:   what is merely somewhat slow uses the whole budget up.
+// Guards against a budget that is spent on slightly slow attempts, so that none is left to hedge
+// those at a server that becomes slow.
 #[test]
 fn take_deferrable_leaves_the_reserve() {
     let mut budget = Budget::new(5.0);
-    assert!(budget.take_deferrable(NOW), "a lone request can be hedged");
+    assert!(
+        budget.take_deferrable(NOW),
+        "a single request can be hedged"
+    );
     for _ in 0..1_000 {
         budget.deposit(NOW);
         budget.take_deferrable(NOW);
     }
     assert!(!budget.take_deferrable(NOW));
     let reserve = (0..).take_while(|_| budget.take(NOW)).count();
-    assert!((9..=11).contains(&reserve), "a fifth of 50: {reserve}");
+    assert!(
+        (9..=11).contains(&reserve),
+        "reserve of a fifth of 50, got {reserve}"
+    );
 }
 
 proptest! {
@@ -62,8 +67,8 @@
     }
 }
 
-/// Runs first attempts of which `failing` in a hundred fail, each failure asking for a retry, and
-/// returns the retries per hundred first attempts.
+/// Returns the retries per hundred first attempts when `failing_percent` of these fail and each
+/// failure requests a retry.
 fn retries_per_hundred(failing_percent: u32) -> u32 {
     let mut budget = Budget::new(10.0);
     let mut retries = 0;
@@ -79,9 +84,8 @@
     retries / 100
 }
 
-// Symptom: servers that are slow from overload get a tenth more load from retries, and stay slow.
-// Events:  half of the attempts, or all of them, fail for long; each asks for a retry.
-// Cause:   a budget in per cent of the load is full when it does the most harm.
+// Guards against retries that keep an overloaded server slow: the budget must shrink when most
+// attempts fail.
 #[test_case(5, 4, 5; "few failures are all retried")]
 #[test_case(50, 0, 2; "half failing leaves a fifth of the budget at most")]
 #[test_case(100, 0, 0; "all failing leaves next to nothing")]
@@ -100,9 +104,7 @@
     assert!(!budget.take(NOW));
 }
 
-// Symptom: one second of trouble after a quiet night is answered with thousands of retries.
-// Events:  a million first attempts succeed; then everything asks for a retry.
-// Cause:   tokens that nobody needed pile up without a bound.
+// Guards against thousands of retries in one second of failures because unused tokens accumulated.
 #[test]
 fn deposit_many_keeps_bounded_tokens() {
     let mut budget = Budget::new(10.0);
@@ -110,7 +112,7 @@
     assert!(budget.available() <= 100.0, "{}", budget.available());
 }
 
-/// Length of the owners' window.
+/// Length of the window in which extra attempts are bounded.
 const WINDOW: Duration = Duration::from_secs(10);
 
 fn in_window(times: &[Duration], now: Duration) -> usize {
@@ -118,9 +120,8 @@
     times.iter().filter(|time| **time >= from).count()
 }
 
-// Symptom: owners of backend servers find more extra attempts in ten seconds than they allow.
-// Events:  any mix of first attempts, hedges and retries, some of which are given back, with pauses.
-// Cause:   what one window left over was spent in the next.
+// Guards against more extra attempts in a window than the owners of the backend servers allow, due
+// to budget carried over from an earlier window.
 proptest! {
     #[test]
     fn window_any_events_bound_extras_in_any_ten_seconds(
@@ -156,10 +157,8 @@
     }
 }
 
-// Symptom: for four seconds servers lose 40 % of their answers, and one shard in three is missing,
-//          though the owners' window would allow a second attempt for each.
-// Events:  six calm seconds, then a storm.
-// Cause:   a bucket that bounds a window's extra attempts can save up next to nothing.
+// Guards against unanswered searches in a burst of failures although the window still allows the
+// retries.
 #[test]
 fn window_unused_budget_is_available_in_a_burst() {
     let mut window = Window::new(18.0, 4.0, WINDOW);
@@ -173,9 +172,7 @@
     assert_eq!(answered, 1_000);
 }
 
-// Symptom: owners that allow fewer extra attempts, or count over a shorter time, find too many.
-// Events:  all first attempts ask for another one, for a minute.
-// Cause:   what one deployment allows was taken for granted.
+// Guards against a hard-coded percentage or window length.
 #[test_case::test_case(18.0, 10; "a_fifth_in_ten_seconds")]
 #[test_case::test_case(9.0, 10; "a_tenth_in_ten_seconds")]
 #[test_case::test_case(18.0, 4; "a_fifth_in_four_seconds")]
--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -1,4 +1,5 @@
-//! Cold backend servers: what all homes together send them in any second, and what callers get meanwhile.
+//! Cold backend servers: the rate at which all homes together send attempts, and the answers that
+//! callers get meanwhile.
 
 mod session;
 
@@ -15,10 +16,10 @@
 
 const SECOND: Time = Time::from_secs(1);
 
-/// Requests in a second that the cold server of these tests bears from all homes together.
+/// Highest rate that a cold server can serve, in requests per second from all homes together.
 const MAX_RATE: f64 = 24.0;
 
-/// Hosts of one data centre, all of which are homes.
+/// Number of hosts in a data centre; all of them are homes.
 const HOSTS: usize = 4;
 
 fn homes(near: usize, strong: usize, rank: usize) -> Homes {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Returns what all homes of one view may send to a server in a second.
+/// Returns the quota per second at a server, summed over all homes that share a view of the members.
 fn total_quota(near: usize, strong: usize, max_rate: f64, to: BackendServerId) -> usize {
     let shares = (0..near).map(|rank| {
         let division = Division::among_all_hosts(homes(near, strong, rank), 58.0);
@@ -72,7 +73,8 @@
     }
 }
 
-// Where there are more homes than requests, each server is some homes' and no home has them all or none.
+// With fewer requests than homes, each server is assigned to other homes, and no home gets all servers
+// or none.
 #[test]
 fn cold_quota_below_one_per_home_is_spread() {
     let shares = |rank: usize| -> Vec<usize> {
@@ -93,13 +95,13 @@
     assert_eq!(division.cold_quota(MAX_RATE, server(0, 0)), 0);
 }
 
-/// One home of several, and when its attempts left for a cold server.
+/// Drives one of several homes and records when it sent which attempt.
 struct Driver {
     session: Session,
-    /// Attempts that were looked at.
+    /// Number of attempts in `sent`.
     sends_seen: usize,
     sent: Vec<(Time, BackendServerId)>,
-    /// Attempts to be answered, and when.
+    /// Attempts in progress: when to answer, and the index of the attempt.
     due: Vec<(Time, usize)>,
     submitted: u128,
 }
@@ -165,7 +167,7 @@
     Event::Cold(servers.iter().map(|server| (*server, limit)).collect())
 }
 
-/// Returns the most attempts that left for a server within a second, over all homes.
+/// Returns the highest number of attempts that all homes sent to a server within a second.
 fn peak_rate(drivers: &[Driver], to: BackendServerId) -> usize {
     let sent = drivers.iter().flat_map(|driver| &driver.sent);
     let mut times: Vec<Time> = sent
@@ -180,7 +182,7 @@
     times.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
-/// Plays seconds of load at all homes.
+/// Simulates `per_second` requests per second at each home.
 fn simulate(drivers: &mut [Driver], seconds: u64, per_second: u64) {
     let pause = ms(1_000 / per_second);
     for _ in 0..seconds * per_second {
@@ -199,9 +201,7 @@
         .collect()
 }
 
-// Symptom: servers of a data centre that was given back go down again one after the other.
-// Events:  a server starts cold beside a warm one, and all homes are asked 50 times a second.
-// Cause:   each home sent it its full share at once: 100 in a second, where it bears 24.
+// Guards against a cold server that gets the full rate of each home, and crashes.
 #[test]
 fn cold_server_beside_a_warm_one_stays_within_max_rate() {
     let mut drivers = drivers(1);
@@ -219,20 +219,18 @@
     assert!(peak_rate as f64 <= MAX_RATE, "{peak_rate} in a second");
     assert!(
         peak_rate as f64 >= MAX_RATE / 4.0,
-        "it is warmed: {peak_rate} in a second"
+        "too few to warm it up: {peak_rate} in a second"
     );
     for driver in &drivers {
         assert_eq!(
             driver.complete() as u128,
             driver.submitted,
-            "each is answered"
+            "each request is answered"
         );
     }
 }
 
-// Symptom: a shard has no answer for as long as its servers are cold.
-// Events:  all servers of a shard are cold at once, as after a power cut; calls press beyond what they bear.
-// Cause:   cold servers were left alone altogether.
+// Guards against a shard without answers for as long as all of its servers are cold.
 #[test]
 fn cold_shard_serves_up_to_max_rate() {
     let mut drivers = drivers(2);
@@ -246,25 +244,25 @@
         let peak_rate = peak_rate(&drivers, server);
         assert!(peak_rate as f64 <= MAX_RATE, "{peak_rate} in a second");
     }
-    // Two servers, half of the bound each, three seconds after the first that is not known.
+    // Two servers at half of the maximum rate each, for three seconds. In the first second the earlier
+    // load is unknown, so nothing is sent.
     assert!(
         complete as f64 >= MAX_RATE * 3.0 * 0.8,
-        "{complete} are answered"
+        "{complete} answered"
     );
     simulate(&mut drivers, 3, 20);
     let after: usize = drivers.iter().map(Driver::complete).sum();
-    // In the last second of the cold, callers beyond what is borne go without; then none does.
+    // In the last cold second requests beyond the maximum rate fail; afterwards all are answered.
     let requests_per_second = 20 * HOSTS;
     let missed = (3 * requests_per_second).saturating_sub(after - complete);
     assert!(
         missed as f64 <= requests_per_second as f64 - MAX_RATE,
-        "{missed} go without"
+        "{missed} not answered"
     );
 }
 
-// Symptom: a server crashes in the moment in which it becomes cold.
-// Events:  it is in use and says that it is cold: it has had its full load in this second already.
-// Cause:   only what was sent from then on was counted.
+// Guards against a server that becomes cold while in use and gets its quota on top of the load that
+// it already has in this second.
 #[test]
 fn cold_server_that_was_in_use_gets_nothing_for_a_second() {
     let mut drivers = drivers(2);
@@ -288,9 +286,8 @@
     );
 }
 
-// Symptom: a cold server crashes although no home chose it too often.
-// Events:  attempts wait for a connection to it, which comes late; with it come those of the next second.
-// Cause:   attempts were counted when the server was chosen, and not when they left.
+// Guards against attempts that wait for a connection and are then sent together with those of the
+// next second: the quota counts attempts when they are sent.
 #[test]
 fn cold_attempt_queued_for_a_connection_counts_when_sent() {
     let mut many_slots = route(1, 1);
@@ -305,11 +302,11 @@
     let opened = driver.session.opens.len();
     for _ in 0..30 {
         driver.submit();
-        // The one connection that is open stays busy.
+        // The only open connection stays busy.
         driver.session.advance(ms(29));
     }
     let delayed_opens: Vec<_> = driver.session.opens[opened..].to_vec();
-    assert!(!delayed_opens.is_empty(), "more connections are wanted");
+    assert!(!delayed_opens.is_empty(), "more connections are requested");
     for (connection, _) in delayed_opens {
         driver.session.handle(Event::Opened(connection));
         driver.record_sends();
@@ -319,15 +316,10 @@
         driver.advance(ms(29));
     }
     let peak_rate = peak_rate(&[driver], to);
-    assert!(
-        peak_rate <= share,
-        "{peak_rate} in a second, {share} are allowed"
-    );
+    assert!(peak_rate <= share, "{peak_rate} in a second, quota {share}");
 }
 
-// Symptom: a cold server gets more than it bears although each data centre keeps to its part.
-// Events:  hosts of three data centres use it.
-// Cause:   each data centre divided the whole among its own hosts.
+// Guards against a cold server that gets its maximum rate from each of several data centres.
 #[test]
 fn cold_remote_server_gets_nothing_until_warm() {
     let mut many_slots = route(1, 2);
@@ -338,7 +330,7 @@
         .session
         .handle(Event::RemoteServers(BTreeSet::from([to])));
     driver.session.handle(cold_event(&[to], ms(2_000)));
-    // Nothing is answered, so that the near one has far more than its share.
+    // Nothing is answered, so the nearby server is loaded far beyond its share.
     for _ in 0..12 {
         driver.submit();
     }
@@ -351,13 +343,11 @@
     driver.advance(ms(2_001));
     driver.submit();
     driver.advance(ms(20));
-    assert_eq!(driver.complete(), 1, "it is warm");
+    assert_eq!(driver.complete(), 1, "the server is warm");
 }
 
-// Symptom: a call that could be served waits for its deadline.
-// Events:  the only server of a shard is cold; a call waits as it has had what it bears from here; nothing else
-//          happens at this home.
-// Cause:   nobody looked again when the second was over.
+// Guards against a request that waits until its deadline because nothing happens at the home when
+// the quota allows another attempt.
 #[test]
 fn cold_server_gets_waiting_request_when_quota_allows() {
     let mut driver = Driver::new(route(1, 1), 0);
@@ -375,9 +365,8 @@
     assert_eq!(driver.complete(), share + 1);
 }
 
-// Symptom: calls wait for their deadline although nobody here may serve them.
-// Events:  the only server of a shard is cold in another data centre for longer than callers wait.
-// Cause:   a server that is cold counted as one that has room soon.
+// Guards against requests that wait until their deadline for a cold server at which this home has
+// no quota.
 #[test]
 fn cold_past_the_deadline_fails_immediately() {
     let mut driver = Driver::new(route(1, 1), 0);
@@ -389,10 +378,7 @@
     driver.submit();
     driver.session.advance(ms(20));
     assert!(driver.session.is_finished(1));
-    assert!(
-        driver.session.has_logged("give_up"),
-        "with what stands in the way"
-    );
+    assert!(driver.session.has_logged("give_up"), "the reason is logged");
 }
 
 #[test]
--- a/crates/decision/tests/coverage.rs
+++ b/crates/decision/tests/coverage.rs
@@ -1,4 +1,4 @@
-//! Coverage in keys, and merging by keys.
+//! Coverage by keys, and merging of replies by keys.
 
 mod session;
 
@@ -25,11 +25,11 @@
         .collect()
 }
 
-#[test_case(&[], 0.0; "nothing")]
-#[test_case(&[(0, 400)], 1.0; "everything")]
+#[test_case(&[], 0.0; "no keys")]
+#[test_case(&[(0, 400)], 1.0; "all keys")]
 #[test_case(&[(0, 100), (100, 150)], 0.375; "one group and a half")]
-#[test_case(&[(0, 100), (0, 100)], 0.25; "the same twice")]
-#[test_case(&[(50, 150)], 0.25; "across a border")]
+#[test_case(&[(0, 100), (0, 100)], 0.25; "duplicate range")]
+#[test_case(&[(50, 150)], 0.25; "across a group boundary")]
 #[test_case(&[(390, 500)], 0.025; "beyond the route")]
 fn share_of_equal_groups_counts_keys(ranges: &[(u64, u64)], expected: f64) {
     assert!((share(&set(ranges), &route(4, 1)) - expected).abs() < 1e-12);
@@ -44,9 +44,8 @@
 
 #[test]
 fn share_without_a_weightless_group_is_not_complete() {
-    // Symptom: "complete" on an answer that misses keys.
-    // Events: all groups but one of weight 0 answer.
-    // Cause: the sum of weights is all there; completeness has to be asked of the keys.
+    // Guards against an answer that is marked complete although it misses the keys of a group with
+    // weight 0.
     let mut route = route(2, 1);
     route.groups[1].weight = 0.0;
     let covered = set(&[(0, 100)]);
@@ -56,10 +55,8 @@
 
 #[test]
 fn accept_overlapping_replies_takes_no_item_twice() {
-    // Symptom: a delivery is credited twice.
-    // Events: a group was split in mid-query; the old and the new server both answer for the keys
-    // between them.
-    // Cause: replies are counted by server; only the keys tell what was merged before.
+    // Guards against duplicate items when the old and the new server of a split group both answer
+    // for the same keys.
     let mut merge = Merge::default();
     let requested = set(&[(0, 100)]);
     let first = merge.accept(&requested, reply(&[Range::new(0, 60)], VERSION));
--- a/crates/decision/tests/many_hosts.rs
+++ b/crates/decision/tests/many_hosts.rs
@@ -1,4 +1,4 @@
-//! What a home knows and holds of servers that it asks rarely, because many hosts ask them.
+//! Statistics and connections for servers that many hosts share, so each host uses them rarely.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const SHORT_WORK: u64 = 9;
 const LONG_WORK: u64 = 28;
 
-/// Time between two searches at one of 89 hosts.
+/// Time between two requests of a host, in milliseconds.
 const REQUEST_INTERVAL: u64 = 500;
 
 fn homes(all: usize) -> Homes {
@@ -25,16 +25,14 @@
     }
 }
 
-/// Lets a server answer an attempt for a kind of work.
+/// Makes a server answer an attempt of a kind of work after a latency in milliseconds.
 fn answer(fleet: &mut Fleet, number: u16, attempt: u64, (work, latency): (u64, u64), now: Time) {
     fleet.sent_for(work, server(number), attempt, now);
     fleet.replied(attempt, &Report::default(), now + ms(latency));
 }
 
-// Symptom: suggestions that have to be there in 80 ms and take 9 wait for a paused server until it is too
-//          late: 0.72 of their worth is earned in place of 0.81.
-// Events:  servers answer short and long requests; a short one meets a pause.
-// Cause:   it was hedged after the time that long ones take.
+// Guards against a hedge that is sent too late for a short request because the delay includes the
+// latencies of long ones.
 #[test]
 fn hedge_delay_is_separate_per_kind_of_work() {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
@@ -57,11 +55,11 @@
     assert!(short <= ms(2 * SHORT_WORK), "{short:?}, before {all:?}");
     assert!(long >= ms(LONG_WORK), "{long:?}");
     let unknown = fleet.hedge_delay_of(77, server(0), 0.92, now);
-    assert_eq!(unknown, all, "nothing is known of that kind");
+    assert_eq!(unknown, all, "an unknown kind uses the overall delay");
 }
 
-/// Plays a server that turns slow by ten among three, asked twice a second, for as many seconds. Returns how
-/// many of the attempts went to it.
+/// Simulates two requests per second to three servers, of which the nearby one becomes ten times
+/// slower for `seconds`. Returns the choices of that server and all choices in this time.
 fn choices_while_slow(seconds: u64) -> (u32, u32) {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
     fleet.set_far(&[server(1), server(2)].into());
@@ -84,9 +82,8 @@
     (slow_choices, choices)
 }
 
-// Symptom: servers are slow for eight seconds, and for as long every other search is late.
-// Events:  a server nearby turns slow; the home asks it twice a second.
-// Cause:   it took four attempts to leave it, and it was tried again every second.
+// Guards against a slow server that a home with few requests takes too long to avoid and probes too
+// often.
 #[test]
 fn choose_slow_server_rarely_used_is_avoided() {
     let (slow_choices, choices) = choices_while_slow(20);
@@ -117,7 +114,7 @@
     assert_eq!(choice.expect("all are open").server, server(0));
 }
 
-/// Carries out what the pool wants. Returns how many connections to each server are open then.
+/// Carries out the pool's commands. Returns the number of connections to each server.
 fn settle(pool: &mut Pool, now: Time) -> [usize; 2] {
     loop {
         let commands = pool.reconcile(now);
@@ -132,19 +129,24 @@
     }
 }
 
-// Symptom: servers end 203,276 connections of a calm minute, as more hosts want one than they take.
-// Events:  89 hosts start; each needs a connection to a server further away now and then.
-// Cause:   each kept one ready at every server, and held what it had needed for five seconds.
+// Guards against servers that reject connections because each of many homes keeps one to every
+// remote server.
 #[test_case(9, 5_000; "few_hosts")]
 #[test_case(89, 2_000; "many_hosts")]
 fn reconcile_remote_connection_is_held_while_connections_last(all: usize, hold_time: u64) {
     let division = Division::among_all_hosts(homes(all), 218.0);
     let mut pool = Pool::new(&route(1, 2), division, 1, ms(0));
     pool.set_far([server(1)].into());
-    assert_eq!(settle(&mut pool, ms(0)), [1, 0], "only nearby");
+    assert_eq!(
+        settle(&mut pool, ms(0)),
+        [1, 0],
+        "only to the nearby server"
+    );
     assert_eq!(pool.acquire(server(1), ms(10)), None);
     assert_eq!(settle(&mut pool, ms(10)), [1, 1], "on demand");
-    let id = pool.acquire(server(1), ms(20)).expect("it is open");
+    let id = pool
+        .acquire(server(1), ms(20))
+        .expect("the connection is open");
     pool.release(id, ms(30));
     settle(&mut pool, ms(30));
     let early = settle(&mut pool, ms(hold_time / 10));
--- a/crates/decision/tests/on_demand.rs
+++ b/crates/decision/tests/on_demand.rs
@@ -1,4 +1,4 @@
-//! Connections that weak hosts open on demand, where many hosts share a server.
+//! Connections that weak hosts open on demand to servers that many hosts share.
 
 mod session;
 
@@ -6,12 +6,9 @@
 use session::{Session, ms, route, server};
 use test_case::test_case;
 
-// Symptom: single requests wait for their deadline and reach no server, at hosts that have none of its connections.
-// Events:  hosts nearby are so many that a server has no connection to spare for those further away; one of these is
-//          asked, and has none ready.
-// Cause:   a connection that is needed was to be closed at once when the need is over, and the need was taken for over
-//          before the connection was asked for.
-#[test_case(75; "more_hosts_nearby_than_a_server_has_connections_to_spare")]
+// Guards against requests that wait until their deadline because the connection opened for them is
+// closed before it is used.
+#[test_case(75; "more_hosts_nearby_than_spare_connections")]
 #[test_case(10; "few_hosts_nearby")]
 fn weak_host_opens_a_connection_on_demand(near: usize) {
     let weak = Homes {
@@ -35,7 +32,7 @@
     }
 }
 
-// What waits for a connection is a need only while it waits: a server that is gone is not connected to for ever.
+// Guards against endless connects to a dead server: a request counts only while it waits.
 #[test]
 fn weak_host_stops_connecting_to_a_refusing_server() {
     let weak = Homes {
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Periods of overload, as the log tells of them.
+//! Start and end of overload periods.
 
 use monsoonring_decision::Time;
 use monsoonring_decision::admission::Overload;
@@ -9,9 +9,7 @@
     Time::from_millis(value)
 }
 
-// Symptom: a surge writes two lines for each request to the log.
-// Events:  requests are refused and let in by turns, hundreds in a second.
-// Cause:   each change between the two counts as one of the state.
+// Guards against two log lines per request in a surge, when refusals and admissions alternate.
 #[test]
 fn overload_surge_is_reported_twice() {
     let mut overload = Overload::default();
@@ -35,7 +33,7 @@
 #[test_case(1_000, true; "after_a_second")]
 fn overload_ends_after_a_quiet_second(after: u64, has_ended: bool) {
     let mut overload = Overload::default();
-    assert_eq!(overload.admitted(ms(0)), None, "none has begun");
+    assert_eq!(overload.admitted(ms(0)), None, "no period has begun");
     assert_eq!(overload.refused(ms(0)), Some(Change::Began));
     assert_eq!(overload.admitted(ms(after)).is_some(), has_ended);
 }
--- a/crates/decision/tests/pin.rs
+++ b/crates/decision/tests/pin.rs
@@ -1,4 +1,4 @@
-//! Which index version new queries pin.
+//! Selection of the index version that new queries pin.
 
 use monsoonring_decision::query::pin::{Group, Pin};
 use test_case::test_case;
@@ -23,16 +23,16 @@
     pin
 }
 
-#[test_case(&[&[BOTH, BOTH, OLD], &[BOTH, BOTH, OLD]], 7; "every group carries the new one")]
-#[test_case(&[&[BOTH, BOTH, BOTH], &[OLD, OLD, OLD]], 6; "a group has it nowhere")]
-#[test_case(&[&[BOTH, BOTH, BOTH], &[BOTH, OLD, OLD]], 6; "a group has it on less than half")]
-#[test_case(&[&[BOTH, BOTH], &[BOTH, UNKNOWN, UNKNOWN]], 6; "a group is not known well enough")]
+#[test_case(&[&[BOTH, BOTH, OLD], &[BOTH, BOTH, OLD]], 7; "every group carries the new version")]
+#[test_case(&[&[BOTH, BOTH, BOTH], &[OLD, OLD, OLD]], 6; "a group does not serve the new version")]
+#[test_case(&[&[BOTH, BOTH, BOTH], &[BOTH, OLD, OLD]], 6; "a group serves the new version on less than half")]
+#[test_case(&[&[BOTH, BOTH], &[BOTH, UNKNOWN, UNKNOWN]], 6; "most versions of a group are unknown")]
 #[test_case(&[&[BOTH, BOTH], &[]], 6; "a group has no usable server")]
-#[test_case(&[&[NEW, NEW], &[OLD, OLD], &[OLD, OLD]], 6; "the old one reaches more")]
-#[test_case(&[&[NEW, NEW], &[NEW, BOTH], &[OLD, OLD]], 6; "both reach as much")]
-#[test_case(&[&[NEW, NEW], &[NEW, NEW], &[OLD, OLD]], 7; "the new one reaches more")]
-#[test_case(&[&[&[5], &[5]], &[&[5], &[5]]], 5; "the pinned one is served nowhere")]
-#[test_case(&[&[&[5], OLD], &[&[5], &[5]]], 6; "an older one reaches more")]
+#[test_case(&[&[NEW, NEW], &[OLD, OLD], &[OLD, OLD]], 6; "the old version reaches more groups")]
+#[test_case(&[&[NEW, NEW], &[NEW, BOTH], &[OLD, OLD]], 6; "both versions reach as many groups")]
+#[test_case(&[&[NEW, NEW], &[NEW, NEW], &[OLD, OLD]], 7; "the new version reaches more groups")]
+#[test_case(&[&[&[5], &[5]], &[&[5], &[5]]], 5; "the pinned version is not served")]
+#[test_case(&[&[&[5], OLD], &[&[5], &[5]]], 6; "an older version reaches more groups")]
 fn update_while_6_is_pinned_selects(replicas: &[&[&[u64]]], expected: u64) {
     let mut pin = pinned_at(6);
     pin.update(&groups(replicas), 0);
--- a/crates/decision/tests/pool.rs
+++ b/crates/decision/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Tests of the connection pool.
+//! The connection pool.
 
 mod support;
 
@@ -10,14 +10,14 @@
 use support::{CONNECTIONS, ms, route, server};
 
 const HOMES: usize = 8;
-/// Half of 64 connections over 8 homes, less one for control.
+/// Connections per home: half of 64 over 8 homes, less one for control.
 const SHARE: usize = 3;
 
 fn pool(servers: u16) -> Pool {
     Pool::new(&route(1, servers), HOMES, 0, ms(0))
 }
 
-/// Carries out what the pool wants until it wants no more. Returns the ids opened.
+/// Carries out the pool's commands until there are none. Returns the ids of the opened connections.
 fn settle(pool: &mut Pool, now: u64) -> Vec<ConnectionId> {
     let mut opened = Vec::new();
     loop {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Takes `count` connections to server 0, opening them as needed.
+/// Acquires `count` connections to server 0 and opens them as needed.
 fn acquire_many(pool: &mut Pool, count: usize, now: u64) -> Vec<ConnectionId> {
     let mut acquired = Vec::new();
     for _ in 0..count * 4 {
@@ -48,15 +48,13 @@
     acquired
 }
 
-/// Returns those of the connections that are silent, with a patience of 50 ms.
+/// Returns the connections that are silent, with a silence timeout of 50 ms.
 fn silent_connections(pool: &Pool, ids: &[ConnectionId], now: u64) -> Vec<ConnectionId> {
     let is_silent = |id: &&ConnectionId| pool.health(**id, ms(50), ms(now)) == Health::Silent;
     ids.iter().filter(is_silent).copied().collect()
 }
 
-// Symptom: the first query after a quiet time waits 6 ms for a connection at each group.
-// Events:  nothing was asked yet, or all connections but the spare have been closed.
-// Cause:   connections are opened only when they are needed.
+// Guards against a connect delay for the first request after an idle period.
 #[test]
 fn reconcile_without_use_opens_spare() {
     let mut pool = pool(3);
@@ -65,9 +63,8 @@
     assert_eq!(settle(&mut pool, 1).len(), 1);
 }
 
-// Symptom: connect times rise to many times the usual just after a backend server has restarted.
-// Events:  a restarted server has lost all connections; ten requests want one at the same time.
-// Cause:   each request that finds no connection opens one.
+// Guards against a connect storm at a restarted server, when each request without a connection
+// opens one.
 #[test]
 fn reconcile_after_many_misses_opens_few() {
     let mut pool = Pool::new(&route(1, 1), 1, 0, ms(0));
@@ -104,9 +101,8 @@
     }
 }
 
-// Symptom: for a moment after a change of members servers refuse connections.
-// Events:  the number of homes doubles while all connections are in use.
-// Cause:   the old share is kept until the connections are closed for another reason.
+// Guards against refused connections after the number of homes has grown, because homes keep their
+// old share.
 #[test]
 fn set_homes_higher_closes_excess() {
     let mut pool = pool(1);
@@ -131,9 +127,7 @@
     assert_eq!(pool.connections(server(0)), 0);
 }
 
-// Symptom: a healthy replica is marked down after a restart of a network element.
-// Events:  one connection goes silent under an attempt; later attempts on another are answered.
-// Cause:   the silence of a connection is taken for the silence of the server.
+// Guards against a healthy server that is marked down because one of its connections is silent.
 #[test]
 fn silent_connection_while_others_answer_is_discarded() {
     let mut pool = pool(1);
@@ -141,9 +135,11 @@
     pool.release(ids[1], ms(30));
     assert!(
         silent_connections(&pool, &ids, 100).is_empty(),
-        "no answer since it was overdue"
+        "no answer on another connection since the attempt is overdue"
     );
-    let second = pool.acquire(server(0), ms(90)).expect("one is idle");
+    let second = pool
+        .acquire(server(0), ms(90))
+        .expect("a connection is idle");
     pool.release(second, ms(100));
     assert!(
         silent_connections(&pool, &ids, 49).is_empty(),
@@ -155,22 +151,22 @@
     assert!(pool.reconcile(ms(100)).contains(&Command::Close(ids[0])));
 }
 
-// Symptom: connections to a server that is only slow are closed, and its work is done twice.
-// Events:  a server pauses; when it goes on, it answers what came first.
-// Cause:   an answer to an earlier attempt is taken for proof that the later one's connection works.
+// Guards against duplicate work for a slow server: a reply to an earlier attempt does not prove
+// that the connection of a later one is silent.
 #[test]
 fn slow_server_connection_is_not_silent() {
     let mut pool = pool(1);
     let ids = acquire_many(&mut pool, 2, 0);
     pool.release(ids[1], ms(5));
-    let later = pool.acquire(server(0), ms(10)).expect("one is idle");
+    let later = pool
+        .acquire(server(0), ms(10))
+        .expect("a connection is idle");
     pool.release(ids[0], ms(150));
     assert_eq!(pool.health(later, ms(50), ms(160)), Health::Overdue);
 }
 
-// Symptom: attempts wait to the deadline although new connections work.
-// Events:  all open connections to a server go silent at once; none can answer.
-// Cause:   the silence is only noticed where an old connection still answers.
+// Guards against attempts that wait until their deadline when all connections to a server go silent
+// together.
 #[test]
 fn silent_all_is_detected_by_new_connection() {
     let mut pool = pool(1);
@@ -180,21 +176,22 @@
     assert_eq!(silent_connections(&pool, &ids, 210), ids);
 }
 
-/// Returns a pool with three connections to a server: two that were idle when one of them was taken
-/// again and fell silent, and one that has been used since. The last one is the silent one.
+/// Returns a pool with three connections to a server, their ids, and the id of a silent one. The
+/// second connection went silent while the first was idle; the third has answered since.
 fn pool_with_silent_connection() -> (Pool, Vec<ConnectionId>, ConnectionId) {
     let mut pool = pool(1);
     let ids = acquire_many(&mut pool, 3, 0);
     pool.release(ids[0], ms(5));
     pool.release(ids[1], ms(10));
-    let silent = pool.acquire(server(0), ms(20)).expect("two are idle");
+    let silent = pool
+        .acquire(server(0), ms(20))
+        .expect("two connections are idle");
     pool.release(ids[2], ms(100));
     (pool, ids, silent)
 }
 
-// Symptom: one request after another loses its patience on the same server.
-// Events:  the connections that were idle when one went silent are used next.
-// Cause:   only the connection that was noticed is replaced.
+// Guards against the use of connections that were idle when another one went silent: they are
+// probably silent as well.
 #[test]
 fn discard_silent_closes_unverified_idle_connections() {
     let (mut pool, ids, silent) = pool_with_silent_connection();
@@ -210,9 +207,8 @@
     assert_eq!(closed, BTreeSet::from([ids[0], ids[1]]));
 }
 
-// Symptom: one repair ticket after another ends as unknown on the same server.
-// Events:  a ticket's connection is silent; those that were idle meanwhile are used next.
-// Cause:   only the connection of a search is given up, and with it the idle ones.
+// Guards against the same for a non-idempotent request, whose own connection has to stay open for
+// its reply.
 #[test]
 fn discard_unverified_closes_only_idle_connections() {
     let (mut pool, ids, silent) = pool_with_silent_connection();
@@ -224,16 +220,14 @@
     assert_eq!(closes.collect::<Vec<_>>(), [&Command::Close(ids[0])]);
 }
 
-// Symptom: repair tickets end as unknown after quiet hours, one per connection.
-// Events:  a connection idle for long has gone silent; a non-idempotent request is put on it.
-// Cause:   an idle connection counts as working because nobody has seen it fail.
+// Guards against a non-idempotent request on a connection that went silent while it was idle.
 #[test]
 fn acquire_fresh_after_long_idle_opens_new_connection() {
     let mut pool = Pool::new(&route(1, 1), 30, 0, ms(0));
     settle(&mut pool, 0);
     assert!(pool.acquire_fresh(server(0), ms(60_000)).is_none());
     let new = settle(&mut pool, 60_000);
-    assert_eq!(new.len(), 1, "the stale one has made place");
+    assert_eq!(new.len(), 1, "the stale connection was replaced");
     assert_eq!(pool.acquire_fresh(server(0), ms(60_001)), Some(new[0]));
 }
 
@@ -245,9 +239,7 @@
     assert!(!disconnect.became_unreachable && pool.is_reachable(server(0)));
 }
 
-// Symptom: a dead server is connected to thousands of times a second, by each home.
-// Events:  the last connection ends under an attempt; each connect is refused.
-// Cause:   a connect that fails is tried again at once.
+// Guards against a reconnect storm at a dead server.
 #[test]
 fn closed_while_opening_probes_with_backoff() {
     let mut pool = pool(1);
@@ -272,7 +264,7 @@
 }
 
 proptest! {
-    /// Each step is a kind of event, the connection that it is about, and a time to wait before it.
+    /// Each step is a kind of event, a number that selects its connection, and the time before it.
     #[test]
     fn reconcile_any_events_stay_within_share(
         homes in 1..40_usize,
@@ -280,7 +272,7 @@
     ) {
         let mut pool = Pool::new(&route(1, 2), homes, 0, ms(0));
         let share = share(CONNECTIONS, homes) as usize;
-        // What a driver that carries out the commands has open, with the number of the server.
+        // Open connections according to the commands, with the number of their server.
         let mut open = BTreeMap::<ConnectionId, u16>::new();
         let mut now = ms(0);
         for (kind, index, wait) in steps {
--- a/crates/decision/tests/suspect.rs
+++ b/crates/decision/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! Tests of the search for requests that crash backend servers.
+//! Detection of requests that crash backend servers.
 
 mod support;
 
@@ -10,8 +10,8 @@
 
 const CULPRIT: u64 = 666;
 
-/// Sends one attempt of each fingerprint to a server, which then dies. Returns the fingerprints
-/// that are refused from then on.
+/// Sends one attempt of each fingerprint to a server, which then crashes. Returns the fingerprints
+/// that are refused as a result.
 fn crash_server(detector: &mut Detector, number: u16, fingerprints: &[u64], now: Time) -> Vec<u64> {
     let attempt = |index: usize| u64::from(number) * 1_000 + index as u64;
     for (index, fingerprint) in fingerprints.iter().enumerate() {
@@ -23,9 +23,7 @@
         .collect()
 }
 
-// Symptom: replica after replica goes down, each a moment after the same request reached it.
-// Events:  a request crashes a server; its retry crashes the next; its caller sends it again.
-// Cause:   each loss by itself looks like a server failure, to be answered with a retry elsewhere.
+// Guards against a request that crashes one replica after the other through retries.
 #[test]
 fn lost_alone_on_two_servers_is_refused() {
     let mut detector = Detector::new();
@@ -42,9 +40,7 @@
     assert!(!detector.may_send(CULPRIT, ms(1_010)));
 }
 
-// Symptom: the only server of a group goes down again and again, each time that it is back.
-// Events:  a request crashes the server; it is started again; the request is sent again.
-// Cause:   evidence is counted by server, and there is only one.
+// Guards against a request that crashes the only server of a group each time that it restarts.
 #[test_case(2_000; "long after")]
 #[test_case(300; "as soon as it is back")]
 fn lost_twice_on_one_server_is_refused(after: u64) {
@@ -56,9 +52,8 @@
     );
 }
 
-// Symptom: a harmless request is refused after a single death.
-// Events:  a server dies; the connections to it end one by one, and the request was on two of them.
-// Cause:   each connection is counted as a death.
+// Guards against a harmless request that is refused after a single crash because it was on several
+// connections to that server.
 #[test]
 fn lost_twice_in_one_crash_is_not_refused() {
     let mut detector = Detector::new();
@@ -68,9 +63,8 @@
     assert!(detector.lost(2, ms(2_000)).is_none());
 }
 
-// Symptom: as above on a busy fleet, where the culprit never runs alone.
-// Events:  the culprit and other requests, new ones each time, are running on a server that dies.
-// Cause:   only what the deaths have in common tells the culprit from the bystanders.
+// Guards against a request that crashes servers while other requests are in progress there, and so
+// never runs alone.
 #[test]
 fn lost_among_others_is_refused_within_four_crashes() {
     let mut detector = Detector::new();
@@ -83,12 +77,11 @@
             return;
         }
     }
-    unreachable!("four servers died of it and it is not refused");
+    unreachable!("the request crashed four servers and is not refused");
 }
 
-// Symptom: after the loss of a rack the dispatchers' requests are refused as crashing servers.
-// Events:  eight servers vanish at once, under the same three searches, which ask every group.
-// Cause:   counted by server, each of the searches was there at eight deaths.
+// Guards against the refusal of searches that were in progress on several servers when a rack was
+// lost.
 #[test]
 fn lost_together_by_many_is_not_refused() {
     let mut detector = Detector::new();
@@ -98,9 +91,8 @@
     assert_eq!(detector.status(1, ms(10)), Status::Quarantined);
 }
 
-// Symptom: a harmless request stays in quarantine, without hedges, for ten minutes.
-// Events:  a server dies of a power cut under it; the request is answered by another replica.
-// Cause:   evidence that is not withdrawn when the request proves harmless.
+// Guards against a harmless request that stays in quarantine, without hedges, after it has
+// succeeded on another replica.
 #[test]
 fn succeeded_on_replica_clears() {
     let mut detector = Detector::new();
@@ -119,9 +111,8 @@
     assert_eq!(detector.status(7, ms(20)), Status::Quarantined);
 }
 
-// Symptom: requests are refused as crashing servers although no server ever stopped.
-// Events:  something between the ends resets connections; the servers answer on others.
-// Cause:   a lost connection is taken for a dead process.
+// Guards against the refusal of requests on a network that resets connections although the servers
+// keep running.
 #[test]
 fn survived_withdraws_evidence() {
     let mut detector = Detector::new();
@@ -152,7 +143,7 @@
 }
 
 proptest! {
-    /// Servers that die one by one under different requests, as ordinary hardware does.
+    /// Servers that crash one after the other under different requests, as with hardware failures.
     #[test]
     fn lost_under_different_requests_refuses_none(
         crashes in prop::collection::vec(1..6_u64, 1..20),
