--- a/crates/decision/tests/budget.rs
+++ b/crates/decision/tests/budget.rs
@@ -88,7 +88,7 @@
 // attempts fail.
 #[test_case(5, 4, 5; "few failures are all retried")]
 #[test_case(50, 0, 2; "half failing leaves a fifth of the budget at most")]
-#[test_case(100, 0, 0; "all failing leaves next to nothing")]
+#[test_case(100, 0, 0; "all failing leaves almost none")]
 fn failed_often_shrinks_budget(failing_percent: u32, at_least: u32, at_most: u32) {
     let retries = retries_per_hundred(failing_percent);
     assert!(
--- a/crates/decision/tests/home_failures.rs
+++ b/crates/decision/tests/home_failures.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn reply_mismatched_long_after_the_cancellation_ends_its_connection() {
-    // Guards against the reuse of such a connection when the fleet has already forgotten the
-    // cancelled attempt.
+    // Guards against the reuse of a connection on which a mismatched reply arrives after the fleet
+    // has forgotten its cancelled attempt.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     let mut long_request = session::request(1, ms(0));
     long_request.deadline = ms(60_000);
--- a/crates/decision/tests/home_leave_out.rs
+++ b/crates/decision/tests/home_leave_out.rs
@@ -84,12 +84,12 @@
         session.advance(ms(1));
         for attempt in session.cancels.split_off(self.cancels_seen) {
             for queue in self.servers.values_mut() {
-                if let Some(at) = queue
+                if let Some(index) = queue
                     .waiting
                     .iter()
                     .position(|send| send.attempt == attempt)
                 {
-                    queue.waiting.remove(at);
+                    queue.waiting.remove(index);
                     let report = queue.report();
                     session.fail(attempt, Failure::Cancelled { report });
                 }
@@ -108,9 +108,9 @@
                 session.handle(Event::Reply(send.attempt, reply));
             }
         }
-        for (id, starts) in &self.starts {
+        for (id, start) in &self.starts {
             if session.is_finished(*id) {
-                self.durations.entry(*id).or_insert(now - starts);
+                self.durations.entry(*id).or_insert(now - start);
             }
         }
     }
@@ -120,7 +120,7 @@
         let in_time = self
             .durations
             .iter()
-            .filter(|(_, durations)| **durations <= OBJECTIVE_MS);
+            .filter(|(_, duration)| **duration <= OBJECTIVE_MS);
         in_time.filter(|(id, _)| answered(id)).count()
     }
 }
--- a/crates/decision/tests/home_properties.rs
+++ b/crates/decision/tests/home_properties.rs
@@ -285,9 +285,9 @@
 
     #[test]
     fn search_fixed_placement_coverage_is_the_merged_weight(steps in prop::collection::vec(step(), 0..60)) {
-        let mut weighed = constrained(route(GROUPS, REPLICAS));
-        weighed.groups[0].weight = 5.0;
-        let mut trial = Trial::new(weighed);
+        let mut weighted = constrained(route(GROUPS, REPLICAS));
+        weighted.groups[0].weight = 5.0;
+        let mut trial = Trial::new(weighted);
         let steps = steps.into_iter().filter(|step| !matches!(step, Step::MoveBorder(_)));
         trial.run(steps.collect());
         for (_, outcome) in &trial.session.finishes {
--- a/crates/decision/tests/home_shared_servers.rs
+++ b/crates/decision/tests/home_shared_servers.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Submits a request with these parameters.
-fn start_search(session: &mut Session, id: u128, params: Params) {
+/// Submits a request with these parameters to the home.
+fn submit(session: &mut Session, id: u128, params: Params) {
     let request = new_request(session, id, params);
     session.handle(Event::Request(request));
 }
@@ -71,19 +71,19 @@
 #[test]
 fn connection_lost_server_reachable_is_no_crash() {
     let mut session = Session::with_hosts(without_hedges(2, 2), HOSTS);
-    start_search(&mut session, 1, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
     for attempt in [session.sends[0].attempt, session.sends[1].attempt] {
         session.fail(attempt, Failure::Lost);
     }
     assert!(!session.has_logged("suspect"));
     session.answer_from(2);
     assert_eq!(session.answer_to(1).coverage, 1.0);
-    let again = Request {
+    let repeated = Request {
         fingerprint: 1,
         ..new_request(&session, 2, search_params(1.0))
     };
     let sent = session.sends.len();
-    session.handle(Event::Request(again));
+    session.handle(Event::Request(repeated));
     assert_eq!(session.sends.len(), sent + 2, "the same request runs again");
 }
 
@@ -124,8 +124,8 @@
 fn connection_rejected_is_not_reopened_immediately() {
     let mut session = Session::with_hosts(without_hedges(1, 1), HOSTS);
     session.pending.insert(server(0, 0));
-    start_search(&mut session, 1, search_params(1.0));
-    start_search(&mut session, 2, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
+    submit(&mut session, 2, search_params(1.0));
     let opened = session.opens.len();
     let (connection, _) = *session
         .opens
@@ -147,7 +147,7 @@
 #[test]
 fn max_runs_counts_hedges() {
     let mut session = Session::with_hosts(route(1, 3), HOSTS);
-    start_search(&mut session, 1, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
     session.advance(ms(400));
     assert_eq!(session.sends.len(), 2, "the slow attempt was hedged");
     for attempt in [session.sends[0].attempt, session.sends[1].attempt] {
@@ -163,7 +163,7 @@
 #[test]
 fn max_runs_does_not_count_refusals() {
     let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
-    start_search(&mut session, 1, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
     for sent in 0..2 {
         let attempt = session.sends[sent].attempt;
         session.fail(attempt, refused(Refusal::Shedding));
@@ -176,7 +176,7 @@
 #[test]
 fn answer_below_min_coverage_is_a_failure() {
     let mut session = Session::with_hosts(without_hedges(2, 1), HOSTS);
-    start_search(&mut session, 1, search_params(0.75));
+    submit(&mut session, 1, search_params(0.75));
     let (first, second) = (session.sends[0].clone(), session.sends[1].clone());
     session.answer(&first);
     session.fail(
@@ -192,7 +192,7 @@
 #[test]
 fn answer_at_min_coverage_is_sent_at_the_soft_deadline() {
     let mut session = Session::with_hosts(without_hedges(4, 1), HOSTS);
-    start_search(&mut session, 1, search_params(0.75));
+    submit(&mut session, 1, search_params(0.75));
     for send in session.sends.clone().iter().take(3) {
         session.answer(send);
     }
@@ -208,7 +208,7 @@
 fn part_at_a_leaving_server_is_not_resent() {
     let full = without_hedges(2, 2);
     let mut session = Session::with_hosts(full.clone(), HOSTS);
-    start_search(&mut session, 1, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
     let leaving = session.sends[0].clone();
     let mut remaining = full;
     remaining.groups[0]
@@ -218,7 +218,7 @@
     assert_eq!(session.sends.len(), 2, "nothing is resent");
     session.answer_from(0);
     assert_eq!(session.answer_to(1).coverage, 1.0);
-    start_search(&mut session, 2, search_params(1.0));
+    submit(&mut session, 2, search_params(1.0));
     let next = &session.sends[2..];
     assert!(
         next.iter()
@@ -236,7 +236,7 @@
     session.handle(Event::Route(Arc::new(bounded)));
     for id in 1..=200 {
         let sent = session.sends.len();
-        start_search(&mut session, id, search_params(0.5));
+        submit(&mut session, id, search_params(0.5));
         let mut at = sent;
         while let Some(send) = session.sends.get(at).cloned() {
             match send.ranges[0].start {
@@ -265,7 +265,7 @@
         ..new_request(&session, 1, execute_params())
     };
     session.handle(Event::Request(execute_params));
-    start_search(&mut session, 2, search_params(1.0));
+    submit(&mut session, 2, search_params(1.0));
     session.advance(ms(500));
     let of_first = session.sends.iter().filter(|send| send.request == 1);
     assert_eq!(of_first.count(), 1, "never hedged");
@@ -283,7 +283,7 @@
     let mut session = Session::with_hosts(bounded, HOSTS);
     for id in 1..=400 {
         let sent = session.sends.len();
-        start_search(&mut session, id, search_params(1.0));
+        submit(&mut session, id, search_params(1.0));
         let mut at = sent;
         while let Some(send) = session.sends.get(at).cloned() {
             let is_refused = at == sent && id % 2 == 0;
@@ -308,7 +308,7 @@
     let full = route(2, 2);
     let mut session = Session::with_hosts(full.clone(), HOSTS);
     let (original, moved) = (server(0, 0), server(0, 1));
-    start_search(&mut session, 1, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
     let of_part = session.sends.iter().find(|send| send.ranges[0].start == 0);
     let primary = of_part
         .map(|send| send.backend_server)
@@ -334,9 +334,9 @@
             session.handle(Event::Opened(connection));
         }
     }
-    let wrong = |send: &&Send| send.backend_server == moved && send.ranges[0].start == 0;
+    let misrouted = |send: &&Send| send.backend_server == moved && send.ranges[0].start == 0;
     assert_eq!(
-        session.sends.iter().filter(wrong).count(),
+        session.sends.iter().filter(misrouted).count(),
         0,
         "{}",
         session.transcript
@@ -352,7 +352,7 @@
     let mut first_choices = Vec::new();
     for id in 1..=300 {
         let sent = session.sends.len();
-        start_search(&mut session, id, search_params(1.0));
+        submit(&mut session, id, search_params(1.0));
         let mut at = sent;
         while let Some(send) = session.sends.get(at).cloned() {
             let fails = send.backend_server != good && send.attempt % 5 < 3;
@@ -381,17 +381,17 @@
 fn execute_avoids_servers_with_overdue_attempts() {
     let mut session = Session::with_hosts(route(1, 3), HOSTS);
     for id in 1..=60 {
-        start_search(&mut session, id, execute_params());
+        submit(&mut session, id, execute_params());
         let send = session.sends.last().cloned().expect("it was sent");
         session.advance(ms(5));
         session.handle(Event::Executed(send.attempt, "{}".into(), report(&[])));
     }
-    start_search(&mut session, 100, execute_params());
+    submit(&mut session, 100, execute_params());
     let silent = session.sends.last().expect("it was sent").backend_server;
     session.advance(ms(300));
     let sent = session.sends.len();
     for id in 101..=120 {
-        start_search(&mut session, id, execute_params());
+        submit(&mut session, id, execute_params());
         let send = session.sends.last().cloned().expect("it was sent");
         session.advance(ms(5));
         if send.backend_server != silent {
@@ -411,7 +411,7 @@
     let division = Division::among_all_hosts(HOSTS, 58.0).on_demand();
     let mut session = Session::with_division(without_hedges(1, 2), division);
     assert_eq!(session.opens.len(), 0);
-    start_search(&mut session, 1, search_params(1.0));
+    submit(&mut session, 1, search_params(1.0));
     session.answer_from(0);
     assert_eq!(session.answer_to(1).coverage, 1.0);
     assert_eq!(session.opens.len(), 1);
@@ -431,8 +431,7 @@
     }
 }
 
-// Guards against requests that cross to another data centre although a nearby server has a free
-// slot.
+// Guards against requests that cross to another data centre although a nearby server has free slots.
 #[test]
 fn nearby_servers_are_preferred_up_to_two_attempts() {
     let mut session = Session::with_hosts(without_hedges(1, 3), HOSTS);
@@ -440,7 +439,7 @@
     let remote = [server(0, 0), server(0, 2)].into_iter().collect();
     session.handle(Event::RemoteServers(remote));
     for id in 1..=3 {
-        start_search(&mut session, id, search_params(1.0));
+        submit(&mut session, id, search_params(1.0));
     }
     let went_nearby: Vec<bool> = session
         .sends
--- a/crates/decision/tests/pool.rs
+++ b/crates/decision/tests/pool.rs
@@ -207,8 +207,8 @@
     assert_eq!(closed, BTreeSet::from([ids[0], ids[1]]));
 }
 
-// Guards against the same for a non-idempotent request, whose own connection has to stay open for
-// its reply.
+// Guards against the use of connections that were idle when that of a non-idempotent request went
+// silent; its own connection stays open for a late reply.
 #[test]
 fn discard_unverified_closes_only_idle_connections() {
     let (mut pool, ids, silent) = pool_with_silent_connection();
