--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -27,7 +27,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// Interval between ticks: a fraction of the shortest membership timer.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Maximum size of the facts in one message, in bytes.
 const MAX_FACT_BYTES: usize = 400;
@@ -40,10 +40,10 @@
 
 /// Interval at which other daemons read the host list. They learn of leaving backend servers
 /// through facts and need the list only to find members after a long partition.
-const LIST_PERIOD_OTHERS: Duration = Duration::from_secs(300);
+const NON_READER_LIST_PERIOD: Duration = Duration::from_secs(300);
 
 /// Lifetime of the fact that a backend server is leaving.
-pub(crate) const LEAVING_LIFE: Duration = Duration::from_secs(30 * 60);
+pub(crate) const LEAVING_LIFETIME: Duration = Duration::from_secs(30 * 60);
 
 /// Configuration and dependencies of the control task.
 pub(crate) struct Settings {
@@ -66,7 +66,7 @@
 pub(crate) struct NewFact {
     pub(crate) entry: fact::Entry,
     /// Whether this daemon found the fact.
-    pub(crate) own: bool,
+    pub(crate) found_here: bool,
 }
 
 /// Starts the control task.
@@ -161,7 +161,7 @@
             .map(|&id| member::Seed { id, leaving: false })
             .collect();
         self.handle_member(member::Event::Listed(seeds), None);
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -193,7 +193,7 @@
             let period = if self.reader {
                 LIST_PERIOD
             } else {
-                LIST_PERIOD_OTHERS
+                NON_READER_LIST_PERIOD
             };
             self.next_list = now + period;
             self.driver
@@ -229,7 +229,7 @@
             Input::Document(peer, document) => self.handle_document(peer, *document),
             Input::LeavingServers(leaving) => {
                 for server in leaving {
-                    self.learn(fact::Key::Leaving(server), 0, LEAVING_LIFE);
+                    self.learn(fact::Key::Leaving(server), 0, LEAVING_LIFETIME);
                 }
             }
             Input::RemoteFact(entry, from) => self.receive_facts(vec![entry], from),
@@ -274,7 +274,10 @@
             self.metrics.control.fact(&entry.key, "heard");
             info!(self.log, "fact"; "what" => "heard", "fact" => format!("{:?}", entry.key),
                 "from" => %from, "life_ms" => entry.life.as_millis());
-            let _ = self.new_facts.send(NewFact { entry, own: false });
+            let _ = self.new_facts.send(NewFact {
+                entry,
+                found_here: false,
+            });
         }
     }
 
@@ -300,7 +303,10 @@
         self.metrics.control.fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
-        let _ = self.new_facts.send(NewFact { entry, own: true });
+        let _ = self.new_facts.send(NewFact {
+            entry,
+            found_here: true,
+        });
         self.handle_member(member::Event::Burst, None);
     }
 
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -12,6 +12,6 @@
 mod probe;
 mod view;
 
-pub(crate) use controller::{LEAVING_LIFE, NewFact, Settings, spawn};
+pub(crate) use controller::{LEAVING_LIFETIME, NewFact, Settings, spawn};
 pub(crate) use handle::{Handle, Input};
 pub(crate) use view::View;
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -173,7 +173,7 @@
         if let Some(event) = node.home_event(&new.entry) {
             node.routes.broadcast(&event);
         }
-        if new.own {
+        if new.found_here {
             node.push_fact(&new.entry);
         }
     }
@@ -185,7 +185,7 @@
         match fact {
             Fact::Leaving(server, start) => {
                 node.control
-                    .announce_leaving(server, start, control::LEAVING_LIFE);
+                    .announce_leaving(server, start, control::LEAVING_LIFETIME);
             }
             Fact::Suspect(fingerprint, life) => {
                 node.control.send(control::Input::LocalFact(
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -69,7 +69,7 @@
     settings: Settings<K>,
     mut queue: mpsc::UnboundedReceiver<Input<K::Content>>,
 ) {
-    let (report, mut reports) = mpsc::unbounded_channel();
+    let (events, mut event_queue) = mpsc::unbounded_channel();
     let now = settings.clock.now();
     let (home, actions) = Home::with_policy(
         settings.route.clone(),
@@ -78,8 +78,8 @@
         settings.policy,
         now,
     );
-    let management = settings.management.start(&settings, &report);
-    let mut controller = Controller::new(settings, home, report, management);
+    let management = settings.management.start(&settings, &events);
+    let mut controller = Controller::new(settings, home, events, management);
     controller.perform(actions);
     let mut open = true;
     while open || controller.home.in_progress() > 0 {
@@ -94,7 +94,7 @@
                 Some(input) => controller.handle_input(input),
                 None => open = false,
             },
-            Some(event) = reports.recv() => controller.handle_event(event),
+            Some(event) = event_queue.recv() => controller.handle_event(event),
             () = sleep_until(wake.into()) => controller.handle_event(Event::Tick),
         }
     }
@@ -130,7 +130,7 @@
     facts: Facts,
     history: Option<History>,
     route: RouteId,
-    report: backend::EventSender<K::Content>,
+    events: backend::EventSender<K::Content>,
     management: management::Channel,
     connections: HashMap<ConnectionId, Connection<K>>,
     waiting: HashMap<RequestId, oneshot::Sender<RequestOutcome<K::Content>>>,
@@ -142,7 +142,7 @@
     fn new(
         settings: Settings<K>,
         home: Home<K::Content>,
-        report: backend::EventSender<K::Content>,
+        events: backend::EventSender<K::Content>,
         management: management::Channel,
     ) -> Self {
         let gauges = Gauges::new(settings.metrics.clone(), settings.route.name.clone());
@@ -154,7 +154,7 @@
             facts: settings.facts,
             history: settings.history,
             route: settings.route.name.clone(),
-            report,
+            events,
             codec: settings.codec,
             management,
             connections: HashMap::new(),
@@ -212,9 +212,9 @@
     fn perform_one(&mut self, action: Action<K::Content>) {
         match action {
             Action::Open(id, backend_server) => {
-                let report = self.report.clone();
+                let events = self.events.clone();
                 let connection =
-                    backend::spawn(id, backend_server, self.clock, self.codec.clone(), report);
+                    backend::spawn(id, backend_server, self.clock, self.codec.clone(), events);
                 self.connections.insert(id, connection);
             }
             Action::Close(id) => drop(self.connections.remove(&id)),
@@ -222,7 +222,7 @@
             Action::Cancel(attempt, backend_server) => {
                 self.metrics.home.cancelled(&self.route);
                 self.management
-                    .cancel(attempt, backend_server, &self.report);
+                    .cancel(attempt, backend_server, &self.events);
             }
             Action::Finish(request, outcome) => self.finish(request, outcome),
             Action::AnnounceLeaving(backend_server, start) => {
@@ -304,7 +304,7 @@
         };
         // Queued, because the home must handle it after the remaining actions of this event.
         if let Some(attempt) = failed {
-            let _ = self.report.send(Event::Failed(attempt, Failure::NotSent));
+            let _ = self.events.send(Event::Failed(attempt, Failure::NotSent));
         }
     }
 
--- a/crates/daemon/src/route/management.rs
+++ b/crates/daemon/src/route/management.rs
@@ -45,7 +45,7 @@
     pub(crate) fn start<K, C: Content>(
         self,
         settings: &Settings<K>,
-        report: &EventSender<C>,
+        events: &EventSender<C>,
     ) -> Channel {
         match self {
             Self::None => Channel::None,
@@ -53,7 +53,7 @@
                 let servers = poll::Servers::for_route(&settings.route);
                 let endpoint = Endpoint::default();
                 let first = usize::try_from(settings.seed).unwrap_or_default();
-                let poller = poll::spawn(servers.clone(), endpoint.clone(), report.clone(), first);
+                let poller = poll::spawn(servers.clone(), endpoint.clone(), events.clone(), first);
                 Channel::Endpoints {
                     endpoint,
                     servers,
@@ -78,7 +78,7 @@
         &self,
         attempt: AttemptId,
         server: BackendServerId,
-        report: &EventSender<C>,
+        events: &EventSender<C>,
     ) {
         match self {
             Self::Endpoints { endpoint, .. } => {
@@ -86,11 +86,11 @@
                 tokio::spawn(async move { endpoint.cancel(server, attempt).await });
             }
             Self::None => {
-                let report = report.clone();
+                let events = events.clone();
                 tokio::spawn(async move {
                     sleep(CANCEL_GRACE).await;
                     // The home ignores this event if the attempt has ended in the meantime.
-                    let _ = report.send(Event::Failed(attempt, Failure::Dropped));
+                    let _ = events.send(Event::Failed(attempt, Failure::Dropped));
                 });
             }
         }
--- a/crates/daemon/src/route/poll.rs
+++ b/crates/daemon/src/route/poll.rs
@@ -77,7 +77,7 @@
 pub(crate) fn spawn<C: Content>(
     servers: Servers,
     endpoint: Endpoint,
-    report: EventSender<C>,
+    events: EventSender<C>,
     first: usize,
 ) -> AbortOnDropHandle<()> {
     let task = tokio::spawn(async move {
@@ -92,10 +92,10 @@
             let servers = servers.list();
             endpoint.retain(&servers);
             for server in rotation.next_batch(&servers) {
-                let (endpoint, report) = (endpoint.clone(), report.clone());
+                let (endpoint, events) = (endpoint.clone(), events.clone());
                 tokio::spawn(async move {
                     let answer = endpoint.poll(server).await;
-                    let _ = report.send(Event::Polled(server, answer));
+                    let _ = events.send(Event::Polled(server, answer));
                 });
             }
         }
