--- a/crates/daemon/src/gateway/content.rs
+++ b/crates/daemon/src/gateway/content.rs
@@ -1,4 +1,4 @@
-//! What goes through the homes unread.
+//! Requests and responses that the gateway forwards without reading them.
 
 use bytes::Bytes;
 use hyper::http::uri::PathAndQuery;
@@ -6,7 +6,7 @@
 use monsoonring_decision::content::Content;
 use std::sync::Arc;
 
-/// Requests and answers as they came.
+/// Content type of homes that forward requests and responses unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opaque;
 
@@ -15,28 +15,28 @@
     type Value = ServerResponse;
 }
 
-/// A request to be forwarded.
+/// A request to be forwarded to backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, to the byte.
+    /// Path and query, byte for byte as received.
     pub target: PathAndQuery,
-    /// Its headers, without those that concern one connection.
+    /// Headers without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Whether what one backend server answers is but a part of the answer.
+    /// Whether the responses of several backend servers are merged.
     pub is_merged: bool,
 }
 
-/// The whole answer of a backend server.
+/// The complete response of a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers, without those that concern one connection.
+    /// Headers without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -1,8 +1,8 @@
-//! Keeps the homes in step with the configuration and the registered backend servers.
+//! Updates the homes when the configuration or the registered backend servers change.
 //!
-//! One task takes all news in order, so that no version of either can overtake a newer one. A set
-//! of shards that the configuration names gets a home, and the home of one that it does not name
-//! any more ends when its last request has: until then those requests keep their snapshot.
+//! A single task handles all updates in order, so that an old version never replaces a newer one. Each set of shards
+//! that the configuration names has a home. The home of a set that is no longer named ends with its last request,
+//! which keeps the snapshot that it started with.
 
 use super::Update;
 use super::content::Opaque;
@@ -33,62 +33,62 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep_until;
 
-/// Longest time between two looks at what time alone may have changed.
+/// Longest time between two checks for changes that depend only on time.
 const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Time after the start from which on a host knows those that started with it: they find each other within a second.
+/// Time after the start until hosts that started at the same moment have discovered each other.
 const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// What the control task is started with.
+/// Settings of the control task.
 pub(super) struct Settings<K> {
     pub(super) codec: Box<dyn Fn(Instances) -> K + Send>,
     pub(super) division: Division,
-    /// Extra attempts that owners allow for each first one.
+    /// Extra attempts allowed per first attempt.
     pub(super) extra_attempts: f64,
     pub(super) data_centre: DataCentreId,
     pub(super) seed: u64,
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// Told who reads the store.
+    /// Publishes which hosts read the store.
     pub(super) readers: watch::Sender<Readers>,
-    /// Who hands searches to other hosts.
+    /// Sends searches to other hosts.
     pub(super) relay: Arc<Relay>,
-    /// Told which other data centres parts of searches may go to.
+    /// Publishes the remote data centres that searches can be delegated to.
     pub(super) remote_tx: watch::Sender<BTreeSet<DataCentreId>>,
-    /// Where homes tell what the other hosts have to know.
+    /// Facts that homes share with other hosts.
     pub(super) facts: Facts,
 }
 
-/// Where news come from.
+/// Channels that the control task receives from.
 pub(super) struct Sources {
-    /// Of the adapter.
-    pub(super) adapter: mpsc::UnboundedReceiver<Update>,
-    /// Of the other hosts.
-    pub(super) hosts: mpsc::UnboundedReceiver<members::Update>,
-    /// Operators who ask.
+    /// Updates of configuration and registry.
+    pub(super) updates: mpsc::UnboundedReceiver<Update>,
+    /// Updates about the other hosts.
+    pub(super) host_updates: mpsc::UnboundedReceiver<members::Update>,
+    /// Requests for the status.
     pub(super) status_requests: mpsc::UnboundedReceiver<oneshot::Sender<Status>>,
 }
 
-/// What operators see of configuration and registry.
+/// Status of configuration and registry, for operators.
 pub(super) struct Status {
-    /// Version of the configuration in force, and how long it has been.
+    /// Version of the configuration in force.
     pub(super) version: Option<u64>,
-    /// See `version`.
+    /// Time since it came into force.
     pub(super) age: Option<Duration>,
-    /// Whether their source can't be reached.
+    /// Whether the store can't be reached.
     pub(super) is_store_lost: bool,
-    /// Entries of backend servers.
+    /// Number of registered backend servers.
     pub(super) registered: usize,
-    /// Those of them that are missing and not yet taken as gone.
+    /// Registered backend servers that are missing and not yet considered gone.
     pub(super) missing: usize,
-    /// Servers that get new work.
+    /// Number of servers that receive new work.
     pub(super) usable: usize,
     /// Data centres that operators have evacuated.
     pub(super) evacuated: BTreeSet<DataCentreId>,
 }
 
-/// One home, and what it was told last.
+/// A home, and the last state that was sent to it.
 struct Home {
     handle: route::Handle<Opaque>,
     route: Arc<document::Route>,
@@ -101,16 +101,16 @@
     state: Arc<State>,
     registry: Registry,
     table: Option<Arc<Table>>,
-    /// When it came into force.
+    /// When the configuration came into force.
     adopted: Time,
     homes: HashMap<Shards, Home>,
-    /// Requests that crash servers, and until when they are refused; for homes that begin.
+    /// Fingerprints of requests that crash servers, with the end of their refusal; sent to new homes.
     crashing: BTreeMap<Fingerprint, Time>,
-    /// The data centres that were evacuated when that was last written to the log.
+    /// Evacuated data centres, as last written to the log.
     evacuated: BTreeSet<DataCentreId>,
 }
 
-/// Takes news until nobody tells of the adapter any more.
+/// Handles updates until the adapter closes its channel.
 pub(super) async fn run<K: Codec<Content = Opaque>>(
     settings: Settings<K>,
     state: Arc<State>,
@@ -134,24 +134,24 @@
             |at| clock.instant(at),
         );
         let first = tokio::select! {
-            first = sources.adapter.recv() => match first {
+            first = sources.updates.recv() => match first {
                 Some(first) => first,
                 None => return,
             },
-            Some(sender) = sources.status_requests.recv() => {
-                // Who status_requests may have gone.
-                let _ = sender.send(controller.status());
+            Some(reply) = sources.status_requests.recv() => {
+                // The requester may be gone.
+                let _ = reply.send(controller.status());
                 continue;
             }
-            Some(update) = sources.hosts.recv() => {
-                controller.handle_member_update(&update);
+            Some(update) = sources.host_updates.recv() => {
+                controller.handle_host_update(&update);
                 continue;
             }
             () = sleep_until(wake.into()) => Update::Registry(registry::Event::Tick),
         };
         let mut changed = controller.apply_update(first);
-        // What came meanwhile is taken in before the homes are told: servers come in batches.
-        while let Ok(next) = sources.adapter.try_recv() {
+        // Servers register in batches: applies all pending updates before the homes are updated.
+        while let Ok(next) = sources.updates.try_recv() {
             changed |= controller.apply_update(next);
         }
         if changed {
@@ -161,7 +161,7 @@
 }
 
 impl<K: Codec<Content = Opaque>> Controller<K> {
-    /// Takes in one piece of news. Returns whether the homes have to hear of it.
+    /// Applies an update. Returns whether the homes must be updated.
     fn apply_update(&mut self, update: Update) -> bool {
         match update {
             Update::Configuration(table) => self.configure(table),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Writes to the log which data centres were evacuated or given back, as this host knows it from now on.
+    /// Logs which data centres were evacuated or restored since the last call.
     fn log_evacuations(&mut self) {
         let evacuated = self.registry.evacuations().evacuated();
         let evacuated: BTreeSet<DataCentreId> = evacuated.cloned().collect();
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Takes in what the other hosts say, and tells the homes.
-    fn handle_member_update(&mut self, update: &members::Update) {
+    /// Handles an update about the other hosts.
+    fn handle_host_update(&mut self, update: &members::Update) {
         let event = match update {
             &members::Update::Hosts(hosts) => {
                 self.settings.division = self.settings.division.with_homes(hosts);
@@ -238,7 +238,7 @@
                 self.settings.relay.set_strength(host, strength);
                 return;
             }
-            // Servers that leave say so where they are registered.
+            // The registry reports leaving servers.
             members::Update::Fact(_) => return,
         };
         for home in self.homes.values() {
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Returns where the shards of each set are that have no server in this data centre, and has hosts looked for
-    /// there.
+    /// Returns the shards of each set that have no server in this data centre, and publishes the data centres that have
+    /// one.
     fn remote_shards(&self, usable: &Usable<'_>) -> HashMap<Shards, RemoteShards> {
         let own = &self.settings.data_centre;
         let sets = self.homes.keys();
@@ -264,14 +264,14 @@
         remote_shards
     }
 
-    /// Tells a home that begins which requests crash servers.
+    /// Sends a new home the fingerprints of requests that crash servers.
     fn send_crashing(&self, home: &Home) {
         for (&fingerprint, &until) in &self.crashing {
             home.handle.send(Event::Suspect { fingerprint, until });
         }
     }
 
-    /// Puts a version in force unless a newer one, or the same, is.
+    /// Puts a version of the configuration in force unless it is the current one or older. Returns whether it did.
     fn configure(&mut self, table: Table) -> bool {
         let in_force = self.table.as_ref().map(|table| table.version);
         if in_force.is_some_and(|in_force| table.version <= in_force) {
@@ -290,7 +290,7 @@
         true
     }
 
-    /// Brings the homes in step, and requests to them.
+    /// Starts, updates and removes homes to match configuration and registry, and publishes the new view.
     fn update_homes(&mut self) {
         let Some(table) = self.table.clone().filter(|_| self.registry.is_known()) else {
             return;
@@ -320,7 +320,7 @@
         });
     }
 
-    /// Starts the home of a set, or tells it what changed.
+    /// Starts the home of a set, or sends it what changed.
     fn update_home(
         &self,
         set: &Shards,
@@ -339,7 +339,7 @@
             let home = Home { cold, ..home };
             return home;
         };
-        // First, so that none of them is sent its full load in between.
+        // Before the route, so that no cold server receives its full load in between.
         if home.cold != cold {
             home.handle.send(Event::Cold(cold.clone()));
         }
@@ -357,8 +357,8 @@
         Home { route, ..home }
     }
 
-    /// Returns which servers of a set are cold, with what they bear. A host that starts does not know yet among how
-    /// many that is divided, so it sends them nothing.
+    /// Returns the limits of the cold servers of a set. The limit is divided among all hosts, so a host that has not
+    /// yet discovered the others sends cold servers nothing.
     fn cold_limits(
         &self,
         set: &Shards,
@@ -373,8 +373,7 @@
         cold
     }
 
-    /// Returns what the home of a set may take: nothing without need, where a larger set has the same
-    /// servers.
+    /// Returns how a set shares its servers among hosts. A set contained in a larger one keeps no idle connections.
     fn division(&self, set: &Shards, table: &Table) -> Division {
         let division = self.settings.division;
         match shards::is_in_larger_set(set, table) {
@@ -405,7 +404,8 @@
                 division: self.division(set, table),
                 far,
             },
-            // Every host has a small part of a server's requests.
+            // Each host sends only a small share of a server's requests, so a lost connection counts as a crash only if
+            // a connect fails afterwards.
             policy: Policy {
                 crash_signal: CrashSignal::ConnectFailed,
                 ..Policy::default()
@@ -415,7 +415,7 @@
             log: settings.log.clone(),
             metrics: settings.metrics.clone(),
             facts: settings.facts.clone(),
-            // What is decided stands in the log; nobody can ask the process itself.
+            // Decisions are only logged; operators can't query them here.
             history: None,
         });
         Home {
@@ -427,7 +427,7 @@
     }
 }
 
-/// Says what was learned of the backend servers, with the one that it is about.
+/// Describes an event of the registry for the log.
 fn describe_event(event: &registry::Event) -> String {
     match event {
         registry::Event::Listed(entries) => format!("{} listed", entries.len()),
--- a/crates/daemon/src/gateway/describe.rs
+++ b/crates/daemon/src/gateway/describe.rs
@@ -1,4 +1,4 @@
-//! What operators see of a gateway: `GET /state`, in the shape that the product's own daemons give.
+//! State of a gateway for operators: `GET /state`, in the same format as the native daemon's.
 
 use super::control;
 use super::members;
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Where a task is asked for what it knows.
+/// Sends requests for the status of a task.
 pub(super) type StatusSender<T> = mpsc::UnboundedSender<oneshot::Sender<T>>;
 
-/// Asks the tasks of a gateway for what they know.
+/// Collects the status of the tasks of a gateway.
 #[derive(Clone)]
 pub(super) struct Describe {
-    pub(super) own: SocketAddr,
+    pub(super) address: SocketAddr,
     pub(super) data_centre: DataCentreId,
     pub(super) state: Arc<State>,
     pub(super) control: StatusSender<control::Status>,
@@ -25,12 +25,12 @@
 }
 
 impl Describe {
-    /// Describes the gateway; `not_ready_because` is what the balancer is told.
+    /// Describes the gateway; `not_ready_because` is the reason given to the load balancer.
     pub(super) async fn describe(&self, not_ready_because: Option<&str>) -> Value {
         let control = request_status(&self.control).await;
         let members = request_status(&self.members).await;
         json!({
-            "address": self.own,
+            "address": self.address,
             "data_centre": &*self.data_centre,
             "ready": not_ready_because.is_none(),
             "not_ready_because": not_ready_because,
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Describes the homes, each by the name of its set of shards.
+    /// Describes the homes, each with the name of its set of shards.
     async fn sets(&self) -> Vec<Value> {
         let Some(view) = self.state.view() else {
             return Vec::new();
@@ -56,7 +56,7 @@
         for (set, home) in &*view.homes {
             sets.push(json!({
                 "name": shards::name(set),
-                // Everyone is one, and there is nobody to agree with.
+                // Every host is a home, so there are no assigned ones to list.
                 "homes": [],
                 "home": home.state().await,
             }));
@@ -66,7 +66,7 @@
     }
 }
 
-/// Asks a task; `None` where it has ended.
+/// Requests the status of a task; returns `None` if the task has ended.
 async fn request_status<T>(sender: &StatusSender<T>) -> Option<T> {
     let (reply, receiver) = oneshot::channel();
     sender.send(reply).ok()?;
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -1,4 +1,4 @@
-//! A client's request from its head to its answer.
+//! Handles clients' requests, from the head to the response.
 
 mod offload;
 
@@ -30,20 +30,19 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::Xxh3;
 
-/// When to come back to a host that has no configuration yet: about the time that it takes to read
-/// one.
+/// `Retry-After` of a host without a configuration: about the time that it takes to load one.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When to come back where nothing was learned of when it would help.
+/// `Retry-After` when no better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Time that a request's body may take where no deadline is given.
+/// Longest time for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a home says that a request ended.
+/// Outcome of a request as its home reports it.
 type HomeOutcome = Outcome<<Opaque as Content>::Value>;
 
-/// A response, and what the log says of how it came about.
+/// A response, with the outcome and reason for the log.
 struct Reply {
     response: Response<Full<Bytes>>,
     outcome: Ended,
@@ -57,24 +56,24 @@
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// What is done with searches that another host could fan out.
+    /// Sender of the requests.
     pub(super) origin: Origin,
-    /// The hosts that could.
+    /// Sends searches to other hosts.
     pub(super) relay: Arc<Relay>,
-    /// How long answers take on their way to callers of this host.
+    /// Time that a response needs to reach a client of this host.
     pub(super) delivery_margin: Duration,
 }
 
-/// How long an answer takes on its way to the caller of another host, which handed the search on.
+/// Time that a response needs to reach the client of the host that offloaded the search.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DeliveryMargin(pub(super) Duration);
 
-/// What is done with a search that another host could fan out.
+/// Who sends the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// It is handed to one, if there is one.
+    /// Clients; their searches can be offloaded to another host.
     Client,
-    /// It was handed to this host, which answers or declines.
+    /// Another host, whose searches are answered or declined but never offloaded again.
     Peer,
 }
 
@@ -89,7 +88,7 @@
 }
 
 impl<I: Ingress> Front<I> {
-    /// Answers a request, by another host or by this one.
+    /// Answers a request, or has another host answer it.
     pub(super) async fn answer(
         &self,
         request: Request<Incoming>,
@@ -140,7 +139,7 @@
         };
         let delegation = remote_shards.and_then(|remote_shards| self.relay.delegate(remote_shards));
         let delegation = delegation.map(|delegation| (delegation, head.clone(), body.clone()));
-        let forward = ServerRequest {
+        let server_request = ServerRequest {
             is_merged: matches!(route.target, Target::FanOut(_)),
             ..self.ingress.forward(head, &info, body)
         };
@@ -151,7 +150,13 @@
                     .map(|(delegation, ..)| delegation.keys().clone())
                     .unwrap_or_default(),
             },
-            ..self.home_request(id, &context, forward, delivery_margin, only_keys.as_ref())
+            ..self.home_request(
+                id,
+                &context,
+                server_request,
+                delivery_margin,
+                only_keys.as_ref(),
+            )
         };
         let mut line = LogLine {
             log: &self.log,
@@ -181,12 +186,12 @@
     }
 }
 
-/// Tells whether a search was not run for a reason that another host may not have.
+/// Returns whether a search was not run for a reason that may not apply to another host.
 fn is_host_specific(reason: Reason) -> bool {
     matches!(reason, Reason::Unavailable | Reason::Stopping)
 }
 
-/// A request on its way to an answer.
+/// A request while it is handled.
 struct Context<'a> {
     info: &'a RequestInfo,
     route: &'a Route,
@@ -195,7 +200,7 @@
 }
 
 impl Context<'_> {
-    /// Returns the time from its arrival within which the request is to be answered.
+    /// Returns the timeout of the request, counted from its arrival.
     fn timeout(&self) -> Duration {
         let timeout = self.route.timeout;
         self.info.timeout.unwrap_or(timeout).min(timeout)
@@ -203,7 +208,7 @@
 }
 
 impl<I: Ingress> Front<I> {
-    /// Reads a body whole, within the limits in force.
+    /// Reads the complete body within the configured limits.
     async fn read_body(
         &self,
         body: Incoming,
@@ -211,8 +216,8 @@
         info: &RequestInfo,
     ) -> Result<Bytes, StatusCode> {
         let limit = info.timeout.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
-        let whole = Limited::new(body, table.limits.body_bytes).collect();
-        match timeout(limit, whole).await {
+        let collected = Limited::new(body, table.limits.body_bytes).collect();
+        match timeout(limit, collected).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
             Ok(Err(_)) => Err(StatusCode::BAD_REQUEST),
@@ -224,7 +229,7 @@
         &self,
         id: RequestId,
         context: &Context<'_>,
-        forward: ServerRequest,
+        server_request: ServerRequest,
         delivery_margin: Duration,
         only_keys: Option<&KeySet>,
     ) -> event::Request<Opaque> {
@@ -241,21 +246,21 @@
             caller: route.host.clone().into(),
             class: route.class(),
             deadline: self.clock.time(context.arrived + context.timeout()),
-            fingerprint: fingerprint(&forward),
-            body: Arc::new(forward),
+            fingerprint: fingerprint(&server_request),
+            body: Arc::new(server_request),
             execute_key: None,
             params: Some(params),
             scope: Scope::default(),
         }
     }
 
-    /// Writes how a request ended.
+    /// Builds the reply for the outcome of a request.
     fn reply(&self, outcome: HomeOutcome, route: &Route, only_keys: Option<&KeySet>) -> Reply {
         match outcome {
-            Outcome::Answered(answer) => self.answered(answer, route, only_keys),
-            Outcome::Executed(whole) => Reply {
-                reason: format!("status {}", whole.status.as_u16()),
-                response: self.ingress.single(whole),
+            Outcome::Answered(answer) => self.reply_with_answer(answer, route, only_keys),
+            Outcome::Executed(server_response) => Reply {
+                reason: format!("status {}", server_response.status.as_u16()),
+                response: self.ingress.single(server_response),
                 outcome: Ended::Complete,
             },
             Outcome::NotRun {
@@ -279,7 +284,7 @@
         }
     }
 
-    fn answered(
+    fn reply_with_answer(
         &self,
         answer: Answer<ServerResponse>,
         route: &Route,
@@ -298,10 +303,10 @@
             Target::FanOut(fan_out) => {
                 let bodies = parts.iter().map(|part| &part.body[..]);
                 let records = greatest(bodies, self.ingress.record_bytes(), fan_out.max_records);
-                let asked =
+                let requested =
                     only_keys.map_or(fan_out.shards.len(), |only_keys| only_keys.len() as usize);
-                let held = asked.saturating_sub(missing);
-                let reason = format!("{held} parts, {missing} missing, set {version}");
+                let received = requested.saturating_sub(missing);
+                let reason = format!("{received} parts, {missing} missing, set {version}");
                 let mut response = self.ingress.merged(&parts, missing, records.into());
                 if let Some(only_keys) = only_keys {
                     let covered = only_keys.difference(&missing_keys);
@@ -310,13 +315,13 @@
                 (response, reason)
             }
             Target::Split(_) => match parts.pop() {
-                Some(whole) => {
-                    let reason = format!("status {}", whole.status.as_u16());
-                    (self.ingress.single(whole), reason)
+                Some(server_response) => {
+                    let reason = format!("status {}", server_response.status.as_u16());
+                    (self.ingress.single(server_response), reason)
                 }
                 None => (
                     empty_response(StatusCode::BAD_GATEWAY),
-                    "no answer".to_owned(),
+                    "no response of a backend server".to_owned(),
                 ),
             },
         };
@@ -373,8 +378,8 @@
     }
 }
 
-/// The line of a request that went to a home. One whose client leaves is dropped in the midst of it,
-/// and says so here: without a line that holds both ids nobody could find the decisions on it.
+/// Log line of a request that was given to a home. If the client disconnects, the request is dropped and its line is
+/// written then: it links the client's request id to the id in the decisions.
 struct LogLine<'a> {
     log: &'a Logger,
     metrics: &'a Metrics,
@@ -407,12 +412,12 @@
 impl Drop for LogLine<'_> {
     fn drop(&mut self) {
         if !self.written {
-            self.write(Ended::Abandoned, None, "the client left");
+            self.write(Ended::Abandoned, None, "the client disconnected");
         }
     }
 }
 
-/// The status of a request that may have run.
+/// Returns the status for a request that may have run.
 fn failure_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::Deadline => StatusCode::GATEWAY_TIMEOUT,
@@ -426,13 +431,13 @@
     response
 }
 
-/// Hash of what a request asks, the same whoever sends it and however often.
-fn fingerprint(forward: &ServerRequest) -> Fingerprint {
+/// Hashes the method, target and body of a request. Identical requests of different clients have the same hash.
+fn fingerprint(server_request: &ServerRequest) -> Fingerprint {
     let mut hash = Xxh3::new();
-    hash.update(forward.method.as_str().as_bytes());
+    hash.update(server_request.method.as_str().as_bytes());
     hash.update(&[0]);
-    hash.update(forward.target.as_str().as_bytes());
+    hash.update(server_request.target.as_str().as_bytes());
     hash.update(&[0]);
-    hash.update(&forward.body);
+    hash.update(&server_request.body);
     hash.digest()
 }
--- a/crates/daemon/src/gateway/front/offload.rs
+++ b/crates/daemon/src/gateway/front/offload.rs
@@ -1,4 +1,4 @@
-//! Handing a search, or a part of one, to another host.
+//! Offloads searches, or parts of them, to other hosts.
 
 use super::{Context, Front, HomeOutcome, empty_response};
 use crate::gateway::Ingress;
@@ -19,23 +19,19 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Hosts that a search is handed to, one after the other, before this one fans it out. Each that declines costs a
-/// round trip, a fifth of a millisecond within a data centre; a data centre has three readers of the store, and
-/// seldom more strong hosts.
+/// Maximum number of helpers tried before this host fans a search out itself. Each one that declines costs a round
+/// trip.
 const MAX_HELPERS_TRIED: usize = 3;
 
-/// Time that the answer for a part of a search takes from the host that looked through it, beside the time that the
-/// whole one takes from here: a millisecond each way between data centres of a region, with work at both ends.
+/// Extra delivery margin of a delegated part: the round trip between data centres of a region, with processing.
 const DELEGATION_MARGIN: Duration = Duration::from_millis(4);
 
 impl<I: Ingress> Front<I> {
-    /// Has another host answer a search, if one does. A request that may run once is not handed on: its
-    /// servers are few, and whether it ran would depend on one more connection.
+    /// Has another host answer a search, if one accepts. Requests that may run only once are not offloaded: they need
+    /// few servers, and one more connection would be one more point at which it is unknown whether they ran.
     ///
-    /// A host that declines has run nothing and says so within a round trip, so the next one is asked. Hosts with
-    /// another version of the configuration decline for as long as the store turns them away. Where the one that
-    /// came first did so for nine seconds, all weak hosts of its data centre fanned out by themselves, 253 of 1,360
-    /// searches of 195 hosts, although two others there had the version.
+    /// A host that declines has run nothing, so the next one is tried. A host with another version of the configuration
+    /// declines until it has caught up, which may take seconds.
     pub(super) async fn offload(
         &self,
         head: &request::Parts,
@@ -47,14 +43,14 @@
             return None;
         }
         for _ in 0..MAX_HELPERS_TRIED {
-            if let ControlFlow::Break(end) = self.try_helper(head, body, context).await {
-                return end;
+            if let ControlFlow::Break(response) = self.try_helper(head, body, context).await {
+                return response;
             }
         }
         None
     }
 
-    /// Asks one other host. Breaks with its answer, or with none where nobody else is to be asked.
+    /// Tries one helper. Breaks with its response, or with `None` if no other helper is to be tried.
     async fn try_helper(
         &self,
         head: &request::Parts,
@@ -68,7 +64,7 @@
         let mut head = head.clone();
         self.ingress.set_timeout(&mut head.headers, remaining);
         relay::set_delivery_margin(&mut head.headers, self.delivery_margin);
-        let mut abandon = AbandonLine {
+        let mut line = AbandonLine {
             log: &self.log,
             context,
             written: false,
@@ -77,7 +73,7 @@
             .relay
             .search(&head, body, context.version, remaining)
             .await;
-        abandon.written = true;
+        line.written = true;
         let Some((host, answer)) = result else {
             return ControlFlow::Break(None);
         };
@@ -108,7 +104,7 @@
         ControlFlow::Break(Some(response))
     }
 
-    /// Has another host look through a part of a search.
+    /// Has another host run a part of a search.
     pub(super) async fn delegate(
         &self,
         delegation: PendingDelegation<'_>,
@@ -133,17 +129,17 @@
         };
         let part = delegation.send(head, body, context.version, max_missing as u64, remaining);
         let DelegationResult { reply, reason } = part.await;
-        let (outcome, counted) = match reply {
+        let (outcome, label) = match reply {
             Ok(_) => ("answered", "part answered"),
             Err(_) => ("not answered", "part not answered"),
         };
-        self.metrics.front.relayed(counted);
+        self.metrics.front.relayed(label);
         line.write(outcome, reason);
         reply
     }
 }
 
-/// Runs a search of which another host looks through a part, and tells the home what came of that.
+/// Runs a search of which another host runs a part, and sends the reply for that part to the home.
 pub(super) async fn run_with_part(
     home: &route::Handle<Opaque>,
     home_request: event::Request<Opaque>,
@@ -155,7 +151,7 @@
     let mut is_pending = true;
     loop {
         tokio::select! {
-            // The home has to know the search before it hears of the part.
+            // The home must know the search before it receives the reply.
             biased;
             outcome = &mut search => return outcome,
             reply = &mut part, if is_pending => {
@@ -169,8 +165,8 @@
     }
 }
 
-/// The line of a part that another host was asked for. Where the search ends before its answer, it is dropped and says
-/// so: without that nobody could tell reason the answer lacks the part.
+/// Log line of a delegated part. If the search ends before the reply arrives, it is dropped and its line is written
+/// then, which explains why the part is missing from the answer.
 struct DelegationLine<'a> {
     log: &'a Logger,
     context: &'a Context<'a>,
@@ -196,7 +192,7 @@
     }
 }
 
-/// Says that a client remaining while another host was asked.
+/// Logs that the client disconnected if it is dropped while a helper runs the search.
 struct AbandonLine<'a> {
     log: &'a Logger,
     context: &'a Context<'a>,
@@ -208,7 +204,7 @@
         if !self.written {
             info!(self.log, "relay"; "id" => &self.context.info.id,
                 "took_us" => self.context.arrived.elapsed().as_micros(),
-                "outcome" => Ended::Abandoned.to_string(), "why" => "the client left");
+                "outcome" => Ended::Abandoned.to_string(), "why" => "the client disconnected");
         }
     }
 }
--- a/crates/daemon/src/gateway/members/mod.rs
+++ b/crates/daemon/src/gateway/members/mod.rs
@@ -1,8 +1,7 @@
-//! The socket and the clock of [`Members`].
+//! Drives [`Members`] with a UDP socket and a timer.
 //!
-//! Datagrams are neither sealed nor signed: whoever can send to this address stands in the hosts' own
-//! network, and the most that a lie does is to make hosts take a smaller part, or refuse requests as
-//! crashing for a while.
+//! Datagrams are neither encrypted nor authenticated: only the hosts' own network can reach this address. At worst,
+//! forged datagrams make hosts take a smaller share of the servers, or refuse requests as crashing for a while.
 
 #[cfg(test)]
 mod tests;
@@ -28,55 +27,54 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Time between two ticks: less than the shortest time that the members count in, and few wake-ups,
-/// which cost processor time.
+/// Time between two ticks: shorter than the shortest period of the members, but long enough to keep wake-ups rare.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Something that the homes here have to hear.
+/// An update about the other hosts, for the control task.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Update {
     /// The hosts that share the backend servers.
     Hosts(Homes),
-    /// A fact that was not previous here before.
+    /// A fact that is new to this host.
     Fact(fact::Entry),
-    /// A host in the same data centre has this strength.
+    /// CPU capacity of a host in the same data centre.
     Strength(MemberId, Centicores),
-    /// These hosts of another data centre may fan out for this one.
+    /// Hosts of another data centre that can run parts of searches.
     Remote(Remote),
-    /// Who reads the store.
+    /// The hosts that read the store.
     Readers(Readers),
 }
 
-/// What operators see of the hosts.
+/// Status of the membership, for operators.
 pub(super) struct Status {
     /// Number of hosts that share the backend servers.
     pub(super) hosts: usize,
-    /// What is previous of each.
+    /// The latest state of each member.
     pub(super) changes: Vec<Change>,
-    /// What hosts told each other and still holds.
+    /// Facts that are still valid.
     pub(super) facts: Vec<fact::Entry>,
 }
 
-/// This host's part, with what it speaks through.
+/// The membership task with its socket and channels.
 pub(super) struct Task {
     pub(super) members: Members,
     pub(super) socket: UdpSocket,
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// What homes here found out.
+    /// Facts that homes on this host found.
     pub(super) local_facts: mpsc::UnboundedReceiver<Fact>,
-    /// Operators who ask.
+    /// Requests for the status.
     pub(super) status_requests: mpsc::UnboundedReceiver<oneshot::Sender<Status>>,
-    /// Other data centres that parts of searches may go to.
+    /// Remote data centres that parts of searches can be delegated to.
     pub(super) remote_rx: watch::Receiver<BTreeSet<DataCentreId>>,
-    /// Where updates for the homes go.
+    /// Updates for the control task.
     pub(super) updates: mpsc::UnboundedSender<Update>,
-    /// By data centre: the hosts that were named there last.
+    /// Last reported candidates of each data centre.
     pub(super) candidates: BTreeMap<DataCentreId, Vec<Candidate>>,
 }
 
-/// Speaks with the other hosts until nobody takes the updates any more.
+/// Exchanges datagrams with the other hosts until the control task closes its channel.
 pub(super) async fn run(mut task: Task) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -85,9 +83,9 @@
         let event = tokio::select! {
             _ = ticks.tick() => Some(Event::Tick),
             received = task.socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => task.read(&buffer[..length], from),
+                Ok((length, from)) => task.decode(&buffer[..length], from),
                 Err(error) => {
-                    // A datagram sent earlier found nobody; the probe fails by its time.
+                    // An earlier datagram could not be delivered (ICMP); its probe times out.
                     debug!(task.log, "member"; "what" => "unreachable", "error" => %error);
                     None
                 }
@@ -97,7 +95,7 @@
                 Some(Event::RemoteDataCentres(task.remote_rx.borrow_and_update().clone()))
             }
             Some(reply) = task.status_requests.recv() => {
-                // Who status_requests may have gone.
+                // The requester may be gone.
                 let _ = reply.send(task.status());
                 None
             }
@@ -108,7 +106,7 @@
     }
 }
 
-/// Returns what the members have to hear of a fact. That a server leaves they hear from the store.
+/// Returns the event for a fact that homes found. Leaving servers are reported by the store, not by members.
 fn fact_event(fact: &Fact) -> Option<Event> {
     match fact {
         &Fact::Suspect(fingerprint, life) => {
@@ -127,7 +125,7 @@
         }
     }
 
-    fn read(&self, bytes: &[u8], from: SocketAddr) -> Option<Event> {
+    fn decode(&self, bytes: &[u8], from: SocketAddr) -> Option<Event> {
         match datagram::decode(bytes) {
             Ok(datagram) => Some(Event::Received(from, datagram)),
             Err(error) => {
@@ -176,12 +174,12 @@
             Err(error) => Err(std::io::Error::other(error)),
         };
         if let Err(error) = sent {
-            // As good as lost on the way, which the members reckon with.
+            // The members tolerate lost datagrams.
             debug!(self.log, "member"; "what" => "not sent", "to" => %to, "error" => %error);
         }
     }
 
-    /// Tells of hosts in another data centre, and writes them to the log where they are others than before.
+    /// Publishes the candidates in another data centre, and logs them if they changed.
     fn record_remote(&mut self, remote: Remote) {
         let candidates = remote.candidates.clone();
         let previous = self
@@ -204,7 +202,7 @@
     }
 
     fn publish(&self, update: Update) {
-        // Without a receiver the process is ending.
+        // Fails only while the process is stopping.
         let _ = self.updates.send(update);
     }
 }
--- a/crates/daemon/src/gateway/members/tests.rs
+++ b/crates/daemon/src/gateway/members/tests.rs
@@ -1,4 +1,4 @@
-//! Hosts that speak over real sockets.
+//! Membership over real sockets.
 
 use super::{Task, Update, run};
 use crate::clock::Clock;
@@ -18,10 +18,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Ends a test that hangs; no test waits for this to pass.
+/// Ends a test that hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A host, and what it says to its homes.
+/// A host with its channels.
 struct Host {
     address: SocketAddr,
     facts: mpsc::UnboundedSender<Fact>,
@@ -30,8 +30,8 @@
 
 impl Host {
     async fn start(seeds: &[SocketAddr]) -> Self {
-        let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-        let address = socket.local_addr().expect("it is bound");
+        let socket = UdpSocket::bind("127.0.0.1:0").await.expect("free port");
+        let address = socket.local_addr().expect("bound socket");
         let own = Member {
             id: address,
             data_centre: "north".into(),
@@ -60,20 +60,20 @@
     }
 
     async fn wait_for(&mut self, matches: impl Fn(&Update) -> bool) -> Update {
-        let waiting = async {
+        let received = async {
             while let Some(update) = self.updates.recv().await {
                 if matches(&update) {
                     return update;
                 }
             }
-            unreachable!("the host goes on");
+            unreachable!("the host is running");
         };
-        timeout(TEST_TIMEOUT, waiting)
+        timeout(TEST_TIMEOUT, received)
             .await
-            .expect("the updates come")
+            .expect("update received in time")
     }
 
-    /// Waits until so many hosts are is_expected that do the same. Returns this one's place among them.
+    /// Waits until the given number of hosts share the servers. Returns the rank of this host.
     async fn wait_for_host_count(&mut self, hosts: usize) -> usize {
         let is_expected = |homes: &Homes| {
             let rank = homes.rank;
@@ -87,13 +87,13 @@
             |update: &Update| matches!(update, Update::Hosts(homes) if is_expected(homes));
         match self.wait_for(has_count).await {
             Update::Hosts(homes) => homes.rank,
-            _ => unreachable!("it was waited for"),
+            _ => unreachable!("only host counts match"),
         }
     }
 }
 
 #[tokio::test]
-async fn start_three_count_each_other_and_share_what_they_find() {
+async fn start_three_hosts_discover_each_other_and_share_facts() {
     let mut first = Host::start(&[]).await;
     let mut second = Host::start(&[first.address]).await;
     let mut third = Host::start(&[first.address]).await;
@@ -101,27 +101,25 @@
     for host in [&mut first, &mut second, &mut third] {
         ranks.insert(host.wait_for_host_count(3).await);
     }
-    assert_eq!(ranks, BTreeSet::from([0, 1, 2]), "each has its own place");
+    assert_eq!(ranks, BTreeSet::from([0, 1, 2]), "ranks are distinct");
     let fact = Fact::Suspect(7, Duration::from_secs(60));
-    second.facts.send(fact).expect("the host goes on");
-    let known =
+    second.facts.send(fact).expect("the host is running");
+    let is_suspect =
         |update: &Update| matches!(update, Update::Fact(entry) if entry.key == Key::Suspect(7));
-    first.wait_for(known).await;
-    third.wait_for(known).await;
+    first.wait_for(is_suspect).await;
+    third.wait_for(is_suspect).await;
 }
 
-// Symptom: one stray datagram ends the talk between hosts.
-// Events: something else sends to the port.
-// Cause: what can't be read is an error of the socket.
+// Guards against an invalid datagram that stops the task.
 #[tokio::test]
-async fn receive_garbage_is_ignored() {
+async fn receive_invalid_datagram_is_ignored() {
     let mut first = Host::start(&[]).await;
-    let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-    for garbage in [&b""[..], &[0xff; 900], &[0; 40]] {
-        stranger
-            .send_to(garbage, first.address)
+    let other_sender = UdpSocket::bind("127.0.0.1:0").await.expect("free port");
+    for datagram in [&b""[..], &[0xff; 900], &[0; 40]] {
+        other_sender
+            .send_to(datagram, first.address)
             .await
-            .expect("it is sent");
+            .expect("datagram sent");
     }
     let _second = Host::start(&[first.address]).await;
     first.wait_for_host_count(2).await;
--- a/crates/daemon/src/gateway/mirror.rs
+++ b/crates/daemon/src/gateway/mirror.rs
@@ -1,11 +1,11 @@
-//! Passing on what was read of the store, and asking hosts that do.
+//! Shares the state read from the store with other hosts, and polls hosts that share it.
 //!
-//! What is passed on are the store's own answers, which nobody here looks into. A set_headers names the position
-//! up to which the asker knows everything; it waits at the reader until there is more, as a watch of the store
-//! does. What is answered and when is [`mirror::Log`]'s. Hosts that know nothing ask for everything, and whom is
-//! [`bootstrap`](monsoonring_decision::gateway::bootstrap)'s.
+//! Readers pass on the store's own encoding without decoding it. A poll names the position up to which the caller is
+//! current and, like a watch of the store, waits at the reader for changes. [`Log`] decides what a poll
+//! returns and when. Hosts without state load the full state;
+//! [`bootstrap`](monsoonring_decision::gateway::bootstrap) chooses from which host.
 
-use super::relay::{DECLINED, decline, number};
+use super::relay::{DECLINED, decline, parse_number};
 use crate::client;
 use crate::clock::Clock;
 use bytes::Bytes;
@@ -23,38 +23,38 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Revision up to which the asker knows everything; its presence tells a set_headers from a search.
+/// Revision up to which the caller is current; its presence tells a poll from a search.
 const AFTER: HeaderName = HeaderName::from_static("monsoonring-after");
 
-/// Present in a set_headers for everything that the store holds.
+/// Present in a request for the full state.
 const FULL_STATE: HeaderName = HeaderName::from_static("monsoonring-everything");
 
-/// Revision up to which an answer goes.
+/// Revision up to which a response is current.
 const UP_TO: HeaderName = HeaderName::from_static("monsoonring-to");
 
-/// Life of the store that the revision of a set_headers or an answer belongs to; the first one where it is missing.
+/// Era of the store that a revision belongs to; absent for the first era.
 const ERA: HeaderName = HeaderName::from_static("monsoonring-era");
 
-/// Losses of the store since the reader's start, and milliseconds since the last one ended_ago.
+/// Outages of the store since the reader started, and milliseconds since the end of the last one.
 const OUTAGES: HeaderName = HeaderName::from_static("monsoonring-outages");
 const OUTAGE_ENDED_AGO: HeaderName = HeaderName::from_static("monsoonring-outage-ended-ms");
 
-/// Time that a connect to a host in the same data centre may take, and within which it has to acknowledge.
+/// Limit for connecting to a host in the same data centre, and for its acknowledgement of sent data.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest answer, in bytes: everything that is registered for a thousand shards, with room.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Largest accepted response, in bytes: the registry of a thousand shards, with headroom.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Time after the last set_headers for which a host reckons with more.
+/// Time after a poll during which more polls are expected.
 const POLLED_WITHIN: Duration = Duration::from_secs(5);
 
-/// Everything that the store holds, as this host knows it.
+/// Provides this host's copy of the full state of the store.
 pub trait FullState: Send + Sync + 'static {
-    /// Returns it in the store's own format, with the position that it goes up to; `None` before the first read.
+    /// Returns the state in the store's encoding, with its position; `None` before the first read.
     fn encode(&self) -> Option<(Position, Bytes)>;
 }
 
-/// What this host read of the store, for the hosts that ask.
+/// State that this host read from the store, served to other hosts.
 pub struct Mirror {
     full_state: Option<Arc<dyn FullState>>,
     clock: Clock,
@@ -65,7 +65,7 @@
 }
 
 impl Mirror {
-    /// Makes the mirror of a host that has read nothing.
+    /// Creates an empty mirror.
     pub fn new(timing: Timing) -> Self {
         Self {
             full_state: None,
@@ -77,36 +77,36 @@
         }
     }
 
-    /// Passes on everything, too.
+    /// Serves the full state as well.
     #[must_use]
     pub fn with_full_state(self, full_state: Arc<dyn FullState>) -> Self {
         let full_state = Some(full_state);
         Self { full_state, ..self }
     }
 
-    /// Everything was read, as of a position.
+    /// Records that the full state was read, as of a position.
     pub fn reset(&self, position: Position) {
         let now = self.clock.now();
-        self.change(|log| log.reset(position, now));
+        self.update_log(|log| log.reset(position, now));
     }
 
-    /// The store has answered a watch.
+    /// Records the changes that a watch of the store returned.
     pub fn append(&self, batch: Batch) {
         let now = self.clock.now();
-        self.change(|log| log.append(batch, now));
+        self.update_log(|log| log.append(batch, now));
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed.
     pub fn store_failed(&self) {
-        self.change(Log::store_failed);
+        self.update_log(Log::store_failed);
     }
 
-    /// This host asks others from now on.
+    /// Clears the log, as this host now polls another reader.
     pub fn clear(&self) {
-        self.change(Log::clear);
+        self.update_log(Log::clear);
     }
 
-    /// Tells whether other hosts ask this one.
+    /// Returns whether another host polled this one recently.
     pub fn is_polled(&self) -> bool {
         let last_poll = *self
             .last_poll
@@ -115,7 +115,7 @@
         last_poll.is_some_and(|at| self.clock.now() < at + POLLED_WITHIN)
     }
 
-    /// Answers a set_headers; `None` where a message is none.
+    /// Answers a poll or a request for the full state; returns `None` for any other request.
     pub(super) async fn answer(&self, headers: &HeaderMap) -> Option<Response<Full<Bytes>>> {
         if headers.contains_key(FULL_STATE) {
             return Some(self.full_state_response());
@@ -127,8 +127,8 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = Some(now);
         let waited = timeout(self.timing.poll(), self.wait(after)).await;
-        // Nothing came; whether that is still known for sure is last_poll once more.
-        let answer = waited.unwrap_or_else(|_| self.answer_now(after));
+        // Nothing changed, but the state may have become stale while waiting.
+        let answer = waited.unwrap_or_else(|_| self.current_answer(after));
         let outage = self.log().outage(self.clock.now());
         Some(respond(answer, outage))
     }
@@ -143,12 +143,14 @@
         response
     }
 
-    /// Waits until there is something to say. Who asks may have read the store a moment later than this host, which
-    /// catches up with its next answer: decline at once, 180 of 195 hosts that started together last_poll the store again.
+    /// Waits until there are changes to return or the poll must be declined.
+    ///
+    /// A caller may be ahead of this host by a moment, so a position not yet reached is waited for as well: declining
+    /// would send the caller to the store.
     async fn wait(&self, after: Position) -> Answer {
         loop {
             let changed = self.changed.notified();
-            let answer = self.answer_now(after);
+            let answer = self.current_answer(after);
             let worth_waiting = [Answer::UpToDate, Answer::Declined(DeclineReason::Behind)];
             if !worth_waiting.contains(&answer) {
                 return answer;
@@ -157,26 +159,26 @@
         }
     }
 
-    fn answer_now(&self, after: Position) -> Answer {
+    fn current_answer(&self, after: Position) -> Answer {
         self.log().answer(after, self.clock.now())
     }
 
-    fn change(&self, change: impl FnOnce(&mut Log)) {
-        change(&mut self.log());
+    fn update_log(&self, update: impl FnOnce(&mut Log)) {
+        update(&mut self.log());
         self.changed.notify_waiters();
     }
 
-    // Nothing panics with the lock held, and what is behind it is never left half changed.
+    // No code panics while it holds the lock, so the guarded value is consistent even if poisoned.
     fn log(&self) -> MutexGuard<'_, Log> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Reads a position whose revision is in this header.
+/// Parses a position whose revision is in the given header.
 fn position(headers: &HeaderMap, revision: &HeaderName) -> Option<Position> {
     Some(Position {
-        era: number(headers, &ERA).unwrap_or_default(),
-        revision: number(headers, revision)?,
+        era: parse_number(headers, &ERA).unwrap_or_default(),
+        revision: parse_number(headers, revision)?,
     })
 }
 
@@ -207,56 +209,56 @@
     response
 }
 
-/// Why a reader did not tell what changed.
+/// A request to a reader failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It could not be connected to.
+    /// The connect failed.
     #[snafu(display("{source}"))]
     Connect {
-        /// Why.
+        /// Error of the connection.
         source: client::Error,
     },
-    /// It did not answer in time.
-    #[snafu(display("host {host}: {step}: no answer in {limit:?}"))]
+    /// No response in time.
+    #[snafu(display("host {host}: {step}: timed out after {limit:?}"))]
     Timeout {
-        /// Who.
+        /// The reader.
         host: MemberId,
-        /// What was under way.
+        /// Operation that timed out.
         step: &'static str,
-        /// The time.
+        /// Timeout of the operation.
         limit: Duration,
     },
-    /// The connection ended_ago.
-    #[snafu(display("host {host}: asking what changed: {source}"))]
+    /// The connection failed.
+    #[snafu(display("host {host}: request failed: {source}"))]
     Http {
-        /// Who.
+        /// The reader.
         host: MemberId,
-        /// What the library says.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// Its answer can't be used.
-    #[snafu(display("host {host}: asking what changed: unusable answer, status {status}"))]
+    /// The response is invalid.
+    #[snafu(display("host {host}: invalid response, status {status}"))]
     InvalidReply {
-        /// Who.
+        /// The reader.
         host: MemberId,
-        /// The status of the answer.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// Somebody else is to be last_poll.
+    /// The reader declined; another host has to be polled.
     #[snafu(display("host {host} declined: {reason}"))]
     Declined {
-        /// Who.
+        /// The reader.
         host: MemberId,
-        /// Why.
+        /// Reason given by the reader.
         reason: String,
     },
 }
 
-/// Result of asking.
+/// Result of a request to a reader.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Tells whether the store may have been away, so that entries lapsed there.
+    /// Returns whether the store may have been unavailable, so that entries may have expired there.
     pub fn is_store_lost(&self) -> bool {
         let store_lost =
             [DeclineReason::StoreLost, DeclineReason::Stale].map(DeclineReason::reason);
@@ -264,12 +266,12 @@
     }
 }
 
-/// What a reader told.
+/// Response to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollReply {
-    /// An answer of the store, and the position up to which it goes; `None` where nothing changed.
+    /// Changes in the encoding of the store, with the position that they lead to; `None` if nothing changed.
     pub changes: Option<(Position, Bytes)>,
-    /// Losses of the store at the reader.
+    /// Outages of the store, as seen by the reader.
     pub outage: Outage,
 }
 
@@ -285,7 +287,7 @@
     ///
     /// # Errors
     ///
-    /// It can't be connected to.
+    /// Fails if the connect fails or times out.
     pub async fn open(host: MemberId) -> Result<Self> {
         let (step, limit) = ("connecting", CONNECT_TIMEOUT);
         let opened = timeout(limit, client::open_within(host, limit)).await;
@@ -298,37 +300,37 @@
         })
     }
 
-    /// Returns the host at the other end.
+    /// Returns the host that this is connected to.
     pub fn host(&self) -> MemberId {
         self.host
     }
 
-    /// Asks for what changed after a position, and waits until something has.
+    /// Long-polls for changes after a position.
     ///
     /// # Errors
     ///
-    /// There is no answer in time, or somebody else is to be last_poll.
+    /// Fails on a timeout, or if the host declines.
     pub async fn poll(&mut self, after: Position, limit: Duration) -> Result<PollReply> {
-        let (host, step) = (self.host, "asking what changed");
+        let (host, step) = (self.host, "polling for changes");
         let timed_out = |_| Error::Timeout { host, step, limit };
         timeout(limit, self.exchange(after))
             .await
             .map_err(timed_out)?
     }
 
-    /// Asks for everything that the store holds. Returns it with the position that it goes up to.
+    /// Loads the full state of the store. Returns it with its position.
     ///
     /// # Errors
     ///
-    /// There is no answer in time, or the host knows nothing yet.
+    /// Fails on a timeout, or if the host has no state yet.
     pub async fn load_full_state(&mut self, limit: Duration) -> Result<(Position, Bytes)> {
-        let (host, step) = (self.host, "asking for everything");
+        let (host, step) = (self.host, "loading the full state");
         let timed_out = |_| Error::Timeout { host, step, limit };
         let request = self.call(|headers| {
             headers.insert(FULL_STATE, 1_u64.into());
         });
-        let answer = timeout(limit, request).await.map_err(timed_out)??;
-        let (head, body) = answer.into_parts();
+        let response = timeout(limit, request).await.map_err(timed_out)??;
+        let (head, body) = response.into_parts();
         match position(&head.headers, &UP_TO) {
             Some(to) if head.status == StatusCode::OK => Ok((to, body)),
             _ => InvalidReplySnafu {
@@ -341,8 +343,8 @@
 
     async fn exchange(&mut self, after: Position) -> Result<PollReply> {
         let host = self.host;
-        let answer = self.call(|headers| set_position(headers, AFTER, after));
-        let (head, body) = answer.await?.into_parts();
+        let response = self.call(|headers| set_position(headers, AFTER, after));
+        let (head, body) = response.await?.into_parts();
         let status = head.status;
         let to = position(&head.headers, &UP_TO);
         let changes = match (status, to) {
@@ -353,13 +355,14 @@
         Ok(PollReply {
             changes,
             outage: Outage {
-                count: number(&head.headers, &OUTAGES).unwrap_or_default(),
-                ended_ago: number(&head.headers, &OUTAGE_ENDED_AGO).map(Duration::from_millis),
+                count: parse_number(&head.headers, &OUTAGES).unwrap_or_default(),
+                ended_ago: parse_number(&head.headers, &OUTAGE_ENDED_AGO)
+                    .map(Duration::from_millis),
             },
         })
     }
 
-    /// Puts a set_headers, and takes its whole answer.
+    /// Sends a request and reads the complete response.
     async fn call(&mut self, set_headers: impl FnOnce(&mut HeaderMap)) -> Result<Response<Bytes>> {
         let host = self.host;
         let request = Request::get("/").header(HOST, host.to_string());
@@ -380,7 +383,7 @@
             return DeclinedSnafu { host, reason }.fail();
         }
         let status = head.status;
-        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         match body {
             Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
             Err(_) => InvalidReplySnafu { host, status }.fail(),
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,10 +1,8 @@
-//! The daemon as a gateway: requests are forwarded to backend servers and nobody here reads them.
+//! Gateway mode: forwards requests to backend servers without reading their contents.
 //!
-//! The same homes decide as for the product's own interface. What differs is around them: routes
-//! and backend servers come as [`Update`] from whoever watches them, every host is a home of every
-//! set of shards, and the outside's names and formats are behind [`Ingress`] and
-//! [`Codec`](crate::backend::Codec). Who implements those three knows the outside and decides
-//! nothing; who calls them decides and does not know it.
+//! The homes make the same decisions as for the native interface. Routes and backend servers arrive as [`Update`]s,
+//! every host runs a home for every set of shards, and the protocols of clients and backend servers are hidden behind
+//! [`Ingress`] and [`Codec`](crate::backend::Codec). Implementations of these traits translate and decide nothing.
 
 mod content;
 mod control;
@@ -31,46 +29,45 @@
 use monsoonring_decision::gateway::{Table, registry};
 use std::time::Duration;
 
-/// Something that was learned of the outside.
+/// A change of the configuration or of the registered backend servers.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A version of the configuration.
+    /// A new version of the configuration.
     Configuration(Table),
-    /// Something about the backend servers or about the way to what lists them.
+    /// A change of the registered backend servers or of the connection to their registry.
     Registry(registry::Event),
 }
 
-/// What a client asks, as far as forwarding needs to know.
+/// The parts of a client's request that the gateway reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The host that it names, perhaps with a port.
+    /// Requested host, optionally with a port.
     pub host: String,
-    /// The id that it gave its request, for the log.
+    /// Request id set by the client, for the log.
     pub id: String,
-    /// How long it will wait; `None` where it did not say.
+    /// How long the client waits; `None` where the request does not say.
     pub timeout: Option<Duration>,
 }
 
-/// How clients speak.
+/// The protocol that clients use.
 pub trait Ingress: Send + Sync + 'static {
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Describes why the head is malformed.
     fn parse(&self, head: &request::Parts) -> std::result::Result<RequestInfo, &'static str>;
 
-    /// Makes the request that goes to backend servers of a client's head and body.
+    /// Builds the request to backend servers from a client's head and body.
     fn forward(&self, head: request::Parts, info: &RequestInfo, body: Bytes) -> ServerRequest;
 
-    /// Writes into the headers of a request, to be handed to another host, how long the client will still
-    /// wait.
+    /// Sets the remaining timeout in the headers of a request that is sent to another host.
     fn set_timeout(&self, headers: &mut HeaderMap, timeout: Duration);
 
-    /// Writes the one answer of a backend server.
-    fn single(&self, answer: ServerResponse) -> Response<Full<Bytes>>;
+    /// Builds the response to the client from the response of one backend server.
+    fn single(&self, response: ServerResponse) -> Response<Full<Bytes>>;
 
-    /// Writes the merged answer of several; `missing` shards are not in it.
+    /// Builds the response to the client from the merged records of several; `missing` shards are not included.
     fn merged(
         &self,
         parts: &[ServerResponse],
@@ -78,9 +75,9 @@
         records: Bytes,
     ) -> Response<Full<Bytes>>;
 
-    /// Returns the size of one record of an answer that is merged, in bytes.
+    /// Returns the size of one record of a merged response, in bytes.
     fn record_bytes(&self) -> usize;
 
-    /// Writes the time after which a client may come back.
+    /// Formats the value of a `Retry-After` header.
     fn retry_after(&self, time: Duration) -> HeaderValue;
 }
--- a/crates/daemon/src/gateway/ready.rs
+++ b/crates/daemon/src/gateway/ready.rs
@@ -1,4 +1,4 @@
-//! What the balancer, monitoring and operators ask: readiness, metrics and state.
+//! Serves readiness, metrics and state to the load balancer, monitoring and operators.
 
 use super::describe::Describe;
 use crate::metrics::Metrics;
@@ -11,17 +11,17 @@
 use hyper::{Request, Response, StatusCode};
 use std::sync::Arc;
 
-/// Answers the balancer and monitoring.
+/// Handles requests of the load balancer, monitoring and operators.
 pub(super) struct Front {
     pub(super) describe: Describe,
     pub(super) metrics: Arc<Metrics>,
     pub(super) stop: Watch,
-    /// Path on which readiness is asked for.
+    /// Path of the readiness check.
     pub(super) path: &'static str,
 }
 
 impl Front {
-    /// Ready is who can serve: with a configuration and servers, and no stop begun.
+    /// Returns the readiness status: ready once a configuration and backend servers are known, until a stop begins.
     fn ready(&self) -> (StatusCode, &'static str) {
         if self.stop.stage() > Stage::Serving {
             return (StatusCode::SERVICE_UNAVAILABLE, "stopping");
--- a/crates/daemon/src/gateway/relay/delegation.rs
+++ b/crates/daemon/src/gateway/relay/delegation.rs
@@ -1,6 +1,6 @@
-//! Having another host look through a part of a search.
+//! Delegates a part of a search to another host.
 
-use super::{Assignment, Error, Relay, Result, number};
+use super::{Assignment, Error, Relay, Result, parse_number};
 use crate::gateway::ServerResponse;
 use crate::gateway::state::RemoteShards;
 use bytes::Bytes;
@@ -17,44 +17,44 @@
 use monsoonring_decision::reply::{Item, Reply, Report};
 use std::time::Duration;
 
-/// The keys that the other host is to look through, as ranges: `0-3,7-9` are 0, 1, 2, 7 and 8.
+/// Keys to search, as half-open ranges: `0-3,7-9` means 0, 1, 2, 7 and 8.
 pub(super) const ONLY_KEYS: HeaderName = HeaderName::from_static("monsoonring-only");
 
-/// The keys that an answer covers, written alike, and the index version that it is from.
+/// Keys that a response covers, in the same format, and its index version.
 const COVERED: HeaderName = HeaderName::from_static("monsoonring-covered");
 const SNAPSHOT: HeaderName = HeaderName::from_static("monsoonring-snapshot");
 
-/// The keys that a search of another host is about.
+/// Keys that a search of another host is restricted to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct OnlyKeys(pub(in crate::gateway) KeySet);
 
 impl OnlyKeys {
-    /// Takes the keys out of the headers of a search, as they are no backend server's concern.
-    pub(super) fn take_out(headers: &mut HeaderMap) -> Option<Self> {
+    /// Removes the keys from the headers of a search, so that they are not forwarded to backend servers.
+    pub(super) fn take(headers: &mut HeaderMap) -> Option<Self> {
         let keys = parse_keys(&headers.remove(ONLY_KEYS)?)?;
         Some(Self(keys))
     }
 }
 
-/// A part of a search that a host was assignment for.
+/// A part of a search that is assigned to a host.
 pub(in crate::gateway) struct PendingDelegation<'a> {
     assignment: Assignment<'a>,
     keys: KeySet,
 }
 
-/// What the other host covers, or whether it may have progress.
+/// The reply for a delegated part, or whether the other host may have started it.
 pub(in crate::gateway) type DelegatedReply = std::result::Result<Reply<ServerResponse>, Progress>;
 
-/// What became of a part.
+/// Result of a delegated part.
 pub(in crate::gateway) struct DelegationResult {
-    /// What came.
+    /// The reply, or whether the part may have started.
     pub(in crate::gateway) reply: DelegatedReply,
-    /// What went wrong, if something did.
+    /// Why keys are missing, if any are.
     pub(in crate::gateway) reason: Option<String>,
 }
 
 impl Relay {
-    /// Chooses who looks through a part of a search; `None` where this host asks all servers itself.
+    /// Assigns a part of a search to a host; returns `None` if this host should query all servers itself.
     pub(in crate::gateway) fn delegate(
         &self,
         remote_shards: &RemoteShards,
@@ -70,17 +70,17 @@
 }
 
 impl PendingDelegation<'_> {
-    /// Returns who was assignment.
+    /// Returns the assigned host.
     pub(in crate::gateway) fn host(&self) -> MemberId {
         self.assignment.host
     }
 
-    /// Returns the keys.
+    /// Returns the delegated keys.
     pub(in crate::gateway) fn keys(&self) -> &KeySet {
         &self.keys
     }
 
-    /// Asks for the part. The answer is poor where it lacks more than `max_missing` of the keys.
+    /// Sends the part to the assigned host. A reply that lacks more than `max_missing` keys counts as incomplete.
     pub(in crate::gateway) async fn send(
         mut self,
         head: request::Parts,
@@ -95,25 +95,25 @@
         }
         let Assignment { relay, host, .. } = self.assignment;
         let answer = relay.send(host, request, version, remaining).await;
-        let (outcome, result) = self.evaluate(answer, max_missing).await;
+        let (outcome, result) = self.evaluate_response(answer, max_missing).await;
         self.assignment.outcome = outcome;
         result
     }
 
-    async fn evaluate(
+    async fn evaluate_response(
         &self,
         answer: Result<Response<Full<Bytes>>>,
         max_missing: u64,
     ) -> (Outcome, DelegationResult) {
         let response = match answer {
             Ok(response) => response,
-            Err(error) => return (error.outcome(), failed(&error)),
+            Err(error) => return (error.outcome(), failed_delegation(&error)),
         };
         let status = response.status();
         let covered = self.covered(response.headers());
         let (Some((covered, snapshot)), StatusCode::OK) = (covered, status) else {
             let progress = match status {
-                // It says that nothing has run.
+                // With this status the host has not started anything.
                 StatusCode::SERVICE_UNAVAILABLE => Progress::NotStarted,
                 _ => Progress::MaybeStarted,
             };
@@ -127,20 +127,21 @@
             false => Outcome::Answered,
         };
         let reply = merged_reply(response, &covered, snapshot).await;
-        let reason = (missing > 0).then(|| format!("lacks {missing} of {}", self.keys.len()));
+        let reason =
+            (missing > 0).then(|| format!("missing {missing} of {} shards", self.keys.len()));
         (outcome, DelegationResult { reply, reason })
     }
 
-    /// Returns what an answer says that it covers, if that was asked for.
+    /// Returns the keys and index version that a response covers, or `None` if it covers none or keys not requested.
     fn covered(&self, headers: &HeaderMap) -> Option<(KeySet, IndexVersion)> {
         let covered = parse_keys(headers.get(COVERED)?)?;
         let is_requested = covered.difference(&self.keys).is_empty();
-        let snapshot = number(headers, &SNAPSHOT)?;
+        let snapshot = parse_number(headers, &SNAPSHOT)?;
         (is_requested && !covered.is_empty()).then_some((covered, snapshot))
     }
 }
 
-fn failed(error: &Error) -> DelegationResult {
+fn failed_delegation(error: &Error) -> DelegationResult {
     let progress = match error.may_have_started() {
         true => Progress::MaybeStarted,
         false => Progress::NotStarted,
@@ -151,7 +152,7 @@
     }
 }
 
-/// Makes a reply of one merged answer, which stands for all keys that it covers.
+/// Builds a reply from one merged response that covers several keys.
 async fn merged_reply(
     response: Response<Full<Bytes>>,
     covered: &KeySet,
@@ -176,7 +177,7 @@
     })
 }
 
-/// Writes into the answer for a part of a search what it covers.
+/// Sets the covered keys and the index version in the headers of a response to a delegated part.
 pub(in crate::gateway) fn set_covered(
     headers: &mut HeaderMap,
     covered: &KeySet,
--- a/crates/daemon/src/gateway/relay/helper.rs
+++ b/crates/daemon/src/gateway/relay/helper.rs
@@ -1,4 +1,4 @@
-//! Taking in the searches of other hosts, and their questions for what was read of the store.
+//! Handles searches and polls of other hosts.
 
 use super::{OnlyKeys, VERSION, decline, take_relay_headers};
 use crate::gateway::Ingress;
@@ -13,17 +13,17 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Searches of others that a host of one core takes on at once. One takes 2 ms of a core, and up to 300 ms where servers have much
-/// to do, so that this many use up a core. With fewer slots searches are decline while servers are short of room, and hosts
-/// that know little of the servers' load fan them out instead of refusing them.
+/// Concurrent searches accepted per core. Searches take long while backend servers are overloaded, so a lower
+/// limit would decline them then, and the other hosts, which know less about the load, would fan them out instead of
+/// refusing them.
 const SEARCHES_PER_CORE: f64 = 150.0;
 
-/// Answers the searches of other hosts.
+/// Answers searches of other hosts.
 pub(in crate::gateway) struct Helper<I> {
     pub(in crate::gateway) front: Front<I>,
-    /// What this host read of the store, for those that ask.
+    /// State read from the store, for hosts that poll this one.
     mirror: Arc<Mirror>,
-    /// Places for them.
+    /// Limits concurrent searches.
     slots: Semaphore,
 }
 
@@ -48,8 +48,8 @@
         mut request: Request<Incoming>,
         standing: Standing,
     ) -> Response<Full<Bytes>> {
-        // A search comes under a version. Without this look at it a client that sends the header of a question
-        // would have its search answered as one.
+        // Only searches carry a version. The check keeps a client that sets the headers of a poll from having its
+        // search answered as a poll.
         let is_search = request.headers().contains_key(VERSION);
         if !is_search {
             if let Some(response) = self.mirror.answer(request.headers()).await {
@@ -60,7 +60,7 @@
             return decline("full house");
         };
         let (version, delivery_margin) = take_relay_headers(request.headers_mut());
-        if let Some(only_keys) = OnlyKeys::take_out(request.headers_mut()) {
+        if let Some(only_keys) = OnlyKeys::take(request.headers_mut()) {
             request.extensions_mut().insert(only_keys);
         }
         if let Some(time) = delivery_margin {
--- a/crates/daemon/src/gateway/relay/mod.rs
+++ b/crates/daemon/src/gateway/relay/mod.rs
@@ -1,15 +1,13 @@
-//! Handing a search to a host that fans it out, and taking one in.
+//! Sends searches to hosts that fan them out, and accepts searches of other hosts.
 //!
-//! The request goes over as the client sent it, on connections of this host's own, with the version of
-//! the configuration that it came under. A host that has another version in force declines, so that one
-//! client never sees a version come and go. So does one that is stopping, that knows no server, or that
-//! has a full house: whoever asked then fans out by itself.
+//! A request is sent as the client wrote it, over this host's own connections, with the version of the configuration. A
+//! host with another version declines, so that clients never see versions alternate. It also declines if it is
+//! stopping, has no servers or is at its concurrency limit; the sender then fans the search out itself.
 //!
-//! Two hosts must never fan the same search out: each would ask as many servers of a shard as the request
-//! may run on, and the owners' bound would be broken. So a search of which a byte has left is the other
-//! host's, whatever becomes of the connection. Nothing tells one that never arrived from one whose
-//! acknowledgement was lost on a way that is cut one way, or whose host lost power while it waited: in each
-//! case the system says that the connection timed out.
+//! A search must never be fanned out by two hosts: together they could exceed the number of attempts allowed per shard.
+//! So once any byte of the request has been written, the search belongs to the other host, whatever happens to the
+//! connection. A timeout does not show whether the request arrived: only the acknowledgement may have been lost, or the
+//! host may have failed later.
 
 mod delegation;
 mod helper;
@@ -39,51 +37,51 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Version of the configuration that a search came under.
+/// Version of the configuration that a search belongs to.
 const VERSION: HeaderName = HeaderName::from_static("monsoonring-configuration");
 
-/// Milliseconds that the answer takes on its way from the host that hands the search on to its caller.
+/// Milliseconds that a response needs from the sending host to its caller.
 const DELIVERY_MARGIN: HeaderName = HeaderName::from_static("monsoonring-on-the-way-ms");
 
-/// Present where a host declined a search; says reason.
+/// Present if a host declined a search; contains the reason.
 pub(super) const DECLINED: HeaderName = HeaderName::from_static("monsoonring-declined");
 
-/// Time that a connect to a host in the same data centre may take: a hundred round trips.
+/// Connect timeout to a host in the same data centre.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Time within which the other host has to acknowledge what is sent. One that has lost power or is cut
-/// off never does, and the search would wait there for its deadline.
+/// Time within which the other host must acknowledge sent data. Otherwise a search sent to a host that lost power or
+/// is partitioned would wait for its deadline.
 const ACK_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time beyond a search's own that is waited for its answer.
-const ANSWER_GRACE: Duration = Duration::from_millis(20);
+/// Time beyond a search's deadline during which its response is awaited.
+const RESPONSE_GRACE: Duration = Duration::from_millis(20);
 
-/// Idle connections kept to each host.
+/// Maximum number of idle connections per host.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Largest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Largest accepted response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why another host did not answer.
+/// Why another host did not answer a search.
 #[derive(Debug, Snafu)]
 pub(super) enum Error {
     #[snafu(display("{source}"))]
     Connect { source: client::Error },
-    #[snafu(display("host {host}: connecting: no answer in {CONNECT_TIMEOUT:?}"))]
+    #[snafu(display("host {host}: connect timed out after {CONNECT_TIMEOUT:?}"))]
     ConnectTimeout { host: MemberId },
-    #[snafu(display("host {host}: asking, of which nothing left: {source}"))]
+    #[snafu(display("host {host}: request not sent: {source}"))]
     NotSent {
         host: MemberId,
         source: hyper::Error,
     },
-    #[snafu(display("host {host}: asking: {source}"))]
+    #[snafu(display("host {host}: connection failed after sending began: {source}"))]
     Interrupted {
         host: MemberId,
         source: hyper::Error,
     },
-    #[snafu(display("host {host}: answer broken off"))]
+    #[snafu(display("host {host}: incomplete response"))]
     Truncated { host: MemberId },
-    #[snafu(display("host {host}: no answer in {limit:?}"))]
+    #[snafu(display("host {host}: no response within {limit:?}"))]
     TimedOut { host: MemberId, limit: Duration },
     #[snafu(display("host {host} declined: {reason}"))]
     Declined { host: MemberId, reason: String },
@@ -92,8 +90,8 @@
 pub(super) type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Tells whether the other host may have begun to fan the search out. It may have asked as many servers of
-    /// a shard then as a request may run on, and this host must not ask more.
+    /// Returns whether the other host may have started to fan the search out. It may then have used up the attempts
+    /// allowed per shard, so this host must not send more.
     pub(super) fn may_have_started(&self) -> bool {
         matches!(
             self,
@@ -104,7 +102,7 @@
     fn outcome(&self) -> Outcome {
         match self {
             Self::Declined { .. } => Outcome::Declined,
-            // It acknowledged the search, and others in its place would have taken as long.
+            // The host acknowledged the search, and another one would likely have been as slow.
             Self::TimedOut { .. } => Outcome::Cancelled,
             _ => Outcome::Failed,
         }
@@ -117,16 +115,16 @@
     _driver: AbortOnDropHandle<()>,
 }
 
-/// The hosts that fan out for this one, and the connections to them.
+/// Sends searches to helpers and pools the connections to them.
 pub(super) struct Relay {
     clock: Clock,
-    /// Told when another host has a newer configuration.
+    /// Notified when another host has a newer configuration.
     outdated: Arc<Notify>,
     helpers: Mutex<Table>,
     idle: Mutex<HashMap<MemberId, Vec<Connection>>>,
 }
 
-/// A search that a helper was assignment for. Where the client leaves meanwhile this is dropped.
+/// A search assigned to a helper. Reports its outcome when dropped, also if the client disconnects.
 struct Assignment<'a> {
     relay: &'a Relay,
     host: MemberId,
@@ -150,17 +148,17 @@
         }
     }
 
-    /// Takes in how strong a host in the same data centre is.
+    /// Sets the CPU capacity of a host in the same data centre.
     pub(super) fn set_strength(&self, host: MemberId, strength: Centicores) {
         self.helpers().set_strength(host, strength);
     }
 
-    /// Takes in which hosts of another data centre may fan out.
+    /// Sets the candidates in another data centre.
     pub(super) fn set_remote(&self, remote: Remote) {
         self.helpers().set_remote(remote);
     }
 
-    /// Asks the host that is best placed; `None` where there is none.
+    /// Sends a search to the best helper; returns `None` if there is none.
     pub(super) async fn search(
         &self,
         head: &request::Parts,
@@ -175,17 +173,17 @@
             outcome: Outcome::Cancelled,
         };
         let mut request = Request::from_parts(head.clone(), Full::new(body.clone()));
-        // A client that sends the header of a part would have its search answered as one.
+        // A client that sets this header must not have its search answered as a part.
         request.headers_mut().remove(ONLY_KEYS);
-        let answer = self.send(host, request, version, remaining).await;
-        assignment.outcome = match &answer {
+        let response = self.send(host, request, version, remaining).await;
+        assignment.outcome = match &response {
             Ok(_) => Outcome::Answered,
             Err(error) => error.outcome(),
         };
-        Some((host, answer))
+        Some((host, response))
     }
 
-    /// Hands a request to a host, under a version of the configuration.
+    /// Sends a request to a host, with the version of the configuration.
     async fn send(
         &self,
         host: MemberId,
@@ -195,9 +193,9 @@
     ) -> Result<Response<Full<Bytes>>> {
         remove_framing(request.headers_mut());
         request.headers_mut().insert(VERSION, version.into());
-        let limit = remaining + ANSWER_GRACE;
+        let limit = remaining + RESPONSE_GRACE;
         match timeout(limit, self.exchange(host, request)).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => TimedOutSnafu { host, limit }.fail(),
         }
     }
@@ -211,7 +209,7 @@
         let mut connection = self.acquire(host).await?;
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
-            // The library hands the request back only where it has not written any of it.
+            // hyper returns the request only if none of it was written.
             Err(error) if error.message().is_some() => {
                 let source = error.into_error();
                 return Err(Error::NotSent { host, source });
@@ -222,7 +220,7 @@
             }
         };
         let (mut head, body) = response.into_parts();
-        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         let Ok(body) = body else {
             return TruncatedSnafu { host }.fail();
         };
@@ -261,7 +259,7 @@
         }
     }
 
-    // Nothing panics with a lock held, and what is outdated it is never left half changed.
+    // No code panics while it holds a lock, so the guarded values are consistent even if poisoned.
     fn helpers(&self) -> MutexGuard<'_, Table> {
         self.helpers.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -271,24 +269,24 @@
     }
 }
 
-/// Removes what belongs to the one connection that a message came over.
+/// Removes the headers that apply to a single connection.
 fn remove_framing(headers: &mut HeaderMap) {
     for name in [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING] {
         headers.remove(name);
     }
 }
 
-/// Returns the version of the configuration that a message names.
+/// Returns the version of the configuration in the headers.
 fn version(headers: &HeaderMap) -> Option<u64> {
-    number(headers, &VERSION)
+    parse_number(headers, &VERSION)
 }
 
-/// Returns the number that a header between hosts holds.
-pub(super) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+/// Parses the number in a header.
+pub(super) fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Answers that the search has not run here, and that whoever asked may fan out by itself.
+/// Builds a response that declines a search: it has not run here, and the sender may fan it out itself.
 pub(super) fn decline(reason: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -297,17 +295,17 @@
     response
 }
 
-/// Tells the other host how long the answer takes from here to the caller.
+/// Sets the time that a response needs from this host to the caller.
 pub(super) fn set_delivery_margin(headers: &mut HeaderMap, time: Duration) {
     headers.insert(DELIVERY_MARGIN, (time.as_millis() as u64).into());
 }
 
-/// Takes out of a search what is between hosts, and no backend server's concern. Returns the version of the
-/// configuration that it came under, and how long the answer takes on its way, as far as it says so.
+/// Removes the relay headers, so that they are not forwarded to backend servers. Returns the version of the
+/// configuration and the delivery margin, where set.
 fn take_relay_headers(headers: &mut HeaderMap) -> (Option<u64>, Option<Duration>) {
     let version = version(headers);
     headers.remove(VERSION);
-    let time = number(headers, &DELIVERY_MARGIN);
+    let time = parse_number(headers, &DELIVERY_MARGIN);
     headers.remove(DELIVERY_MARGIN);
     (version, time.map(Duration::from_millis))
 }
--- a/crates/daemon/src/gateway/relay/tests.rs
+++ b/crates/daemon/src/gateway/relay/tests.rs
@@ -1,4 +1,4 @@
-//! What a host that handed a search on may still do itself.
+//! Whether a search that failed at another host may still run on this one.
 
 use super::{Connection, Error, Relay};
 use crate::clock::Clock;
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio_util::task::AbortOnDropHandle;
 
-/// A stream that takes all that is written, and then fails.
+/// A stream that accepts writes and fails on the read that follows.
 struct Failing {
     error: ErrorKind,
     written: bool,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns a connection to another host that takes a request and then fails.
+/// Returns a connection that fails after the request was written.
 async fn connection(error: ErrorKind) -> Connection {
     let stream = Failing {
         error,
@@ -68,11 +68,11 @@
         reader: None,
     };
     let result = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, driver) = result.expect("it takes all that is written");
+    let (sender, driver) = result.expect("handshake succeeds");
     let driver = tokio::spawn(async move {
         let _ = driver.await;
     });
-    // Until it is driven it is not ready.
+    // The connection becomes ready once its driver has run.
     tokio::task::yield_now().await;
     Connection {
         sender,
@@ -80,11 +80,8 @@
     }
 }
 
-// Symptom: of each shard up to twice as many servers run a search as its route allows.
-// Events:  a host hands a search on, and its connection times out: what it sent arrived, and the acknowledgement
-//          was lost on a way that is cut one way; or the search was at work for seconds at a host that lost
-//          power. The host fans the search out itself.
-// Cause:   a connection that timed out was taken for a sign that nothing had arrived.
+// Guards against a search that two hosts fan out: after a timeout or reset the request may have arrived, and a second
+// fan-out would exceed the attempts allowed per shard.
 #[test_case(ErrorKind::TimedOut; "timed_out")]
 #[test_case(ErrorKind::ConnectionReset; "reset")]
 #[tokio::test]
@@ -93,27 +90,27 @@
     let relay = Relay::new(12, Clock::start(), Arc::new(Notify::new()));
     relay.set_strength(host, 50);
     relay.release(host, connection(error).await);
-    let request = Request::get("/map/1").body(()).expect("it is proper");
+    let request = Request::get("/map/1").body(()).expect("valid request");
     let ((head, ()), body) = (request.into_parts(), Bytes::new());
     let search = relay.search(&head, &body, 7, Duration::from_secs(5));
-    let (_, answer) = search.await.expect("there is one to ask");
-    let error = answer.expect_err("there is no answer");
+    let (_, answer) = search.await.expect("a helper is available");
+    let error = answer.expect_err("the connection fails");
     assert!(error.may_have_started(), "{error}");
 }
 
-// The other way about: where nothing was sent the search is still this host's.
+// A request that was never sent may still run on this host.
 #[tokio::test]
 async fn search_connection_refused_may_run_on_this_host() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let host = listener.local_addr().expect("it is bound");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("free port");
+    let host = listener.local_addr().expect("bound socket");
     drop(listener);
     let relay = Relay::new(12, Clock::start(), Arc::new(Notify::new()));
     relay.set_strength(host, 50);
-    let request = Request::get("/map/1").body(()).expect("it is proper");
+    let request = Request::get("/map/1").body(()).expect("valid request");
     let ((head, ()), body) = (request.into_parts(), Bytes::new());
     let search = relay.search(&head, &body, 7, Duration::from_secs(5));
-    let (_, answer) = search.await.expect("there is one to ask");
-    let error = answer.expect_err("nobody listens");
+    let (_, answer) = search.await.expect("a helper is available");
+    let error = answer.expect_err("connect is refused");
     assert!(matches!(error, Error::Connect { .. }), "{error}");
     assert!(!error.may_have_started());
 }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway: start, serve, stop.
+//! Starts, runs and stops a gateway.
 
 use super::content::Opaque;
 use super::describe::Describe;
@@ -35,60 +35,60 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::TaskTracker;
 
-/// Connections of the balancer and of monitoring at the same time.
+/// Maximum number of concurrent connections of the load balancer and monitoring.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// Why a gateway did not start.
+/// A gateway failed to start.
 #[derive(Debug, Snafu)]
 #[snafu(display("gateway: {source}"))]
 pub struct Error {
     source: crate::run::Error,
 }
 
-/// Result of starting.
+/// Result of starting a gateway.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Where a gateway listens.
+/// Addresses that a gateway listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     /// For clients.
     pub front: SocketAddr,
-    /// For the balancer and monitoring.
+    /// For the load balancer and monitoring.
     pub ready: SocketAddr,
-    /// For monitoring alone.
+    /// For monitoring only.
     pub metrics: SocketAddr,
-    /// For the other hosts; as they see it.
+    /// For the other hosts, as they reach it.
     pub hosts: SocketAddr,
 }
 
-/// What a gateway is started with.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it listens.
+    /// Addresses to listen on.
     pub addresses: Addresses,
-    /// Path on which the balancer asks whether it is ready.
+    /// Path of the readiness check.
     pub ready_path: &'static str,
-    /// Bounds on what clients can take of the process.
+    /// Limits on the resources that clients can use.
     pub limits: Limits,
     /// Data centre of this host.
     pub data_centre: DataCentreId,
-    /// What hosts share, and the number of hosts that is assumed before more are known.
+    /// How hosts share the backend servers; includes the number of hosts assumed until others are discovered.
     pub division: Division,
-    /// Extra attempts that the owners of backend servers allow for each first one.
+    /// Extra attempts allowed per first attempt.
     pub extra_attempts: f64,
-    /// Processor time of this host, in hundredths of a core; 0 where it is not known.
+    /// CPU capacity of this host in hundredths of a core; 0 if unknown.
     pub strength: Centicores,
-    /// Hosts to ask for the others, at the addresses for hosts.
+    /// Hosts to contact for discovery, by their address for hosts.
     pub seeds: Vec<SocketAddr>,
-    /// Time between "not ready" and the end of accepting in a planned stop.
+    /// Time between "not ready" and the end of accepting connections in a planned stop.
     pub drain_wait: Duration,
-    /// Longest time that a planned stop takes.
+    /// Longest duration of a planned stop.
     pub stop_timeout: Duration,
 }
 
 impl Settings {
-    /// Makes this host's part among the hosts. Its start is told by the time of day: a host that
-    /// starts again is a later one.
+    /// Builds the membership of this host. The start number comes from the wall clock, so that a restarted host
+    /// replaces its earlier start.
     fn members(&self, clock: Clock) -> Members {
         let own = Member {
             id: self.addresses.hosts,
@@ -109,27 +109,27 @@
     }
 }
 
-/// The adapter, as its adapter implements it.
+/// Connects a gateway to the platform that it runs on.
 pub struct Adapter<I, K> {
-    /// How clients speak.
+    /// The protocol of clients.
     pub ingress: I,
-    /// How backend servers speak, for one set of shards.
+    /// Creates the codec for the backend servers of a set of shards.
     pub codec: Box<dyn Fn(Instances) -> K + Send>,
-    /// What is learned of configuration and backend servers.
+    /// Updates of configuration and registry.
     pub updates: mpsc::UnboundedReceiver<Update>,
-    /// Told who reads the store.
+    /// Publishes which hosts read the store, for the adapter.
     pub readers: watch::Sender<Readers>,
-    /// What this host reads of the store itself.
+    /// State that this host reads from the store, for other hosts.
     pub mirror: Arc<Mirror>,
-    /// Told when another host has a newer configuration.
+    /// Notified when another host has a newer configuration.
     pub outdated: Arc<Notify>,
 }
 
-/// Serves until a signal to stop, and stops. Returns whether nothing was cut off.
+/// Serves until a stop signal, then stops. Returns whether all requests in flight finished.
 ///
 /// # Errors
 ///
-/// An address or the signals can't be listened on.
+/// Fails if an address or the signals can't be listened on.
 pub async fn run<I: Ingress, K: Codec<Content = Opaque>>(
     settings: Settings,
     adapter: Adapter<I, K>,
@@ -144,13 +144,13 @@
     Ok(gateway.stop(&settings, &telemetry.log).await)
 }
 
-/// Sockets that listen.
+/// Bound sockets.
 struct Listeners {
     front: TcpListener,
     ready: TcpListener,
     metrics: TcpListener,
     hosts: UdpSocket,
-    /// For the searches of other hosts.
+    /// For searches of other hosts.
     searches: TcpListener,
 }
 
@@ -173,7 +173,7 @@
     Ok(listener)
 }
 
-/// A gateway that serves.
+/// A running gateway.
 struct Gateway {
     clients: TaskTracker,
     searches: TaskTracker,
@@ -195,7 +195,7 @@
         let clock = Clock::start();
         let Telemetry { log, metrics } = telemetry;
         let (facts, local_facts) = mpsc::unbounded_channel();
-        let (member_updates, hosts) = mpsc::unbounded_channel();
+        let (member_updates, host_updates) = mpsc::unbounded_channel();
         let (remote_tx, remote_rx) = watch::channel(BTreeSet::new());
         let (member_status, member_status_requests) = mpsc::unbounded_channel();
         let (control_status, control_status_requests) = mpsc::unbounded_channel();
@@ -227,8 +227,8 @@
             facts,
         };
         let sources = control::Sources {
-            adapter: adapter.updates,
-            hosts,
+            updates: adapter.updates,
+            host_updates,
             status_requests: control_status_requests,
         };
         tokio::spawn(control::run(controller, state.clone(), sources));
@@ -258,7 +258,7 @@
             log: log.clone(),
         };
         let describe = Describe {
-            own: settings.addresses.hosts,
+            address: settings.addresses.hosts,
             data_centre: settings.data_centre.clone(),
             state: state.clone(),
             control: control_status,
@@ -291,9 +291,9 @@
         }
     }
 
-    /// Stops: first not ready, so that the balancer looks elsewhere, then no new connections, and in
-    /// the end, when nothing is in flight or its time is over, nothing at all. Returns whether nothing
-    /// was cut off. The balancer is answered to the last.
+    /// Stops the gateway: reports "not ready", waits for the load balancer to react, stops accepting connections, and
+    /// finishes the requests in flight until the timeout. Returns whether all of them finished. Readiness is served
+    /// until the end.
     async fn stop(self, settings: &Settings, log: &Logger) -> bool {
         info!(log, "stop"; "what" => "began");
         self.stop.advance(Stage::Leaving);
--- a/crates/daemon/src/gateway/split.rs
+++ b/crates/daemon/src/gateway/split.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is on each route.
+//! Distributes the requests of a route over its weighted targets.
 
 use monsoonring_configuration::id::RouteId;
 use monsoonring_decision::gateway::Shards;
@@ -7,12 +7,12 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// Credits of all routes that are split.
+/// Scheduling state of all routes with weighted targets.
 #[derive(Debug, Default)]
 pub(super) struct Splits(Mutex<HashMap<RouteId, Split>>);
 
 impl Splits {
-    /// Returns where the next request of a route goes, `None` where the route leads nowhere.
+    /// Returns the target of the next request of a route, or `None` if the route has no target.
     pub(super) fn next(&self, route: &Route) -> Option<Shards> {
         let parts = match &route.target {
             Target::FanOut(fan_out) => return Some(fan_out.shards.clone()),
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What requests find: the configuration in force and the homes of its sets of shards.
+//! State that requests read: the configuration in force and the homes of its sets of shards.
 
 use super::content::Opaque;
 use super::split::Splits;
@@ -11,16 +11,18 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// Which start of a backend server is expected at each address of a set of shards. The home's
-/// connections read it when they send, the control task replaces it.
+/// The server instance expected at each address of a set of shards.
+///
+/// Connections read it for each attempt, and the control task replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct Instances(Arc<RwLock<BTreeMap<BackendServerId, Expected>>>);
 
 impl Instances {
-    /// Returns the start that an attempt for `ranges` expects at an address, `None` where no server
-    /// of that shard is there any more. The home may learn that a moment later, and sending would
-    /// reach a server of another service, or of another shard, whose part would be taken for this
-    /// one's.
+    /// Returns the instance that an attempt for `ranges` expects at an address, or `None` if no server of that shard is
+    /// registered there any more.
+    ///
+    /// Until the home learns of the change, it may still choose that address. Its new server may belong to another
+    /// service or shard, and its response must not be taken for this shard.
     pub fn expected_at(&self, server: BackendServerId, ranges: &[Range]) -> Option<InstanceId> {
         let instances = self.0.read().unwrap_or_else(PoisonError::into_inner);
         let expected = instances.get(&server)?;
@@ -28,7 +30,7 @@
         is_shard.then(|| expected.instance.clone())
     }
 
-    /// Takes over what is expected now. Returns the addresses at which that is another start.
+    /// Replaces the expected instances. Returns the addresses whose instance changed.
     pub(super) fn replace(
         &self,
         instances: BTreeMap<BackendServerId, Expected>,
@@ -43,16 +45,16 @@
 /// Shards by the data centre where they have servers.
 pub(super) type RemoteShards = BTreeMap<DataCentreId, KeySet>;
 
-/// What is in force.
+/// The configuration in force and its homes.
 #[derive(Clone, Debug)]
 pub(super) struct View {
     pub(super) table: Arc<Table>,
     pub(super) homes: Arc<HashMap<Shards, route::Handle<Opaque>>>,
-    /// By set of shards: the shards without a server in this data centre, by where they have some.
+    /// By set of shards: shards without a server in this data centre, by the data centre that has one.
     pub(super) remote_shards: Arc<HashMap<Shards, RemoteShards>>,
 }
 
-/// What requests find.
+/// State shared between the control task and requests.
 #[derive(Debug, Default)]
 pub(super) struct State {
     view: RwLock<Option<View>>,
@@ -60,8 +62,7 @@
 }
 
 impl State {
-    /// Returns what is in force, `None` before the first configuration and the first list of
-    /// backend servers.
+    /// Returns the current view, or `None` before the first configuration and the first list of backend servers.
     pub(super) fn view(&self) -> Option<View> {
         let view = self.view.read().unwrap_or_else(PoisonError::into_inner);
         view.clone()
