--- a/crates/daemon/src/caller/filter/deadline.rs
+++ b/crates/daemon/src/caller/filter/deadline.rs
@@ -1,19 +1,19 @@
-//! Finds out how much time remains.
+//! Determines the deadline.
 
 use super::{Filter, Result};
-use crate::caller::exchange::{Exchange, Routed, Timed};
+use crate::caller::exchange::{Exchange, Routed, WithDeadline};
 use crate::caller::problem::Problem;
 use crate::caller::{header, read};
 use std::time::Duration;
 
-/// No request is kept longer, whatever its caller says.
+/// Longest remaining time that a caller can ask for.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// Turns the remaining time into a deadline on this process's clock.
-pub(crate) struct Deadline;
+/// Converts the remaining time, or the route's default, into a deadline on this process's clock.
+pub(crate) struct ReadDeadline;
 
-impl Filter<Exchange<Routed>> for Deadline {
-    type After = Exchange<Timed>;
+impl Filter<Exchange<Routed>> for ReadDeadline {
+    type After = Exchange<WithDeadline>;
 
     async fn apply(&self, before: Exchange<Routed>) -> Result<Self::After> {
         let sent = read::single(&before.head.headers, header::DEADLINE_MS)?;
@@ -22,14 +22,16 @@
             None => before.stage.route.deadline_ms,
         };
         if milliseconds == 0 {
-            return Err(Problem::late("no time remained when the request arrived"));
+            return Err(Problem::deadline_passed(
+                "no time remained when the request arrived",
+            ));
         }
         let remaining = Duration::from_millis(milliseconds).min(MAX_DEADLINE);
         let deadline = before.head.arrived + remaining;
-        Ok(before.pass(|routed| Timed { routed, deadline }))
+        Ok(before.advance(|routed| WithDeadline { routed, deadline }))
     }
 }
 
 fn not_a_number() -> Problem {
-    Problem::header(header::DEADLINE_MS, "is not a whole number of milliseconds")
+    Problem::bad_header(header::DEADLINE_MS, "is not a whole number of milliseconds")
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,11 +1,11 @@
-//! The life of the process: start, serve, stop.
+//! Starts, runs and stops the process.
 //!
-//! A planned stop cuts nothing off. First the daemon says that it is not ready, and still serves
-//! everything, until the balancer has had time to look elsewhere; then it accepts no more, and ends
-//! when nothing is in flight. A second signal, or the bound on the whole, cuts off what is left,
-//! and the log says what that was.
+//! A planned stop cuts nothing off. The daemon first reports that it is not ready but still serves
+//! requests until load balancers have had time to react; then it stops accepting connections and
+//! ends when no request is in flight. A second signal or the stop timeout cuts off the remaining
+//! requests, and the log shows how many.
 
-use crate::caller::{self, Ledger};
+use crate::caller::{self, RequestLog};
 use crate::metrics::Metrics;
 use crate::metrics::label::Side;
 use crate::operator;
@@ -25,74 +25,74 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::task::TaskTracker;
 
-/// Exit code of a process that could not start.
+/// Exit code of a process that failed to start.
 pub const EXIT_CODE_FAILED: u8 = 1;
 
 /// Exit code of a process whose stop was cut short.
 pub const EXIT_CODE_CUT: u8 = 3;
 
-/// Connections of operators at the same time.
+/// Limit on simultaneous operator connections.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// Why the daemon did not start.
+/// Failure to start the daemon.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address could not be listened on.
+    /// An address can't be listened on.
     #[snafu(display("cannot listen for {side}s on {address}: {source}"))]
     Listen {
-        /// Who should have been served.
+        /// Who is served on the address.
         side: Side,
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A signal could not be listened for.
+    /// Signals can't be received.
     #[snafu(display("cannot listen for signals: {source}"))]
     Signal {
-        /// What the operating system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Result of starting.
+/// Result of starting the daemon.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Where the daemon writes what it does.
+/// Log and metrics of a daemon.
 #[derive(Clone, Debug)]
 pub struct Telemetry {
-    /// The log.
+    /// Root logger.
     pub log: Logger,
-    /// The metrics.
+    /// Metrics of the whole daemon.
     pub metrics: Arc<Metrics>,
 }
 
 /// How a stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// Everything in flight was finished.
-    Planned,
-    /// It was cut short.
+pub enum StopOutcome {
+    /// All requests in flight were finished.
+    Complete,
+    /// The stop was cut short.
     Cut {
-        /// Number of callers' requests cut off.
+        /// Number of callers' requests that were cut off.
         requests: usize,
     },
 }
 
-impl From<Ended> for ExitCode {
-    fn from(ended: Ended) -> Self {
+impl From<StopOutcome> for ExitCode {
+    fn from(ended: StopOutcome) -> Self {
         match ended {
-            Ended::Planned => Self::SUCCESS,
-            Ended::Cut { .. } => Self::from(EXIT_CODE_CUT),
+            StopOutcome::Complete => Self::SUCCESS,
+            StopOutcome::Cut { .. } => Self::from(EXIT_CODE_CUT),
         }
     }
 }
 
-/// A daemon that serves.
+/// A daemon that serves callers and operators.
 pub struct Running {
     service: Arc<dyn Service>,
     telemetry: Telemetry,
-    ledger: Ledger,
+    request_log: RequestLog,
     stop: Control,
     operator_stop: Control,
     callers: TaskTracker,
@@ -100,29 +100,29 @@
     caller_address: SocketAddr,
     operator_address: SocketAddr,
     drain_wait: Duration,
-    stop_bound: Duration,
+    stop_timeout: Duration,
 }
 
-/// Serves until a signal to stop, and stops.
+/// Serves until a stop signal arrives, and stops.
 ///
 /// # Errors
 ///
-/// An address or the signals can't be listened on.
+/// Fails if an address can't be listened on or signals can't be received.
 pub async fn run(
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: Telemetry,
-) -> Result<Ended> {
+) -> Result<StopOutcome> {
     let signals = signals()?;
     let running = Running::start(settings, service, telemetry).await?;
     Ok(running.until_stopped(signals).await)
 }
 
-/// Returns the signals that ask the process to stop, SIGTERM and SIGINT.
+/// Returns a stream of the stop signals, SIGTERM and SIGINT.
 ///
 /// # Errors
 ///
-/// The operating system refuses to deliver them.
+/// Fails if the operating system refuses a signal handler.
 pub fn signals() -> Result<impl Stream<Item = ()> + Send> {
     let terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
     let interrupt = signal(SignalKind::interrupt()).context(SignalSnafu)?;
@@ -140,11 +140,11 @@
 }
 
 impl Running {
-    /// Listens for callers and operators.
+    /// Starts to serve callers and operators.
     ///
     /// # Errors
     ///
-    /// One of the addresses can't be listened on.
+    /// Fails if one of the addresses can't be listened on.
     pub async fn start(
         settings: &Settings,
         service: Arc<dyn Service>,
@@ -155,13 +155,19 @@
             listen(Side::Operator, settings.operator_listen).await?;
         let (stop, watch) = Control::new();
         let (operator_stop, operator_watch) = Control::new();
-        let ledger = Ledger::new(
+        let request_log = RequestLog::new(
             telemetry.metrics.clone(),
             telemetry.log.clone(),
             watch.clone(),
         );
-        let callers = callers(settings, service.clone(), &telemetry, ledger.clone(), watch);
-        let operators = operators(settings, service.clone(), &telemetry, operator_watch);
+        let callers = caller_server(
+            settings,
+            service.clone(),
+            &telemetry,
+            request_log.clone(),
+            watch,
+        );
+        let operators = operator_server(settings, service.clone(), &telemetry, operator_watch);
         info!(
             telemetry.log, "serving";
             "callers" => %caller_address,
@@ -177,7 +183,7 @@
         Ok(Self {
             service,
             telemetry,
-            ledger,
+            request_log,
             stop,
             operator_stop,
             callers: callers.start(caller_listener),
@@ -185,7 +191,7 @@
             caller_address,
             operator_address,
             drain_wait: settings.drain_wait(),
-            stop_bound: settings.stop_bound(),
+            stop_timeout: settings.stop_bound(),
         })
     }
 
@@ -199,61 +205,61 @@
         self.operator_address
     }
 
-    /// Waits for the first signal, stops, and tells how that ended. A second signal cuts the stop
-    /// short. The end of the stream counts as no further signal.
-    pub async fn until_stopped(self, signals: impl Stream<Item = ()> + Send) -> Ended {
+    /// Waits for the first signal, stops, and returns how the stop ended. A second signal cuts the
+    /// stop short; the end of the stream does not count as a signal.
+    pub async fn until_stopped(self, signals: impl Stream<Item = ()> + Send) -> StopOutcome {
         let mut signals = pin!(signals.chain(futures::stream::pending()));
         signals.next().await;
         let log = &self.telemetry.log;
-        info!(log, "stop began"; "in_flight" => self.ledger.in_flight());
-        let whole = tokio::select! {
-            () = self.finish() => true,
+        info!(log, "stop began"; "in_flight" => self.request_log.in_flight());
+        let drained = tokio::select! {
+            () = self.drain_and_stop() => true,
             _ = signals.next() => self.give_up("second signal"),
-            () = tokio::time::sleep(self.stop_bound) => self.give_up("bound reached"),
+            () = tokio::time::sleep(self.stop_timeout) => self.give_up("stop timeout reached"),
         };
         self.stop.advance(Stage::Cut);
         self.callers.wait().await;
         self.operator_stop.advance(Stage::Cut);
         self.operators.wait().await;
-        let requests = self.ledger.cut();
+        let requests = self.request_log.cut_requests();
         info!(log, "stopped"; "cut" => requests);
-        if whole {
-            Ended::Planned
+        if drained {
+            StopOutcome::Complete
         } else {
-            Ended::Cut { requests }
+            StopOutcome::Cut { requests }
         }
     }
 
-    /// The stages of a stop that cuts nothing off.
-    async fn finish(&self) {
+    /// Runs a stop through all stages that cut nothing off.
+    async fn drain_and_stop(&self) {
         self.stop.advance(Stage::Leaving);
         self.service.leave();
         tokio::time::sleep(self.drain_wait).await;
-        self.stop.advance(Stage::Finishing);
+        self.stop.advance(Stage::Draining);
         let log = &self.telemetry.log;
-        info!(log, "accepting ended"; "in_flight" => self.ledger.in_flight());
+        info!(log, "accepting ended"; "in_flight" => self.request_log.in_flight());
         self.callers.wait().await;
         self.service.drain().await;
     }
 
-    fn give_up(&self, why: &'static str) -> bool {
+    fn give_up(&self, reason: &'static str) -> bool {
         let log = &self.telemetry.log;
-        warn!(log, "stop cut short"; "why" => why, "in_flight" => self.ledger.in_flight());
+        warn!(log, "stop cut short"; "why" => reason, "in_flight" => self.request_log.in_flight());
         false
     }
 }
 
-fn callers(
+fn caller_server(
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: &Telemetry,
-    ledger: Ledger,
+    request_log: RequestLog,
     stop: Watch,
 ) -> Server<caller::Front> {
     let metrics = &telemetry.metrics;
     let handler = caller::Front::new(
         service,
-        ledger,
+        request_log,
         stop.clone(),
         settings.limits.body_timeout(),
         metrics.front.excess_connections.clone(),
@@ -268,7 +274,7 @@
     }
 }
 
-fn operators(
+fn operator_server(
     settings: &Settings,
     service: Arc<dyn Service>,
     telemetry: &Telemetry,
--- a/crates/daemon/src/server/socket.rs
+++ b/crates/daemon/src/server/socket.rs
@@ -1,11 +1,10 @@
-//! A connection's socket with the timeouts that the HTTP library lacks.
+//! A socket with the timeouts that hyper lacks.
 //!
-//! The library bounds the time from the end of one request to the end of the next one's head,
-//! which is the idle timeout here. Two more bounds are needed: a head that has begun must come to
-//! its end soon, and an answer must be read. Without the first, a caller that sends a byte now and
-//! then holds a connection for the whole idle timeout; without the second, one that never reads
-//! holds it for good, in a stop too. Either shows as connections that stay open while no request
-//! is in flight.
+//! hyper limits the time from the end of one request to the end of the next head, which serves as
+//! the idle timeout. This socket adds a timeout for a head once its first byte has arrived, and one
+//! for a client that does not read its response. Without the first, a client that sends single
+//! bytes occupies a connection for the whole idle timeout; without the second, one that never reads
+//! occupies it for good and blocks a stop.
 
 use crate::settings::Limits;
 use std::io::{Error, ErrorKind, IoSlice, Result};
@@ -18,31 +17,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// What a connection is about, for both of its ends: the socket and the handler.
+/// State of a connection, shared by its socket and its handler.
 #[derive(Debug, Default)]
-pub(super) struct Phase {
+pub(super) struct Activity {
     working: AtomicBool,
     stalled: AtomicBool,
     requests: AtomicU64,
 }
 
-/// A request is being worked on as long as this lives.
-pub(super) struct Working<'a>(&'a Phase);
+/// Marks a request as in progress until dropped.
+pub(super) struct RequestGuard<'a>(&'a Activity);
 
-impl Phase {
-    /// Notes that the head of a request has come to its end.
-    pub(super) fn work(&self) -> Working<'_> {
+impl Activity {
+    /// Records that the head of a request is complete.
+    pub(super) fn begin_request(&self) -> RequestGuard<'_> {
         self.requests.fetch_add(1, Ordering::Relaxed);
         self.working.store(true, Ordering::Relaxed);
-        Working(self)
+        RequestGuard(self)
     }
 
-    /// Tells whether a part of an answer waits to be written.
-    pub(super) fn stalled(&self) -> bool {
+    /// Returns whether part of a response is waiting to be written.
+    pub(super) fn is_write_stalled(&self) -> bool {
         self.stalled.load(Ordering::Relaxed)
     }
 
-    fn working(&self) -> bool {
+    fn is_working(&self) -> bool {
         self.working.load(Ordering::Relaxed)
     }
 
@@ -51,23 +50,23 @@
     }
 }
 
-impl Drop for Working<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         self.0.working.store(false, Ordering::Relaxed);
     }
 }
 
-/// The time that the present head may take.
+/// Timeout of the head that is being read.
 struct Head {
-    /// Number of requests before it.
+    /// Number of requests before this one, which identifies it.
     after: u64,
     timer: Pin<Box<Sleep>>,
 }
 
-/// A socket that gives up on a head that does not end and on an answer that is not read.
+/// A socket that fails if a head is not completed or a response is not read in time.
 pub(super) struct Socket {
     stream: TcpStream,
-    phase: Arc<Phase>,
+    activity: Arc<Activity>,
     header_timeout: Duration,
     write_timeout: Duration,
     head: Option<Head>,
@@ -76,13 +75,13 @@
 
 impl Socket {
     /// Wraps the socket of an accepted connection.
-    pub(super) fn new(stream: TcpStream, phase: Arc<Phase>, limits: &Limits) -> Self {
-        // Answers are written whole; waiting for more to send would only delay them. A socket that
-        // refuses the option is served all the same.
+    pub(super) fn new(stream: TcpStream, activity: Arc<Activity>, limits: &Limits) -> Self {
+        // Each response is written in one piece, so Nagle's algorithm would only delay it. A socket
+        // that refuses the option works without it.
         let _refused = stream.set_nodelay(true);
         Self {
             stream,
-            phase,
+            activity,
             header_timeout: limits.header_timeout(),
             write_timeout: limits.write_timeout(),
             head: None,
@@ -90,19 +89,19 @@
         }
     }
 
-    /// Starts the time of a head with its first byte.
-    fn begun(&mut self) {
-        let after = self.phase.requests();
-        let known = self.head.as_ref().is_some_and(|head| head.after == after);
-        if !self.phase.working() && !known {
+    /// Starts the timeout of a head at its first byte.
+    fn start_head_timer(&mut self) {
+        let after = self.activity.requests();
+        let timer_running = self.head.as_ref().is_some_and(|head| head.after == after);
+        if !self.activity.is_working() && !timer_running {
             let timer = Box::pin(sleep(self.header_timeout));
             self.head = Some(Head { after, timer });
         }
     }
 
     fn check_head(&mut self, context: &mut Context<'_>) -> Poll<Result<()>> {
-        let after = self.phase.requests();
-        if self.phase.working() {
+        let after = self.activity.requests();
+        if self.activity.is_working() {
             return Poll::Pending;
         }
         match &mut self.head {
@@ -114,13 +113,13 @@
         }
     }
 
-    /// Passes on the result of writing; where nothing was written for too long, an error.
-    fn written<T>(
+    /// Returns the result of a write, or an error if no progress was made within the write timeout.
+    fn check_write<T>(
         &mut self,
         context: &mut Context<'_>,
         result: Poll<Result<T>>,
     ) -> Poll<Result<T>> {
-        self.phase
+        self.activity
             .stalled
             .store(result.is_pending(), Ordering::Relaxed);
         if result.is_ready() {
@@ -130,12 +129,12 @@
         let timeout = self.write_timeout;
         let timer = self.stalled.get_or_insert_with(|| Box::pin(sleep(timeout)));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(Err(timed_out("the answer was not read")))
+        Poll::Ready(Err(timed_out("the client did not read the response")))
     }
 }
 
-fn timed_out(what: &'static str) -> Error {
-    Error::new(ErrorKind::TimedOut, what)
+fn timed_out(reason: &'static str) -> Error {
+    Error::new(ErrorKind::TimedOut, reason)
 }
 
 impl AsyncRead for Socket {
@@ -149,7 +148,7 @@
             Poll::Pending => self.check_head(context),
             Poll::Ready(result) => {
                 if buffer.filled().len() > before {
-                    self.begun();
+                    self.start_head_timer();
                 }
                 Poll::Ready(result)
             }
@@ -164,7 +163,7 @@
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.written(context, result)
+        self.check_write(context, result)
     }
 
     fn poll_write_vectored(
@@ -173,7 +172,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.written(context, result)
+        self.check_write(context, result)
     }
 
     fn is_write_vectored(&self) -> bool {
