--- a/crates/daemon/src/backend/codec/mod.rs
+++ b/crates/daemon/src/backend/codec/mod.rs
@@ -1,7 +1,6 @@
-//! Attempts to HTTP requests, HTTP responses to replies.
+//! Encodes attempts as HTTP requests and decodes the responses.
 //!
-//! Nothing here trusts a backend server: what can't be read is [`Failure::Mismatched`], never a
-//! guess.
+//! Backend servers are not trusted: a response that can't be read is [`Failure::Mismatched`].
 
 #[cfg(test)]
 mod tests;
@@ -24,26 +23,26 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Refusal of a connection beyond the limit; it comes before the request was read, so that it can't
-/// name the attempt.
+/// Reason of a refusal at the connection limit. It is sent before a request is read, so it can't
+/// carry the attempt's id.
 const CONNECTIONS: &str = "connections";
 
-/// Status of the reply to a cancelled attempt; it has no name in the registry.
+/// Non-standard status of the response to a cancelled attempt.
 const STATUS_CANCELLED: u16 = 499;
 
-/// Writes attempts as HTTP requests and reads the responses to them.
+/// Encodes attempts as HTTP requests and decodes the responses.
 pub trait Codec: Clone + Debug + marker::Send + Sync + 'static {
-    /// What requests ask and replies hold.
+    /// Types of the content of requests and replies.
     type Content: Content;
 
-    /// Writes the HTTP request of an attempt, whose reply is of use for the time that remains.
+    /// Encodes an attempt; `remaining` is the time until its deadline.
     ///
     /// # Errors
     ///
-    /// Fails where the attempt can't be written; nothing of it is sent.
-    fn request(&self, send: &Send<Self::Content>, remaining: Duration) -> Written;
+    /// Fails if the attempt can't be encoded; nothing of it is sent.
+    fn request(&self, send: &Send<Self::Content>, remaining: Duration) -> EncodeResult;
 
-    /// Reads the response to an attempt; the body is whole.
+    /// Decodes the response to an attempt; `body` is complete.
     fn answer(
         &self,
         send: &Send<Self::Content>,
@@ -52,33 +51,34 @@
     ) -> Answer<Self::Content>;
 }
 
-/// An HTTP request, or why it could not be written.
-pub type Written = Result<Request<Full<Bytes>>, Box<dyn std::error::Error + marker::Send + Sync>>;
+/// An HTTP request, or why it could not be encoded.
+pub type EncodeResult =
+    Result<Request<Full<Bytes>>, Box<dyn std::error::Error + marker::Send + Sync>>;
 
-/// The product's own interface to backend servers.
+/// The product's own JSON interface to backend servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Json;
 
 impl Codec for Json {
     type Content = content::Json;
 
-    fn request(&self, send: &Send, remaining: Duration) -> Written {
-        request(send, remaining)
+    fn request(&self, send: &Send, remaining: Duration) -> EncodeResult {
+        encode_request(send, remaining)
     }
 
     fn answer(&self, send: &Send, head: &response::Parts, body: Bytes) -> Answer {
-        answer(send, head, &body)
+        decode_answer(send, head, &body)
     }
 }
 
-/// What came of one attempt.
+/// Result of one attempt.
 #[derive(Debug)]
 pub enum Answer<C: Content = content::Json> {
-    /// A search was answered.
+    /// Reply to a search.
     Reply(Reply<C::Value>),
-    /// A non-idempotent request ran.
+    /// Value returned by a non-idempotent request that ran.
     Executed(C::Value, Report),
-    /// Anything else.
+    /// The attempt failed.
     Failed(Failure),
 }
 
@@ -110,12 +110,12 @@
     value: Box<RawValue>,
 }
 
-/// Writes the HTTP request of an attempt.
+/// Encodes an attempt as an HTTP request.
 ///
 /// # Errors
 ///
-/// Fails where the request's body is no JSON or a header can't be written; neither is sent.
-pub(crate) fn request(send: &Send, remaining: Duration) -> Written {
+/// Fails if the body is not JSON or a header can't be written; nothing is sent then.
+pub(crate) fn encode_request(send: &Send, remaining: Duration) -> EncodeResult {
     let query: &RawValue = serde_json::from_str(&send.body)?;
     let (path, body) = match &send.execute_key {
         None => (
@@ -127,11 +127,11 @@
         ),
         Some(_) => ("/execute", serde_json::to_vec(&ExecuteBody { query })?),
     };
-    let head = head(send, path, remaining);
+    let head = request_head(send, path, remaining);
     Ok(head.body(Full::new(body.into()))?)
 }
 
-fn head(send: &Send, path: &str, remaining: Duration) -> request::Builder {
+fn request_head(send: &Send, path: &str, remaining: Duration) -> request::Builder {
     let mut head = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -149,49 +149,49 @@
     head
 }
 
-/// Writes an attempt's id as the header carries it.
+/// Formats an attempt id as 16 hexadecimal digits.
 pub(crate) fn attempt_text(attempt: AttemptId) -> String {
     format!("{attempt:016x}")
 }
 
-/// Reads the response to an attempt.
-pub(crate) fn answer(send: &Send, head: &response::Parts, body: &[u8]) -> Answer {
-    let report = report(&head.headers);
-    let refusal = text(&head.headers, header::NOT_RUN);
+/// Decodes the response to an attempt.
+pub(crate) fn decode_answer(send: &Send, head: &response::Parts, body: &[u8]) -> Answer {
+    let report = parse_report(&head.headers);
+    let refusal = header_text(&head.headers, header::NOT_RUN);
     if refusal == Some(CONNECTIONS) && !head.headers.contains_key(header::ATTEMPT) {
-        return Answer::Failed(refused(CONNECTIONS, &head.headers, report));
+        return Answer::Failed(decode_refusal(CONNECTIONS, &head.headers, report));
     }
-    // A response that belongs to another attempt would hand one caller another one's answer, or
-    // pass another one's refusal for the proof that this request did not run.
-    if text(&head.headers, header::ATTEMPT) != Some(attempt_text(send.attempt).as_str()) {
+    // The response to another attempt would give a caller the wrong answer, or its refusal would
+    // be taken as proof that this request did not run.
+    if header_text(&head.headers, header::ATTEMPT) != Some(attempt_text(send.attempt).as_str()) {
         return Answer::Failed(Failure::Mismatched);
     }
     if let Some(reason) = refusal {
-        return Answer::Failed(refused(reason, &head.headers, report));
+        return Answer::Failed(decode_refusal(reason, &head.headers, report));
     }
     match head.status {
-        StatusCode::OK if send.execute_key.is_some() => executed(body, report),
-        StatusCode::OK => reply(&head.headers, body, report),
+        StatusCode::OK if send.execute_key.is_some() => decode_executed(body, report),
+        StatusCode::OK => decode_reply(&head.headers, body, report),
         status if is_abandoned(status) => Answer::Failed(Failure::Cancelled { report }),
         status if status.is_server_error() => Answer::Failed(Failure::ServerError { report }),
         _ => Answer::Failed(Failure::Mismatched),
     }
 }
 
-/// Tells whether the server stopped in the middle: cancelled, or past the deadline. Neither says how
-/// much of a request had its effect.
+/// Returns whether the server stopped part-way: cancelled, or past the deadline. The request may
+/// have taken effect in part.
 fn is_abandoned(status: StatusCode) -> bool {
     status.as_u16() == STATUS_CANCELLED || status == StatusCode::GATEWAY_TIMEOUT
 }
 
-fn executed(body: &[u8], report: Report) -> Answer {
+fn decode_executed(body: &[u8], report: Report) -> Answer {
     match serde_json::from_slice::<ExecutedBody>(body) {
         Ok(body) => Answer::Executed(body.value.into(), report),
         Err(_) => Answer::Failed(Failure::Mismatched),
     }
 }
 
-fn reply(headers: &HeaderMap, body: &[u8], report: Report) -> Answer {
+fn decode_reply(headers: &HeaderMap, body: &[u8], report: Report) -> Answer {
     let Ok(body) = serde_json::from_slice::<ReplyBody>(body) else {
         return Answer::Failed(Failure::Mismatched);
     };
@@ -202,7 +202,7 @@
             value: item.value.into(),
         })
         .collect();
-    let index_version = number(headers, header::INDEX_VERSION);
+    let index_version = header_number(headers, header::INDEX_VERSION);
     Answer::Reply(Reply {
         index_version,
         ranges: body.ranges,
@@ -211,7 +211,7 @@
     })
 }
 
-fn refused(reason: &str, headers: &HeaderMap, report: Report) -> Failure {
+fn decode_refusal(reason: &str, headers: &HeaderMap, report: Report) -> Failure {
     let refusal = match reason {
         "shedding" => Refusal::Shedding,
         "draining" => Refusal::Draining,
@@ -222,10 +222,10 @@
         },
         CONNECTIONS => Refusal::Connections,
         "malformed" => Refusal::Malformed,
-        // A reason of a later protocol: what it proves is still that the request did not run.
+        // A reason from a later protocol version still proves that the request did not run.
         _ => Refusal::Shedding,
     };
-    let retry_after = number(headers, header::RETRY_AFTER_MS).map(Duration::from_millis);
+    let retry_after = header_number(headers, header::RETRY_AFTER_MS).map(Duration::from_millis);
     Failure::Refused {
         refusal,
         retry_after,
@@ -233,19 +233,19 @@
     }
 }
 
-/// Reads what a backend server says of itself in the headers of any response.
-pub(crate) fn report(headers: &HeaderMap) -> Report {
+/// Reads the server's status report from the headers of any response.
+pub(crate) fn parse_report(headers: &HeaderMap) -> Report {
     Report {
-        load: text(headers, header::LOAD).and_then(load),
-        index_versions: text(headers, header::INDEX_VERSIONS)
-            .map(versions)
+        load: header_text(headers, header::LOAD).and_then(parse_load),
+        index_versions: header_text(headers, header::INDEX_VERSIONS)
+            .map(parse_versions)
             .unwrap_or_default(),
-        start: number(headers, header::START),
-        draining: text(headers, header::DRAINING) == Some("true"),
+        start: header_number(headers, header::START),
+        draining: header_text(headers, header::DRAINING) == Some("true"),
     }
 }
 
-fn load(text: &str) -> Option<Load> {
+fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text
         .split('/')
         .map(|number| number.trim().parse::<u32>().ok());
@@ -259,16 +259,16 @@
     })
 }
 
-fn versions(text: &str) -> Vec<IndexVersion> {
+fn parse_versions(text: &str) -> Vec<IndexVersion> {
     text.split(',')
         .filter_map(|version| version.trim().parse().ok())
         .collect()
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn number<T: FromStr<Err: Display>>(headers: &HeaderMap, name: &str) -> Option<T> {
-    text(headers, name)?.trim().parse().ok()
+fn header_number<T: FromStr<Err: Display>>(headers: &HeaderMap, name: &str) -> Option<T> {
+    header_text(headers, name)?.trim().parse().ok()
 }
--- a/crates/daemon/src/caller/filter/fingerprint.rs
+++ b/crates/daemon/src/caller/filter/fingerprint.rs
@@ -1,32 +1,33 @@
-//! Tells requests that ask the same from those that don't.
+//! Computes the fingerprint of a request, a hash of its route and body.
 //!
-//! A fingerprint decides two things: whether a request is like one that has crashed backend
-//! servers, and whether a key comes back with another request. Both go wrong if the same question
-//! can have two fingerprints, so members of objects are hashed in the order of their names and
-//! white space not at all; some JSON libraries write both anew each time. Both go wrong, too, if a
-//! caller can make two questions with one fingerprint and so have another's refused; hence SHA-256
-//! and no faster hash without that property. The first 8 bytes of it are kept, and bodies are a few
-//! kilobytes, so the cost is some microseconds.
+//! Fingerprints identify requests like one that crashed backend servers, and keys that are reused
+//! for a different request. Equal JSON values must have equal fingerprints although some libraries
+//! write members and white space differently each time, so members are hashed in the order of
+//! their names and white space is not hashed. SHA-256 keeps a caller from constructing a request
+//! that collides with another caller's and gets that one refused.
 
 use super::{Filter, Result};
-use crate::caller::exchange::{Exchange, Json, Keyed, Printed};
+use crate::caller::exchange::{Exchange, Fingerprinted, Json, WithKey};
 use monsoonring_decision::Fingerprint;
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-/// Bytes of the digest that make the fingerprint.
+/// Leading bytes of the digest that form the fingerprint.
 const BYTES: usize = size_of::<Fingerprint>();
 
-/// Hashes route and body.
-pub(crate) struct Print;
+/// Adds the fingerprint.
+pub(crate) struct ComputeFingerprint;
 
-impl Filter<Exchange<Keyed, Json>> for Print {
-    type After = Exchange<Keyed, Printed>;
+impl Filter<Exchange<WithKey, Json>> for ComputeFingerprint {
+    type After = Exchange<WithKey, Fingerprinted>;
 
-    async fn apply(&self, before: Exchange<Keyed, Json>) -> Result<Self::After> {
-        let fingerprint = fingerprint(&before.stage.timed.routed.route.name, &before.body.value);
+    async fn apply(&self, before: Exchange<WithKey, Json>) -> Result<Self::After> {
+        let fingerprint = fingerprint(
+            &before.stage.with_deadline.routed.route.name,
+            &before.body.value,
+        );
         let text = before.body.text.clone();
-        Ok(before.with_body(Printed { text, fingerprint }))
+        Ok(before.with_body(Fingerprinted { text, fingerprint }))
     }
 }
 
@@ -42,8 +43,8 @@
     Fingerprint::from_be_bytes(bytes)
 }
 
-/// Feeds a value to the hash. Each part begins with its kind and length, so that no two values give
-/// the same bytes. The depth is bounded by the parser.
+/// Feeds a value to the hash. Each part begins with its kind and length, so that different values
+/// produce different input. The parser bounds the recursion depth.
 fn feed(hash: &mut Sha256, value: &Value) {
     match value {
         Value::Null => hash.update(b"n"),
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -1,18 +1,18 @@
-//! Keeps the homes in step with the configuration and the registered backend servers.
+//! Updates the homes when the configuration or the registered backend servers change.
 //!
-//! One task takes all news in order, so that no version of either can overtake a newer one. A set
-//! of shards that the configuration names gets a home, and the home of one that it does not name
-//! any more ends when its last request has: until then those requests keep their snapshot.
+//! A single task handles all updates in order, so that an old version never replaces a newer one. Each set of shards
+//! that the configuration names has a home. The home of a set that is no longer named ends with its last request,
+//! which keeps the snapshot that it started with.
 
-use super::News;
+use super::Update;
 use super::content::Opaque;
 use super::members;
 use super::relay::Relay;
-use super::state::{Elsewhere, Instances, State, View};
+use super::state::{Instances, RemoteShards, State, View};
 use crate::backend::Codec;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::route::{self, Facts, Side};
+use crate::route::{self, Facts, Management};
 use monsoonring_configuration::document;
 use monsoonring_configuration::id::{BackendServerId, DataCentreId};
 use monsoonring_decision::backend::ColdLimit;
@@ -33,62 +33,62 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep_until;
 
-/// Longest time between two looks at what time alone may have changed.
-const IDLE: Duration = Duration::from_secs(60);
+/// Longest time between two checks for changes that depend only on time.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Time after the start from which on a host knows those that started with it: they find each other within a second.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Time after the start until hosts that started at the same moment have discovered each other.
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// What the control task is started with.
+/// Settings of the control task.
 pub(super) struct Settings<K> {
     pub(super) codec: Box<dyn Fn(Instances) -> K + Send>,
     pub(super) division: Division,
-    /// Extra attempts that owners allow for each first one.
-    pub(super) extra: f64,
+    /// Extra attempts allowed per first attempt.
+    pub(super) extra_attempts: f64,
     pub(super) data_centre: DataCentreId,
     pub(super) seed: u64,
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// Told who reads the store.
+    /// Publishes which hosts read the store.
     pub(super) readers: watch::Sender<Readers>,
-    /// Who hands searches to other hosts.
+    /// Sends searches to other hosts.
     pub(super) relay: Arc<Relay>,
-    /// Told which other data centres parts of searches may go to.
-    pub(super) seek: watch::Sender<BTreeSet<DataCentreId>>,
-    /// Where homes tell what the other hosts have to know.
+    /// Publishes the remote data centres that searches can be delegated to.
+    pub(super) remote_tx: watch::Sender<BTreeSet<DataCentreId>>,
+    /// Facts that homes share with other hosts.
     pub(super) facts: Facts,
 }
 
-/// Where news come from.
+/// Channels that the control task receives from.
 pub(super) struct Sources {
-    /// Of the outside.
-    pub(super) outside: mpsc::UnboundedReceiver<News>,
-    /// Of the other hosts.
-    pub(super) hosts: mpsc::UnboundedReceiver<members::News>,
-    /// Operators who ask.
-    pub(super) asked: mpsc::UnboundedReceiver<oneshot::Sender<Shown>>,
+    /// Updates of configuration and registry.
+    pub(super) updates: mpsc::UnboundedReceiver<Update>,
+    /// Updates about the other hosts.
+    pub(super) host_updates: mpsc::UnboundedReceiver<members::Update>,
+    /// Requests for the status.
+    pub(super) status_requests: mpsc::UnboundedReceiver<oneshot::Sender<Status>>,
 }
 
-/// What operators see of configuration and registry.
-pub(super) struct Shown {
-    /// Version of the configuration in force, and how long it has been.
+/// Status of configuration and registry, for operators.
+pub(super) struct Status {
+    /// Version of the configuration in force.
     pub(super) version: Option<u64>,
-    /// See `version`.
+    /// Time since it came into force.
     pub(super) age: Option<Duration>,
-    /// Whether their source can't be reached.
-    pub(super) is_lost: bool,
-    /// Entries of backend servers.
+    /// Whether the store can't be reached.
+    pub(super) is_store_lost: bool,
+    /// Number of registered backend servers.
     pub(super) registered: usize,
-    /// Those of them that are missing and not yet taken as gone.
-    pub(super) doubted: usize,
-    /// Servers that get new work.
+    /// Registered backend servers that are missing and not yet considered gone.
+    pub(super) missing: usize,
+    /// Number of servers that receive new work.
     pub(super) usable: usize,
-    /// Data centres that operators have emptied.
-    pub(super) emptied: BTreeSet<DataCentreId>,
+    /// Data centres that operators have evacuated.
+    pub(super) evacuated: BTreeSet<DataCentreId>,
 }
 
-/// One home, and what it was told last.
+/// A home, and the last state that was sent to it.
 struct Home {
     handle: route::Handle<Opaque>,
     route: Arc<document::Route>,
@@ -101,16 +101,16 @@
     state: Arc<State>,
     registry: Registry,
     table: Option<Arc<Table>>,
-    /// When it came into force.
+    /// When the configuration came into force.
     adopted: Time,
     homes: HashMap<Shards, Home>,
-    /// Requests that crash servers, and until when they are refused; for homes that begin.
+    /// Fingerprints of requests that crash servers, with the end of their refusal; sent to new homes.
     crashing: BTreeMap<Fingerprint, Time>,
-    /// The data centres that were emptied when that was last written to the log.
-    emptied: BTreeSet<DataCentreId>,
+    /// Evacuated data centres, as last written to the log.
+    evacuated: BTreeSet<DataCentreId>,
 }
 
-/// Takes news until nobody tells of the outside any more.
+/// Handles updates until the adapter closes its channel.
 pub(super) async fn run<K: Codec<Content = Opaque>>(
     settings: Settings<K>,
     state: Arc<State>,
@@ -124,52 +124,55 @@
         adopted: Time::ZERO,
         homes: HashMap::new(),
         crashing: BTreeMap::new(),
-        emptied: BTreeSet::new(),
+        evacuated: BTreeSet::new(),
     };
     loop {
         let clock = controller.settings.clock;
         let wake = controller.registry.next_wake();
-        let wake = wake.map_or_else(|| Instant::now() + IDLE, |at| clock.instant(at));
+        let wake = wake.map_or_else(
+            || Instant::now() + MAX_WAKE_INTERVAL,
+            |at| clock.instant(at),
+        );
         let first = tokio::select! {
-            first = sources.outside.recv() => match first {
+            first = sources.updates.recv() => match first {
                 Some(first) => first,
                 None => return,
             },
-            Some(sender) = sources.asked.recv() => {
-                // Who asked may have gone.
-                let _ = sender.send(controller.shown());
+            Some(reply) = sources.status_requests.recv() => {
+                // The requester may be gone.
+                let _ = reply.send(controller.status());
                 continue;
             }
-            Some(news) = sources.hosts.recv() => {
-                controller.heard(&news);
+            Some(update) = sources.host_updates.recv() => {
+                controller.handle_host_update(&update);
                 continue;
             }
-            () = sleep_until(wake.into()) => News::Registry(registry::Event::Tick),
+            () = sleep_until(wake.into()) => Update::Registry(registry::Event::Tick),
         };
-        let mut changed = controller.take(first);
-        // What came meanwhile is taken in before the homes are told: servers come in batches.
-        while let Ok(next) = sources.outside.try_recv() {
-            changed |= controller.take(next);
+        let mut changed = controller.apply_update(first);
+        // Servers register in batches: applies all pending updates before the homes are updated.
+        while let Ok(next) = sources.updates.try_recv() {
+            changed |= controller.apply_update(next);
         }
         if changed {
-            controller.apply();
+            controller.update_homes();
         }
     }
 }
 
 impl<K: Codec<Content = Opaque>> Controller<K> {
-    /// Takes in one piece of news. Returns whether the homes have to hear of it.
-    fn take(&mut self, news: News) -> bool {
-        match news {
-            News::Configuration(table) => self.configure(table),
-            News::Registry(event) => {
-                let about = about(&event);
+    /// Applies an update. Returns whether the homes must be updated.
+    fn apply_update(&mut self, update: Update) -> bool {
+        match update {
+            Update::Configuration(table) => self.configure(table),
+            Update::Registry(event) => {
+                let description = describe_event(&event);
                 let changed = self.registry.handle(event, self.settings.clock.now());
-                self.note_emptied();
+                self.log_evacuations();
                 if changed {
-                    let (entries, doubted) = self.registry.counts();
-                    info!(self.settings.log, "backend servers"; "what" => about,
-                        "registered" => entries, "doubted" => doubted,
+                    let (entries, missing) = self.registry.counts();
+                    info!(self.settings.log, "backend servers"; "what" => description,
+                        "registered" => entries, "doubted" => missing,
                         "ready" => self.registry.ready());
                 }
                 changed
@@ -177,42 +180,42 @@
         }
     }
 
-    /// Writes to the log which data centres were emptied or given back, as this host knows it from now on.
-    fn note_emptied(&mut self) {
-        let emptied = self.registry.evacuations().evacuated();
-        let emptied: BTreeSet<DataCentreId> = emptied.cloned().collect();
-        for data_centre in emptied.difference(&self.emptied) {
+    /// Logs which data centres were evacuated or restored since the last call.
+    fn log_evacuations(&mut self) {
+        let evacuated = self.registry.evacuations().evacuated();
+        let evacuated: BTreeSet<DataCentreId> = evacuated.cloned().collect();
+        for data_centre in evacuated.difference(&self.evacuated) {
             info!(self.settings.log, "data centre"; "what" => "emptied: its backend servers get no new work",
                 "data_centre" => &**data_centre);
         }
-        for data_centre in self.emptied.difference(&emptied) {
+        for data_centre in self.evacuated.difference(&evacuated) {
             info!(self.settings.log, "data centre"; "what" => "given back", "data_centre" => &**data_centre);
         }
-        self.emptied = emptied;
+        self.evacuated = evacuated;
     }
 
-    fn shown(&self) -> Shown {
-        let (registered, doubted) = self.registry.counts();
+    fn status(&self) -> Status {
+        let (registered, missing) = self.registry.counts();
         let age = self.settings.clock.now().saturating_sub(self.adopted);
-        Shown {
+        Status {
             version: self.table.as_ref().map(|table| table.version),
             age: self.table.as_ref().map(|_| age),
-            is_lost: self.registry.is_lost(),
+            is_store_lost: self.registry.is_lost(),
             registered,
-            doubted,
+            missing,
             usable: self.registry.usable().len(),
-            emptied: self.emptied.clone(),
+            evacuated: self.evacuated.clone(),
         }
     }
 
-    /// Takes in what the other hosts say, and tells the homes.
-    fn heard(&mut self, news: &members::News) {
-        let event = match news {
-            &members::News::Hosts(hosts) => {
+    /// Handles an update about the other hosts.
+    fn handle_host_update(&mut self, update: &members::Update) {
+        let event = match update {
+            &members::Update::Hosts(hosts) => {
                 self.settings.division = self.settings.division.with_homes(hosts);
                 Event::Homes(hosts)
             }
-            &members::News::Fact(fact::Entry {
+            &members::Update::Fact(fact::Entry {
                 key: fact::Key::Suspect(fingerprint),
                 life,
                 ..
@@ -223,63 +226,63 @@
                 self.crashing.insert(fingerprint, until);
                 Event::Suspect { fingerprint, until }
             }
-            members::News::Remote(remote) => {
-                self.settings.relay.told_remote(remote.clone());
+            members::Update::Remote(remote) => {
+                self.settings.relay.set_remote(remote.clone());
                 return;
             }
-            members::News::Readers(readers) => {
+            members::Update::Readers(readers) => {
                 self.settings.readers.send_replace(readers.clone());
                 return;
             }
-            &members::News::Strength(host, strength) => {
-                self.settings.relay.told(host, strength);
+            &members::Update::Strength(host, strength) => {
+                self.settings.relay.set_strength(host, strength);
                 return;
             }
-            // Servers that leave say so where they are registered.
-            members::News::Fact(_) => return,
+            // The registry reports leaving servers.
+            members::Update::Fact(_) => return,
         };
         for home in self.homes.values() {
-            home.handle.tell(event.clone());
+            home.handle.send(event.clone());
         }
     }
 
-    /// Returns where the shards of each set are that have no server in this data centre, and has hosts looked for
-    /// there.
-    fn elsewhere(&self, usable: &Usable<'_>) -> HashMap<Shards, Elsewhere> {
+    /// Returns the shards of each set that have no server in this data centre, and publishes the data centres that have
+    /// one.
+    fn remote_shards(&self, usable: &Usable<'_>) -> HashMap<Shards, RemoteShards> {
         let own = &self.settings.data_centre;
         let sets = self.homes.keys();
-        let elsewhere: HashMap<Shards, Elsewhere> = sets
+        let remote_shards: HashMap<Shards, RemoteShards> = sets
             .map(|set| (set.clone(), shards::remote_shards(set, usable, own)))
             .collect();
-        let sought = elsewhere.values().flat_map(BTreeMap::keys).cloned();
-        let sought: BTreeSet<DataCentreId> = sought.collect();
-        self.settings.seek.send_if_modified(|known| {
-            let is_new = *known != sought;
-            *known = sought;
+        let data_centres = remote_shards.values().flat_map(BTreeMap::keys).cloned();
+        let data_centres: BTreeSet<DataCentreId> = data_centres.collect();
+        self.settings.remote_tx.send_if_modified(|known| {
+            let is_new = *known != data_centres;
+            *known = data_centres;
             is_new
         });
-        elsewhere
+        remote_shards
     }
 
-    /// Tells a home that begins which requests crash servers.
-    fn brief(&self, home: &Home) {
+    /// Sends a new home the fingerprints of requests that crash servers.
+    fn send_crashing(&self, home: &Home) {
         for (&fingerprint, &until) in &self.crashing {
-            home.handle.tell(Event::Suspect { fingerprint, until });
+            home.handle.send(Event::Suspect { fingerprint, until });
         }
     }
 
-    /// Puts a version in force unless a newer one, or the same, is.
+    /// Puts a version of the configuration in force unless it is the current one or older. Returns whether it did.
     fn configure(&mut self, table: Table) -> bool {
-        let old = self.table.as_ref().map(|table| table.version);
-        if old.is_some_and(|old| table.version <= old) {
-            if old > Some(table.version) {
+        let in_force = self.table.as_ref().map(|table| table.version);
+        if in_force.is_some_and(|in_force| table.version <= in_force) {
+            if in_force > Some(table.version) {
                 warn!(self.settings.log, "configuration"; "what" => "older one ignored",
-                    "version" => table.version, "in_force" => old);
+                    "version" => table.version, "in_force" => in_force);
             }
             return false;
         }
         info!(self.settings.log, "configuration"; "what" => "in force",
-            "version" => table.version, "before" => old, "routes" => table.routes().count());
+            "version" => table.version, "before" => in_force, "routes" => table.routes().count());
         let revision = table.version;
         self.settings.metrics.control.set_revision(revision);
         self.table = Some(Arc::new(table));
@@ -287,8 +290,8 @@
         true
     }
 
-    /// Brings the homes in step, and requests to them.
-    fn apply(&mut self) {
+    /// Starts, updates and removes homes to match configuration and registry, and publishes the new view.
+    fn update_homes(&mut self) {
         let Some(table) = self.table.clone().filter(|_| self.registry.is_known()) else {
             return;
         };
@@ -299,7 +302,7 @@
                 if self.homes.contains_key(set) {
                     continue;
                 }
-                let home = self.follow(set, &table, &usable, old.remove(set));
+                let home = self.update_home(set, &table, &usable, old.remove(set));
                 self.homes.insert(set.clone(), home);
             }
         }
@@ -307,50 +310,56 @@
             info!(self.settings.log, "shards"; "what" => "not in use any more",
                 "set" => shards::name(set));
         }
-        let elsewhere = Arc::new(self.elsewhere(&usable));
+        let remote_shards = Arc::new(self.remote_shards(&usable));
         let handles = self.homes.iter();
         let handles = handles.map(|(set, home)| (set.clone(), home.handle.clone()));
-        self.state.put(View {
+        self.state.set_view(View {
             table,
             homes: Arc::new(handles.collect()),
-            elsewhere,
+            remote_shards,
         });
     }
 
-    /// Starts the home of a set, or tells it what changed.
-    fn follow(&self, set: &Shards, table: &Table, usable: &Usable<'_>, home: Option<Home>) -> Home {
-        let route = shards::route(set, table, usable, self.settings.extra);
+    /// Starts the home of a set, or sends it what changed.
+    fn update_home(
+        &self,
+        set: &Shards,
+        table: &Table,
+        usable: &Usable<'_>,
+        home: Option<Home>,
+    ) -> Home {
+        let route = shards::route(set, table, usable, self.settings.extra_attempts);
         let expected = shards::expected(set, usable);
-        let far = shards::remote_servers(set, usable, &self.settings.data_centre);
-        let cold = self.cold(set, table, usable);
+        let remote_servers = shards::remote_servers(set, usable, &self.settings.data_centre);
+        let cold = self.cold_limits(set, table, usable);
         let Some(home) = home else {
-            let home = self.begin(set, table, route, expected, far);
-            home.handle.tell(Event::Cold(cold.clone()));
-            self.brief(&home);
+            let home = self.start_home(set, table, route, expected, remote_servers);
+            home.handle.send(Event::Cold(cold.clone()));
+            self.send_crashing(&home);
             let home = Home { cold, ..home };
             return home;
         };
-        // First, so that none of them is sent its full load in between.
+        // Before the route, so that no cold server receives its full load in between.
         if home.cold != cold {
-            home.handle.tell(Event::Cold(cold.clone()));
+            home.handle.send(Event::Cold(cold.clone()));
         }
         let home = Home { cold, ..home };
         let replaced = home.instances.replace(expected);
         if !replaced.is_empty() {
-            home.handle.tell(Event::Replaced(replaced));
+            home.handle.send(Event::Replaced(replaced));
         }
         if *home.route == route {
             return home;
         }
         let route = Arc::new(route);
-        home.handle.tell(Event::Route(route.clone()));
-        home.handle.tell(Event::RemoteServers(far));
+        home.handle.send(Event::Route(route.clone()));
+        home.handle.send(Event::RemoteServers(remote_servers));
         Home { route, ..home }
     }
 
-    /// Returns which servers of a set are cold, with what they bear. A host that starts does not know yet among how
-    /// many that is divided, so it sends them nothing.
-    fn cold(
+    /// Returns the limits of the cold servers of a set. The limit is divided among all hosts, so a host that has not
+    /// yet discovered the others sends cold servers nothing.
+    fn cold_limits(
         &self,
         set: &Shards,
         table: &Table,
@@ -358,14 +367,13 @@
     ) -> BTreeMap<BackendServerId, ColdLimit> {
         let now = self.settings.clock.now();
         let mut cold = shards::cold(set, table, &self.registry, usable, now);
-        if now < SETTLED {
+        if now < DISCOVERY_TIME {
             cold.values_mut().for_each(|cold| cold.max_rate = 0.0);
         }
         cold
     }
 
-    /// Returns what the home of a set may take: nothing without need, where a larger set has the same
-    /// servers.
+    /// Returns how a set shares its servers among hosts. A set contained in a larger one keeps no idle connections.
     fn division(&self, set: &Shards, table: &Table) -> Division {
         let division = self.settings.division;
         match shards::is_in_larger_set(set, table) {
@@ -374,7 +382,7 @@
         }
     }
 
-    fn begin(
+    fn start_home(
         &self,
         set: &Shards,
         table: &Table,
@@ -390,13 +398,14 @@
         let route = Arc::new(route);
         let handle = route::spawn(route::Settings {
             codec: (settings.codec)(instances.clone()),
-            side: Side::None,
+            management: Management::None,
             route: route.clone(),
-            part: Allocation {
+            allocation: Allocation {
                 division: self.division(set, table),
                 far,
             },
-            // Every host has a small part of a server's requests.
+            // Each host sends only a small share of a server's requests, so a lost connection counts as a crash only if
+            // a connect fails afterwards.
             policy: Policy {
                 crash_signal: CrashSignal::ConnectFailed,
                 ..Policy::default()
@@ -406,8 +415,8 @@
             log: settings.log.clone(),
             metrics: settings.metrics.clone(),
             facts: settings.facts.clone(),
-            // What is decided stands in the log; nobody can ask the process itself.
-            recent: None,
+            // Decisions are only logged; operators can't query them here.
+            history: None,
         });
         Home {
             handle,
@@ -418,8 +427,8 @@
     }
 }
 
-/// Says what was learned of the backend servers, with the one that it is about.
-fn about(event: &registry::Event) -> String {
+/// Describes an event of the registry for the log.
+fn describe_event(event: &registry::Event) -> String {
     match event {
         registry::Event::Listed(entries) => format!("{} listed", entries.len()),
         registry::Event::Written(entry) => format!(
--- a/crates/daemon/src/gateway/describe.rs
+++ b/crates/daemon/src/gateway/describe.rs
@@ -1,4 +1,4 @@
-//! What operators see of a gateway: `GET /state`, in the shape that the product's own daemons give.
+//! State of a gateway for operators: `GET /state`, in the same format as the native daemon's.
 
 use super::control;
 use super::members;
@@ -11,26 +11,26 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Where a task is asked for what it knows.
-pub(super) type Asking<T> = mpsc::UnboundedSender<oneshot::Sender<T>>;
+/// Sends requests for the status of a task.
+pub(super) type StatusSender<T> = mpsc::UnboundedSender<oneshot::Sender<T>>;
 
-/// Asks the tasks of a gateway for what they know.
+/// Collects the status of the tasks of a gateway.
 #[derive(Clone)]
 pub(super) struct Describe {
-    pub(super) own: SocketAddr,
+    pub(super) address: SocketAddr,
     pub(super) data_centre: DataCentreId,
     pub(super) state: Arc<State>,
-    pub(super) control: Asking<control::Shown>,
-    pub(super) members: Asking<members::Shown>,
+    pub(super) control: StatusSender<control::Status>,
+    pub(super) members: StatusSender<members::Status>,
 }
 
 impl Describe {
-    /// Describes the gateway; `not_ready_because` is what the balancer is told.
+    /// Describes the gateway; `not_ready_because` is the reason given to the load balancer.
     pub(super) async fn describe(&self, not_ready_because: Option<&str>) -> Value {
-        let control = ask(&self.control).await;
-        let members = ask(&self.members).await;
+        let control = request_status(&self.control).await;
+        let members = request_status(&self.members).await;
         json!({
-            "address": self.own,
+            "address": self.address,
             "data_centre": &*self.data_centre,
             "ready": not_ready_because.is_none(),
             "not_ready_because": not_ready_because,
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Describes the homes, each by the name of its set of shards.
+    /// Describes the homes, each with the name of its set of shards.
     async fn sets(&self) -> Vec<Value> {
         let Some(view) = self.state.view() else {
             return Vec::new();
@@ -56,7 +56,7 @@
         for (set, home) in &*view.homes {
             sets.push(json!({
                 "name": shards::name(set),
-                // Everyone is one, and there is nobody to agree with.
+                // Every host is a home, so there are no assigned ones to list.
                 "homes": [],
                 "home": home.state().await,
             }));
@@ -66,29 +66,29 @@
     }
 }
 
-/// Asks a task; `None` where it has ended.
-async fn ask<T>(asking: &Asking<T>) -> Option<T> {
-    let (sender, receiver) = oneshot::channel();
-    asking.send(sender).ok()?;
+/// Requests the status of a task; returns `None` if the task has ended.
+async fn request_status<T>(sender: &StatusSender<T>) -> Option<T> {
+    let (reply, receiver) = oneshot::channel();
+    sender.send(reply).ok()?;
     receiver.await.ok()
 }
 
-fn configuration(shown: Option<&control::Shown>) -> Value {
-    let version = shown.and_then(|shown| shown.version);
+fn configuration(status: Option<&control::Status>) -> Value {
+    let version = status.and_then(|status| status.version);
     json!({
         "revision": version,
         "digest": version.map(|version| version.to_string()),
         "conflicts": 0,
-        "age_ms": shown.and_then(|shown| shown.age).map(|age| age.as_millis()),
-        "source": shown.map(|shown| if shown.is_lost { "store, lost" } else { "store" }),
+        "age_ms": status.and_then(|status| status.age).map(|age| age.as_millis()),
+        "source": status.map(|status| if status.is_store_lost { "store, lost" } else { "store" }),
     })
 }
 
-fn registry(shown: &control::Shown) -> Value {
+fn registry(status: &control::Status) -> Value {
     json!({
-        "registered": shown.registered,
-        "doubted": shown.doubted,
-        "usable": shown.usable,
-        "emptied_data_centres": shown.emptied.iter().map(|one| &**one).collect::<Vec<&str>>(),
+        "registered": status.registered,
+        "doubted": status.missing,
+        "usable": status.usable,
+        "emptied_data_centres": status.evacuated.iter().map(|name| &**name).collect::<Vec<&str>>(),
     })
 }
--- a/crates/daemon/src/gateway/members/mod.rs
+++ b/crates/daemon/src/gateway/members/mod.rs
@@ -1,8 +1,7 @@
-//! The socket and the clock of [`Members`].
+//! Drives [`Members`] with a UDP socket and a timer.
 //!
-//! Datagrams are neither sealed nor signed: whoever can send to this address stands in the hosts' own
-//! network, and the most that a lie does is to make hosts take a smaller part, or refuse requests as
-//! crashing for a while.
+//! Datagrams are neither encrypted nor authenticated: only the hosts' own network can reach this address. At worst,
+//! forged datagrams make hosts take a smaller share of the servers, or refuse requests as crashing for a while.
 
 #[cfg(test)]
 mod tests;
@@ -28,77 +27,76 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Time between two ticks: less than the shortest time that the members count in, and few wake-ups,
-/// which cost processor time.
-const TICK: Duration = Duration::from_millis(200);
+/// Time between two ticks: shorter than the shortest period of the members, but long enough to keep wake-ups rare.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Something that the homes here have to hear.
+/// An update about the other hosts, for the control task.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum News {
+pub(super) enum Update {
     /// The hosts that share the backend servers.
     Hosts(Homes),
-    /// A fact that was not known here before.
+    /// A fact that is new to this host.
     Fact(fact::Entry),
-    /// A host in the same data centre has this strength.
+    /// CPU capacity of a host in the same data centre.
     Strength(MemberId, Centicores),
-    /// These hosts of another data centre may fan out for this one.
+    /// Hosts of another data centre that can run parts of searches.
     Remote(Remote),
-    /// Who reads the store.
+    /// The hosts that read the store.
     Readers(Readers),
 }
 
-/// What operators see of the hosts.
-pub(super) struct Shown {
+/// Status of the membership, for operators.
+pub(super) struct Status {
     /// Number of hosts that share the backend servers.
     pub(super) hosts: usize,
-    /// What is known of each.
+    /// The latest state of each member.
     pub(super) changes: Vec<Change>,
-    /// What hosts told each other and still holds.
+    /// Facts that are still valid.
     pub(super) facts: Vec<fact::Entry>,
 }
 
-/// This host's part, with what it speaks through.
+/// The membership task with its socket and channels.
 pub(super) struct Task {
     pub(super) members: Members,
     pub(super) socket: UdpSocket,
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// What homes here found out.
-    pub(super) found: mpsc::UnboundedReceiver<Fact>,
-    /// Operators who ask.
-    pub(super) asked: mpsc::UnboundedReceiver<oneshot::Sender<Shown>>,
-    /// Other data centres that parts of searches may go to.
-    pub(super) sought: watch::Receiver<BTreeSet<DataCentreId>>,
-    /// Where news for the homes go.
-    pub(super) news: mpsc::UnboundedSender<News>,
-    /// By data centre: the hosts that were named there last.
+    /// Facts that homes on this host found.
+    pub(super) local_facts: mpsc::UnboundedReceiver<Fact>,
+    /// Requests for the status.
+    pub(super) status_requests: mpsc::UnboundedReceiver<oneshot::Sender<Status>>,
+    /// Remote data centres that parts of searches can be delegated to.
+    pub(super) remote_rx: watch::Receiver<BTreeSet<DataCentreId>>,
+    /// Updates for the control task.
+    pub(super) updates: mpsc::UnboundedSender<Update>,
+    /// Last reported candidates of each data centre.
     pub(super) candidates: BTreeMap<DataCentreId, Vec<Candidate>>,
 }
 
-/// Speaks with the other hosts until nobody takes the news any more.
+/// Exchanges datagrams with the other hosts until the control task closes its channel.
 pub(super) async fn run(mut task: Task) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut buffer = vec![0; datagram::MAX_BYTES];
-    while !task.news.is_closed() {
+    while !task.updates.is_closed() {
         let event = tokio::select! {
             _ = ticks.tick() => Some(Event::Tick),
             received = task.socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => task.read(&buffer[..length], from),
+                Ok((length, from)) => task.decode(&buffer[..length], from),
                 Err(error) => {
-                    // A datagram sent earlier found nobody; the probe fails by its time.
+                    // An earlier datagram could not be delivered (ICMP); its probe times out.
                     debug!(task.log, "member"; "what" => "unreachable", "error" => %error);
                     None
                 }
             },
-            Some(fact) = task.found.recv() => found(&fact),
-            Ok(()) = task.sought.changed() => {
-                Some(Event::RemoteDataCentres(task.sought.borrow_and_update().clone()))
+            Some(fact) = task.local_facts.recv() => fact_event(&fact),
+            Ok(()) = task.remote_rx.changed() => {
+                Some(Event::RemoteDataCentres(task.remote_rx.borrow_and_update().clone()))
             }
-            Some(sender) = task.asked.recv() => {
-                // Who asked may have gone.
-                let _ = sender.send(task.shown());
+            Some(reply) = task.status_requests.recv() => {
+                // The requester may be gone.
+                let _ = reply.send(task.status());
                 None
             }
         };
@@ -108,8 +106,8 @@
     }
 }
 
-/// Returns what the members have to hear of a fact. That a server leaves they hear from the store.
-fn found(fact: &Fact) -> Option<Event> {
+/// Returns the event for a fact that homes found. Leaving servers are reported by the store, not by members.
+fn fact_event(fact: &Fact) -> Option<Event> {
     match fact {
         &Fact::Suspect(fingerprint, life) => {
             Some(Event::Found(fact::Key::Suspect(fingerprint), life))
@@ -119,15 +117,15 @@
 }
 
 impl Task {
-    fn shown(&self) -> Shown {
-        Shown {
+    fn status(&self) -> Status {
+        Status {
             hosts: self.members.hosts().all,
             changes: self.members.changes(),
             facts: self.members.facts(self.clock.now()),
         }
     }
 
-    fn read(&self, bytes: &[u8], from: SocketAddr) -> Option<Event> {
+    fn decode(&self, bytes: &[u8], from: SocketAddr) -> Option<Event> {
         match datagram::decode(bytes) {
             Ok(datagram) => Some(Event::Received(from, datagram)),
             Err(error) => {
@@ -143,24 +141,24 @@
         for action in self.members.handle(event, now) {
             match action {
                 Action::Send(to, datagram) => self.send(to, &datagram),
-                Action::Learned(entry) => self.learned(entry),
+                Action::Learned(entry) => self.record_fact(entry),
                 Action::Strength(host, strength) => {
                     info!(self.log, "hosts"; "what" => "strength", "member" => %host,
                         "hundredths_of_a_core" => strength);
-                    self.tell(News::Strength(host, strength));
+                    self.publish(Update::Strength(host, strength));
                 }
-                Action::Remote(remote) => self.remote(remote),
+                Action::Remote(remote) => self.record_remote(remote),
                 Action::Hosts(hosts) => {
                     info!(self.log, "hosts"; "what" => "counted", "hosts" => hosts.all,
                         "near" => hosts.near, "strong" => hosts.strong,
                         "role" => format!("{:?}", hosts.role),
                         "serving" => self.members.serving());
-                    self.tell(News::Hosts(hosts));
+                    self.publish(Update::Hosts(hosts));
                 }
                 Action::Readers(readers) => {
                     info!(self.log, "hosts"; "what" => "readers of the store",
                         "is_reader" => readers.is_reader, "others" => format!("{:?}", readers.others));
-                    self.tell(News::Readers(readers));
+                    self.publish(Update::Readers(readers));
                 }
                 Action::Log(line) => {
                     info!(self.log, "member"; "what" => line.what, "member" => %line.member,
@@ -176,35 +174,35 @@
             Err(error) => Err(std::io::Error::other(error)),
         };
         if let Err(error) = sent {
-            // As good as lost on the way, which the members reckon with.
+            // The members tolerate lost datagrams.
             debug!(self.log, "member"; "what" => "not sent", "to" => %to, "error" => %error);
         }
     }
 
-    /// Tells of hosts in another data centre, and writes them to the log where they are others than before.
-    fn remote(&mut self, remote: Remote) {
+    /// Publishes the candidates in another data centre, and logs them if they changed.
+    fn record_remote(&mut self, remote: Remote) {
         let candidates = remote.candidates.clone();
-        let known = self
+        let previous = self
             .candidates
             .insert(remote.data_centre.clone(), candidates);
-        if known.as_ref() != Some(&remote.candidates) {
+        if previous.as_ref() != Some(&remote.candidates) {
             info!(self.log, "hosts"; "what" => "candidates elsewhere",
                 "data_centre" => &*remote.data_centre,
                 "candidates" => format!("{:?}", remote.candidates),
                 "round_trip_us" => remote.round_trip.as_micros());
         }
-        self.tell(News::Remote(remote));
+        self.publish(Update::Remote(remote));
     }
 
-    fn learned(&self, entry: fact::Entry) {
+    fn record_fact(&self, entry: fact::Entry) {
         self.metrics.control.fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
-        self.tell(News::Fact(entry));
+        self.publish(Update::Fact(entry));
     }
 
-    fn tell(&self, news: News) {
-        // Without a receiver the process is ending.
-        let _ = self.news.send(news);
+    fn publish(&self, update: Update) {
+        // Fails only while the process is stopping.
+        let _ = self.updates.send(update);
     }
 }
--- a/crates/daemon/src/gateway/members/tests.rs
+++ b/crates/daemon/src/gateway/members/tests.rs
@@ -1,6 +1,6 @@
-//! Hosts that speak over real sockets.
+//! Membership over real sockets.
 
-use super::{News, Task, run};
+use super::{Task, Update, run};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::route::Fact;
@@ -18,62 +18,64 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Ends a test that hangs; no test waits for this to pass.
-const HANGS: Duration = Duration::from_secs(20);
+/// Ends a test that hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A host, and what it says to its homes.
+/// A host with its channels.
 struct Host {
     address: SocketAddr,
-    found: mpsc::UnboundedSender<Fact>,
-    news: mpsc::UnboundedReceiver<News>,
+    facts: mpsc::UnboundedSender<Fact>,
+    updates: mpsc::UnboundedReceiver<Update>,
 }
 
 impl Host {
     async fn start(seeds: &[SocketAddr]) -> Self {
-        let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-        let address = socket.local_addr().expect("it is bound");
+        let socket = UdpSocket::bind("127.0.0.1:0").await.expect("free port");
+        let address = socket.local_addr().expect("bound socket");
         let own = Member {
             id: address,
             data_centre: "north".into(),
         };
         let clock = Clock::start();
         let rng = ChaCha8Rng::seed_from_u64(u64::from(address.port()));
-        let (found, heard) = mpsc::unbounded_channel();
-        let (sender, news) = mpsc::unbounded_channel();
+        let (facts, fact_receiver) = mpsc::unbounded_channel();
+        let (sender, updates) = mpsc::unbounded_channel();
         tokio::spawn(run(Task {
             members: Members::new(own, 1, seeds, 0, 1.into(), clock.now(), rng),
             socket,
             clock,
             log: Logger::root(Discard, o!()),
             metrics: Arc::new(Metrics::default()),
-            found: heard,
-            asked: mpsc::unbounded_channel().1,
-            sought: watch::channel(BTreeSet::new()).1,
-            news: sender,
+            local_facts: fact_receiver,
+            status_requests: mpsc::unbounded_channel().1,
+            remote_rx: watch::channel(BTreeSet::new()).1,
+            updates: sender,
             candidates: BTreeMap::new(),
         }));
         Self {
             address,
-            found,
-            news,
+            facts,
+            updates,
         }
     }
 
-    async fn until(&mut self, wanted: impl Fn(&News) -> bool) -> News {
-        let waiting = async {
-            while let Some(news) = self.news.recv().await {
-                if wanted(&news) {
-                    return news;
+    async fn wait_for(&mut self, matches: impl Fn(&Update) -> bool) -> Update {
+        let received = async {
+            while let Some(update) = self.updates.recv().await {
+                if matches(&update) {
+                    return update;
                 }
             }
-            unreachable!("the host goes on");
+            unreachable!("the host is running");
         };
-        timeout(HANGS, waiting).await.expect("the news come")
+        timeout(TEST_TIMEOUT, received)
+            .await
+            .expect("update received in time")
     }
 
-    /// Waits until so many hosts are counted that do the same. Returns this one's place among them.
-    async fn until_counted(&mut self, hosts: usize) -> usize {
-        let counted = |homes: &Homes| {
+    /// Waits until the given number of hosts share the servers. Returns the rank of this host.
+    async fn wait_for_host_count(&mut self, hosts: usize) -> usize {
+        let is_expected = |homes: &Homes| {
             let rank = homes.rank;
             let expected = Homes {
                 rank,
@@ -81,44 +83,44 @@
             };
             *homes == expected
         };
-        let wanted = |news: &News| matches!(news, News::Hosts(homes) if counted(homes));
-        match self.until(wanted).await {
-            News::Hosts(homes) => homes.rank,
-            _ => unreachable!("it was waited for"),
+        let has_count =
+            |update: &Update| matches!(update, Update::Hosts(homes) if is_expected(homes));
+        match self.wait_for(has_count).await {
+            Update::Hosts(homes) => homes.rank,
+            _ => unreachable!("only host counts match"),
         }
     }
 }
 
 #[tokio::test]
-async fn start_three_count_each_other_and_share_what_they_find() {
+async fn start_three_hosts_discover_each_other_and_share_facts() {
     let mut first = Host::start(&[]).await;
     let mut second = Host::start(&[first.address]).await;
     let mut third = Host::start(&[first.address]).await;
     let mut ranks = BTreeSet::new();
     for host in [&mut first, &mut second, &mut third] {
-        ranks.insert(host.until_counted(3).await);
+        ranks.insert(host.wait_for_host_count(3).await);
     }
-    assert_eq!(ranks, BTreeSet::from([0, 1, 2]), "each has its own place");
+    assert_eq!(ranks, BTreeSet::from([0, 1, 2]), "ranks are distinct");
     let fact = Fact::Suspect(7, Duration::from_secs(60));
-    second.found.send(fact).expect("the host goes on");
-    let known = |news: &News| matches!(news, News::Fact(entry) if entry.key == Key::Suspect(7));
-    first.until(known).await;
-    third.until(known).await;
+    second.facts.send(fact).expect("the host is running");
+    let is_suspect =
+        |update: &Update| matches!(update, Update::Fact(entry) if entry.key == Key::Suspect(7));
+    first.wait_for(is_suspect).await;
+    third.wait_for(is_suspect).await;
 }
 
-// Symptom: one stray datagram ends the talk between hosts.
-// Events: something else sends to the port.
-// Cause: what can't be read is an error of the socket.
+// Guards against an invalid datagram that stops the task.
 #[tokio::test]
-async fn receive_garbage_is_ignored() {
+async fn receive_invalid_datagram_is_ignored() {
     let mut first = Host::start(&[]).await;
-    let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-    for garbage in [&b""[..], &[0xff; 900], &[0; 40]] {
-        stranger
-            .send_to(garbage, first.address)
+    let other_sender = UdpSocket::bind("127.0.0.1:0").await.expect("free port");
+    for datagram in [&b""[..], &[0xff; 900], &[0; 40]] {
+        other_sender
+            .send_to(datagram, first.address)
             .await
-            .expect("it is sent");
+            .expect("datagram sent");
     }
     let _second = Host::start(&[first.address]).await;
-    first.until_counted(2).await;
+    first.wait_for_host_count(2).await;
 }
--- a/crates/daemon/src/gateway/mirror.rs
+++ b/crates/daemon/src/gateway/mirror.rs
@@ -1,11 +1,11 @@
-//! Passing on what was read of the store, and asking hosts that do.
+//! Shares the state read from the store with other hosts, and polls hosts that share it.
 //!
-//! What is passed on are the store's own answers, which nobody here looks into. A question names the position
-//! up to which the asker knows everything; it waits at the reader until there is more, as a watch of the store
-//! does. What is answered and when is [`mirror::Log`]'s. Hosts that know nothing ask for everything, and whom is
-//! [`bootstrap`](monsoonring_decision::gateway::bootstrap)'s.
+//! Readers pass on the store's own encoding without decoding it. A poll names the position up to which the caller is
+//! current and, like a watch of the store, waits at the reader for changes. [`Log`] decides what a poll
+//! returns and when. Hosts without state load the full state;
+//! [`bootstrap`](monsoonring_decision::gateway::bootstrap) chooses from which host.
 
-use super::relay::{DECLINED, declined, number};
+use super::relay::{DECLINED, decline, parse_number};
 use crate::client;
 use crate::clock::Clock;
 use bytes::Bytes;
@@ -23,154 +23,162 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Revision up to which the asker knows everything; its presence tells a question from a search.
+/// Revision up to which the caller is current; its presence tells a poll from a search.
 const AFTER: HeaderName = HeaderName::from_static("monsoonring-after");
 
-/// Present in a question for everything that the store holds.
-const EVERYTHING: HeaderName = HeaderName::from_static("monsoonring-everything");
+/// Present in a request for the full state.
+const FULL_STATE: HeaderName = HeaderName::from_static("monsoonring-everything");
 
-/// Revision up to which an answer goes.
-const TO: HeaderName = HeaderName::from_static("monsoonring-to");
+/// Revision up to which a response is current.
+const UP_TO: HeaderName = HeaderName::from_static("monsoonring-to");
 
-/// Life of the store that the revision of a question or an answer belongs to; the first one where it is missing.
+/// Era of the store that a revision belongs to; absent for the first era.
 const ERA: HeaderName = HeaderName::from_static("monsoonring-era");
 
-/// Losses of the store since the reader's start, and milliseconds since the last one ended.
+/// Outages of the store since the reader started, and milliseconds since the end of the last one.
 const OUTAGES: HeaderName = HeaderName::from_static("monsoonring-outages");
-const OUTAGE_ENDED: HeaderName = HeaderName::from_static("monsoonring-outage-ended-ms");
+const OUTAGE_ENDED_AGO: HeaderName = HeaderName::from_static("monsoonring-outage-ended-ms");
 
-/// Time that a connect to a host in the same data centre may take, and within which it has to acknowledge.
+/// Limit for connecting to a host in the same data centre, and for its acknowledgement of sent data.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest answer, in bytes: everything that is registered for a thousand shards, with room.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Largest accepted response, in bytes: the registry of a thousand shards, with headroom.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Time after the last question for which a host reckons with more.
-const ASKED_FOR: Duration = Duration::from_secs(5);
+/// Time after a poll during which more polls are expected.
+const POLLED_WITHIN: Duration = Duration::from_secs(5);
 
-/// Everything that the store holds, as this host knows it.
-pub trait Archive: Send + Sync + 'static {
-    /// Returns it in the store's own format, with the position that it goes up to; `None` before the first read.
-    fn whole(&self) -> Option<(Position, Bytes)>;
+/// Provides this host's copy of the full state of the store.
+pub trait FullState: Send + Sync + 'static {
+    /// Returns the state in the store's encoding, with its position; `None` before the first read.
+    fn encode(&self) -> Option<(Position, Bytes)>;
 }
 
-/// What this host read of the store, for the hosts that ask.
+/// State that this host read from the store, served to other hosts.
 pub struct Mirror {
-    archive: Option<Arc<dyn Archive>>,
+    full_state: Option<Arc<dyn FullState>>,
     clock: Clock,
-    pace: Timing,
+    timing: Timing,
     log: Mutex<Log>,
-    asked: Mutex<Option<Time>>,
+    last_poll: Mutex<Option<Time>>,
     changed: Notify,
 }
 
 impl Mirror {
-    /// Makes the mirror of a host that has read nothing.
-    pub fn new(pace: Timing) -> Self {
+    /// Creates an empty mirror.
+    pub fn new(timing: Timing) -> Self {
         Self {
-            archive: None,
+            full_state: None,
             clock: Clock::start(),
-            pace,
-            log: Mutex::new(Log::new(pace.freshness())),
-            asked: Mutex::default(),
+            timing,
+            log: Mutex::new(Log::new(timing.freshness())),
+            last_poll: Mutex::default(),
             changed: Notify::new(),
         }
     }
 
-    /// Passes on everything, too.
+    /// Serves the full state as well.
     #[must_use]
-    pub fn with(self, archive: Arc<dyn Archive>) -> Self {
-        let archive = Some(archive);
-        Self { archive, ..self }
+    pub fn with_full_state(self, full_state: Arc<dyn FullState>) -> Self {
+        let full_state = Some(full_state);
+        Self { full_state, ..self }
     }
 
-    /// Everything was read, as of a position.
-    pub fn read(&self, position: Position) {
+    /// Records that the full state was read, as of a position.
+    pub fn reset(&self, position: Position) {
         let now = self.clock.now();
-        self.change(|log| log.reset(position, now));
+        self.update_log(|log| log.reset(position, now));
     }
 
-    /// The store has answered a watch.
-    pub fn watched(&self, batch: Batch) {
+    /// Records the changes that a watch of the store returned.
+    pub fn append(&self, batch: Batch) {
         let now = self.clock.now();
-        self.change(|log| log.append(batch, now));
+        self.update_log(|log| log.append(batch, now));
     }
 
-    /// A call to the store failed.
-    pub fn lost(&self) {
-        self.change(Log::store_failed);
+    /// Records that a call to the store failed.
+    pub fn store_failed(&self) {
+        self.update_log(Log::store_failed);
     }
 
-    /// This host asks others from now on.
-    pub fn retire(&self) {
-        self.change(Log::clear);
+    /// Clears the log, as this host now polls another reader.
+    pub fn clear(&self) {
+        self.update_log(Log::clear);
     }
 
-    /// Tells whether other hosts ask this one.
-    pub fn is_asked(&self) -> bool {
-        let asked = *self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        asked.is_some_and(|at| self.clock.now() < at + ASKED_FOR)
+    /// Returns whether another host polled this one recently.
+    pub fn is_polled(&self) -> bool {
+        let last_poll = *self
+            .last_poll
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        last_poll.is_some_and(|at| self.clock.now() < at + POLLED_WITHIN)
     }
 
-    /// Answers a question; `None` where a message is none.
+    /// Answers a poll or a request for the full state; returns `None` for any other request.
     pub(super) async fn answer(&self, headers: &HeaderMap) -> Option<Response<Full<Bytes>>> {
-        if headers.contains_key(EVERYTHING) {
-            return Some(self.whole());
+        if headers.contains_key(FULL_STATE) {
+            return Some(self.full_state_response());
         }
         let after = position(headers, &AFTER)?;
         let now = self.clock.now();
-        *self.asked.lock().unwrap_or_else(PoisonError::into_inner) = Some(now);
-        let waited = timeout(self.pace.poll(), self.wait(after)).await;
-        // Nothing came; whether that is still known for sure is asked once more.
-        let answer = waited.unwrap_or_else(|_| self.answer_now(after));
+        *self
+            .last_poll
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(now);
+        let waited = timeout(self.timing.poll(), self.wait(after)).await;
+        // Nothing changed, but the state may have become stale while waiting.
+        let answer = waited.unwrap_or_else(|_| self.current_answer(after));
         let outage = self.log().outage(self.clock.now());
         Some(respond(answer, outage))
     }
 
-    fn whole(&self) -> Response<Full<Bytes>> {
-        let archive = self.archive.as_ref();
-        let Some((position, body)) = archive.and_then(|archive| archive.whole()) else {
-            return declined(DeclineReason::NotReader.reason());
+    fn full_state_response(&self) -> Response<Full<Bytes>> {
+        let full_state = self.full_state.as_ref();
+        let Some((position, body)) = full_state.and_then(|full_state| full_state.encode()) else {
+            return decline(DeclineReason::NotReader.reason());
         };
         let mut response = Response::new(Full::new(body));
-        set_position(response.headers_mut(), TO, position);
+        set_position(response.headers_mut(), UP_TO, position);
         response
     }
 
-    /// Waits until there is something to say. Who asks may have read the store a moment later than this host, which
-    /// catches up with its next answer: declined at once, 180 of 195 hosts that started together asked the store again.
+    /// Waits until there are changes to return or the poll must be declined.
+    ///
+    /// A caller may be ahead of this host by a moment, so a position not yet reached is waited for as well: declining
+    /// would send the caller to the store.
     async fn wait(&self, after: Position) -> Answer {
         loop {
             let changed = self.changed.notified();
-            let answer = self.answer_now(after);
-            let may_come = [Answer::UpToDate, Answer::Declined(DeclineReason::Behind)];
-            if !may_come.contains(&answer) {
+            let answer = self.current_answer(after);
+            let worth_waiting = [Answer::UpToDate, Answer::Declined(DeclineReason::Behind)];
+            if !worth_waiting.contains(&answer) {
                 return answer;
             }
             changed.await;
         }
     }
 
-    fn answer_now(&self, after: Position) -> Answer {
+    fn current_answer(&self, after: Position) -> Answer {
         self.log().answer(after, self.clock.now())
     }
 
-    fn change(&self, change: impl FnOnce(&mut Log)) {
-        change(&mut self.log());
+    fn update_log(&self, update: impl FnOnce(&mut Log)) {
+        update(&mut self.log());
         self.changed.notify_waiters();
     }
 
-    // Nothing panics with the lock held, and what is behind it is never left half changed.
+    // No code panics while it holds the lock, so the guarded value is consistent even if poisoned.
     fn log(&self) -> MutexGuard<'_, Log> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Reads a position whose revision is in this header.
+/// Parses a position whose revision is in the given header.
 fn position(headers: &HeaderMap, revision: &HeaderName) -> Option<Position> {
     Some(Position {
-        era: number(headers, &ERA).unwrap_or_default(),
-        revision: number(headers, revision)?,
+        era: parse_number(headers, &ERA).unwrap_or_default(),
+        revision: parse_number(headers, revision)?,
     })
 }
 
@@ -181,7 +189,7 @@
 
 fn respond(answer: Answer, outage: Outage) -> Response<Full<Bytes>> {
     let mut response = match answer {
-        Answer::Declined(why) => return declined(why.reason()),
+        Answer::Declined(reason) => return decline(reason.reason()),
         Answer::UpToDate => {
             let mut response = Response::new(Full::default());
             *response.status_mut() = StatusCode::NO_CONTENT;
@@ -189,80 +197,81 @@
         }
         Answer::Batch(batch) => {
             let mut response = Response::new(Full::new(Bytes::from_owner(batch.body)));
-            set_position(response.headers_mut(), TO, batch.to);
+            set_position(response.headers_mut(), UP_TO, batch.to);
             response
         }
     };
     let headers = response.headers_mut();
     headers.insert(OUTAGES, outage.count.into());
-    if let Some(ended) = outage.ended_ago {
-        headers.insert(OUTAGE_ENDED, (ended.as_millis() as u64).into());
+    if let Some(ended_ago) = outage.ended_ago {
+        headers.insert(OUTAGE_ENDED_AGO, (ended_ago.as_millis() as u64).into());
     }
     response
 }
 
-/// Why a reader did not tell what changed.
+/// A request to a reader failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It could not be connected to.
+    /// The connect failed.
     #[snafu(display("{source}"))]
-    Open {
-        /// Why.
+    Connect {
+        /// Error of the connection.
         source: client::Error,
     },
-    /// It did not answer in time.
-    #[snafu(display("host {host}: {step}: no answer in {limit:?}"))]
-    Silent {
-        /// Who.
+    /// No response in time.
+    #[snafu(display("host {host}: {step}: timed out after {limit:?}"))]
+    Timeout {
+        /// The reader.
         host: MemberId,
-        /// What was under way.
+        /// Operation that timed out.
         step: &'static str,
-        /// The time.
+        /// Timeout of the operation.
         limit: Duration,
     },
-    /// The connection ended.
-    #[snafu(display("host {host}: asking what changed: {source}"))]
+    /// The connection failed.
+    #[snafu(display("host {host}: request failed: {source}"))]
     Http {
-        /// Who.
+        /// The reader.
         host: MemberId,
-        /// What the library says.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// Its answer can't be used.
-    #[snafu(display("host {host}: asking what changed: unusable answer, status {status}"))]
-    Unusable {
-        /// Who.
+    /// The response is invalid.
+    #[snafu(display("host {host}: invalid response, status {status}"))]
+    InvalidReply {
+        /// The reader.
         host: MemberId,
-        /// The status of the answer.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// Somebody else is to be asked.
-    #[snafu(display("host {host} declined: {why}"))]
+    /// The reader declined; another host has to be polled.
+    #[snafu(display("host {host} declined: {reason}"))]
     Declined {
-        /// Who.
+        /// The reader.
         host: MemberId,
-        /// Why.
-        why: String,
+        /// Reason given by the reader.
+        reason: String,
     },
 }
 
-/// Result of asking.
+/// Result of a request to a reader.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Tells whether the store may have been away, so that entries lapsed there.
+    /// Returns whether the store may have been unavailable, so that entries may have expired there.
     pub fn is_store_lost(&self) -> bool {
-        let away = [DeclineReason::StoreLost, DeclineReason::Stale].map(DeclineReason::reason);
-        matches!(self, Self::Declined { why, .. } if away.contains(&why.as_str()))
+        let store_lost =
+            [DeclineReason::StoreLost, DeclineReason::Stale].map(DeclineReason::reason);
+        matches!(self, Self::Declined { reason, .. } if store_lost.contains(&reason.as_str()))
     }
 }
 
-/// What a reader told.
+/// Response to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
-    /// An answer of the store, and the position up to which it goes; `None` where nothing changed.
+pub struct PollReply {
+    /// Changes in the encoding of the store, with the position that they lead to; `None` if nothing changed.
     pub changes: Option<(Position, Bytes)>,
-    /// Losses of the store at the reader.
+    /// Outages of the store, as seen by the reader.
     pub outage: Outage,
 }
 
@@ -278,12 +287,12 @@
     ///
     /// # Errors
     ///
-    /// It can't be connected to.
+    /// Fails if the connect fails or times out.
     pub async fn open(host: MemberId) -> Result<Self> {
         let (step, limit) = ("connecting", CONNECT_TIMEOUT);
-        let opened = timeout(limit, client::open_within(host, limit)).await;
-        let silent = |_| Error::Silent { host, step, limit };
-        let (sender, driver) = opened.map_err(silent)?.context(OpenSnafu)?;
+        let opened = timeout(limit, client::open_with_keepalive(host, limit)).await;
+        let timed_out = |_| Error::Timeout { host, step, limit };
+        let (sender, driver) = opened.map_err(timed_out)?.context(ConnectSnafu)?;
         Ok(Self {
             host,
             sender,
@@ -291,38 +300,40 @@
         })
     }
 
-    /// Returns the host at the other end.
+    /// Returns the host that this is connected to.
     pub fn host(&self) -> MemberId {
         self.host
     }
 
-    /// Asks for what changed after a position, and waits until something has.
+    /// Long-polls for changes after a position.
     ///
     /// # Errors
     ///
-    /// There is no answer in time, or somebody else is to be asked.
-    pub async fn ask(&mut self, after: Position, limit: Duration) -> Result<Told> {
-        let (host, step) = (self.host, "asking what changed");
-        let silent = |_| Error::Silent { host, step, limit };
-        timeout(limit, self.exchange(after)).await.map_err(silent)?
+    /// Fails on a timeout, or if the host declines.
+    pub async fn poll(&mut self, after: Position, limit: Duration) -> Result<PollReply> {
+        let (host, step) = (self.host, "polling for changes");
+        let timed_out = |_| Error::Timeout { host, step, limit };
+        timeout(limit, self.exchange(after))
+            .await
+            .map_err(timed_out)?
     }
 
-    /// Asks for everything that the store holds. Returns it with the position that it goes up to.
+    /// Loads the full state of the store. Returns it with its position.
     ///
     /// # Errors
     ///
-    /// There is no answer in time, or the host knows nothing yet.
-    pub async fn everything(&mut self, limit: Duration) -> Result<(Position, Bytes)> {
-        let (host, step) = (self.host, "asking for everything");
-        let silent = |_| Error::Silent { host, step, limit };
+    /// Fails on a timeout, or if the host has no state yet.
+    pub async fn load_full_state(&mut self, limit: Duration) -> Result<(Position, Bytes)> {
+        let (host, step) = (self.host, "loading the full state");
+        let timed_out = |_| Error::Timeout { host, step, limit };
         let request = self.call(|headers| {
-            headers.insert(EVERYTHING, 1_u64.into());
+            headers.insert(FULL_STATE, 1_u64.into());
         });
-        let answer = timeout(limit, request).await.map_err(silent)??;
-        let (head, body) = answer.into_parts();
-        match position(&head.headers, &TO) {
+        let response = timeout(limit, request).await.map_err(timed_out)??;
+        let (head, body) = response.into_parts();
+        match position(&head.headers, &UP_TO) {
             Some(to) if head.status == StatusCode::OK => Ok((to, body)),
-            _ => UnusableSnafu {
+            _ => InvalidReplySnafu {
                 host,
                 status: head.status,
             }
@@ -330,51 +341,52 @@
         }
     }
 
-    async fn exchange(&mut self, after: Position) -> Result<Told> {
+    async fn exchange(&mut self, after: Position) -> Result<PollReply> {
         let host = self.host;
-        let answer = self.call(|headers| set_position(headers, AFTER, after));
-        let (head, body) = answer.await?.into_parts();
+        let response = self.call(|headers| set_position(headers, AFTER, after));
+        let (head, body) = response.await?.into_parts();
         let status = head.status;
-        let to = position(&head.headers, &TO);
+        let to = position(&head.headers, &UP_TO);
         let changes = match (status, to) {
             (StatusCode::NO_CONTENT, _) => None,
             (StatusCode::OK, Some(to)) if to.era == after.era => Some((to, body)),
-            _ => return UnusableSnafu { host, status }.fail(),
+            _ => return InvalidReplySnafu { host, status }.fail(),
         };
-        Ok(Told {
+        Ok(PollReply {
             changes,
             outage: Outage {
-                count: number(&head.headers, &OUTAGES).unwrap_or_default(),
-                ended_ago: number(&head.headers, &OUTAGE_ENDED).map(Duration::from_millis),
+                count: parse_number(&head.headers, &OUTAGES).unwrap_or_default(),
+                ended_ago: parse_number(&head.headers, &OUTAGE_ENDED_AGO)
+                    .map(Duration::from_millis),
             },
         })
     }
 
-    /// Puts a question, and takes its whole answer.
-    async fn call(&mut self, question: impl FnOnce(&mut HeaderMap)) -> Result<Response<Bytes>> {
+    /// Sends a request and reads the complete response.
+    async fn call(&mut self, set_headers: impl FnOnce(&mut HeaderMap)) -> Result<Response<Bytes>> {
         let host = self.host;
         let request = Request::get("/").header(HOST, host.to_string());
         let Ok(mut request) = request.body(Empty::new()) else {
-            return UnusableSnafu {
+            return InvalidReplySnafu {
                 host,
                 status: StatusCode::BAD_REQUEST,
             }
             .fail();
         };
-        question(request.headers_mut());
+        set_headers(request.headers_mut());
         let http = HttpSnafu { host };
         self.sender.ready().await.context(http)?;
         let response = self.sender.send_request(request).await.context(http)?;
         let (head, body) = response.into_parts();
-        if let Some(why) = head.headers.get(DECLINED) {
-            let why = why.to_str().unwrap_or_default();
-            return DeclinedSnafu { host, why }.fail();
+        if let Some(reason) = head.headers.get(DECLINED) {
+            let reason = reason.to_str().unwrap_or_default();
+            return DeclinedSnafu { host, reason }.fail();
         }
         let status = head.status;
-        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         match body {
             Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
-            Err(_) => UnusableSnafu { host, status }.fail(),
+            Err(_) => InvalidReplySnafu { host, status }.fail(),
         }
     }
 }
--- a/crates/daemon/src/gateway/ready.rs
+++ b/crates/daemon/src/gateway/ready.rs
@@ -1,27 +1,27 @@
-//! What the balancer, monitoring and operators ask: readiness, metrics and state.
+//! Serves readiness, metrics and state to the load balancer, monitoring and operators.
 
 use super::describe::Describe;
 use crate::metrics::Metrics;
 use crate::operator::{self, METRICS_PATH, STATE_PATH};
 use crate::server::stop::{Stage, Watch};
-use crate::server::{Handler, Standing};
+use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use std::sync::Arc;
 
-/// Answers the balancer and monitoring.
+/// Handles requests of the load balancer, monitoring and operators.
 pub(super) struct Front {
     pub(super) describe: Describe,
     pub(super) metrics: Arc<Metrics>,
     pub(super) stop: Watch,
-    /// Path on which readiness is asked for.
+    /// Path of the readiness check.
     pub(super) path: &'static str,
 }
 
 impl Front {
-    /// Ready is who can serve: with a configuration and servers, and no stop begun.
+    /// Returns the readiness status: ready once a configuration and backend servers are known, until a stop begins.
     fn ready(&self) -> (StatusCode, &'static str) {
         if self.stop.stage() > Stage::Serving {
             return (StatusCode::SERVICE_UNAVAILABLE, "stopping");
@@ -34,17 +34,17 @@
 }
 
 impl Handler for Front {
-    async fn handle(&self, request: Request<Incoming>, _: Standing) -> Response<Full<Bytes>> {
+    async fn handle(&self, request: Request<Incoming>, _: LimitStatus) -> Response<Full<Bytes>> {
         match request.uri().path() {
             METRICS_PATH => operator::metrics(&self.metrics),
             STATE_PATH => {
-                let (status, why) = self.ready();
-                let reason = (!status.is_success()).then_some(why);
+                let (status, reason) = self.ready();
+                let reason = (!status.is_success()).then_some(reason);
                 operator::json(&self.describe.describe(reason).await)
             }
             path if path == self.path => {
-                let (status, why) = self.ready();
-                operator::text(status, why)
+                let (status, reason) = self.ready();
+                operator::text(status, reason)
             }
             _ => operator::text(StatusCode::NOT_FOUND, "there is nothing at this path"),
         }
--- a/crates/daemon/src/gateway/relay/mod.rs
+++ b/crates/daemon/src/gateway/relay/mod.rs
@@ -1,24 +1,24 @@
-//! Handing a search to a host that fans it out, and taking one in.
+//! Sends searches to hosts that fan them out, and accepts searches of other hosts.
 //!
-//! The request goes over as the client sent it, on connections of this host's own, with the version of
-//! the configuration that it came under. A host that has another version in force declines, so that one
-//! client never sees a version come and go. So does one that is stopping, that knows no server, or that
-//! has a full house: whoever asked then fans out by itself.
+//! A request is sent as the client wrote it, over this host's own connections, with the version of the configuration. A
+//! host with another version declines, so that clients never see versions alternate. It also declines if it is
+//! stopping, has no servers or is at its concurrency limit; the sender then fans the search out itself.
 //!
-//! Two hosts must never fan the same search out: each would ask as many servers of a shard as the request
-//! may run on, and the owners' bound would be broken. So a search of which a byte has left is the other
-//! host's, whatever becomes of the connection. Nothing tells one that never arrived from one whose
-//! acknowledgement was lost on a way that is cut one way, or whose host lost power while it waited: in each
-//! case the system says that the connection timed out.
+//! A search must never be fanned out by two hosts: together they could exceed the number of attempts allowed per shard.
+//! So once any byte of the request has been written, the search belongs to the other host, whatever happens to the
+//! connection. A timeout does not show whether the request arrived: only the acknowledgement may have been lost, or the
+//! host may have failed later.
 
+mod delegation;
 mod helper;
-mod share;
 #[cfg(test)]
 mod tests;
 
+use delegation::ONLY_KEYS;
+pub(super) use delegation::{
+    DelegatedReply, DelegationResult, OnlyKeys, PendingDelegation, set_covered,
+};
 pub(super) use helper::Helper;
-use share::ONLY;
-pub(super) use share::{Only, Part, Shared, Sharing, set_covered};
 
 use crate::client;
 use crate::clock::Clock;
@@ -37,166 +37,166 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Version of the configuration that a search came under.
+/// Version of the configuration that a search belongs to.
 const VERSION: HeaderName = HeaderName::from_static("monsoonring-configuration");
 
-/// Milliseconds that the answer takes on its way from the host that hands the search on to its caller.
-const ON_THE_WAY: HeaderName = HeaderName::from_static("monsoonring-on-the-way-ms");
+/// Milliseconds that a response needs from the sending host to its caller.
+const DELIVERY_MARGIN: HeaderName = HeaderName::from_static("monsoonring-on-the-way-ms");
 
-/// Present where a host declined a search; says why.
+/// Present if a host declined a search; contains the reason.
 pub(super) const DECLINED: HeaderName = HeaderName::from_static("monsoonring-declined");
 
-/// Time that a connect to a host in the same data centre may take: a hundred round trips.
+/// Connect timeout to a host in the same data centre.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Time within which the other host has to acknowledge what is sent. One that has lost power or is cut
-/// off never does, and the search would wait there for its deadline.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(150);
+/// Time within which the other host must acknowledge sent data. Otherwise a search sent to a host that lost power or
+/// is partitioned would wait for its deadline.
+const ACK_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time beyond a search's own that is waited for its answer.
-const SLACK: Duration = Duration::from_millis(20);
+/// Time beyond a search's deadline during which its response is awaited.
+const RESPONSE_GRACE: Duration = Duration::from_millis(20);
 
-/// Idle connections kept to each host.
-const IDLE: usize = 4;
+/// Maximum number of idle connections per host.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Largest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Largest accepted response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why another host did not answer.
+/// Why another host did not answer a search.
 #[derive(Debug, Snafu)]
 pub(super) enum Error {
     #[snafu(display("{source}"))]
     Connect { source: client::Error },
-    #[snafu(display("host {host}: connecting: no answer in {CONNECT_TIMEOUT:?}"))]
-    Silent { host: MemberId },
-    #[snafu(display("host {host}: asking, of which nothing left: {source}"))]
-    Unasked {
+    #[snafu(display("host {host}: connect timed out after {CONNECT_TIMEOUT:?}"))]
+    ConnectTimeout { host: MemberId },
+    #[snafu(display("host {host}: request not sent: {source}"))]
+    NotSent {
         host: MemberId,
         source: hyper::Error,
     },
-    #[snafu(display("host {host}: asking: {source}"))]
-    Lost {
+    #[snafu(display("host {host}: connection failed after sending began: {source}"))]
+    Interrupted {
         host: MemberId,
         source: hyper::Error,
     },
-    #[snafu(display("host {host}: answer broken off"))]
-    Broken { host: MemberId },
-    #[snafu(display("host {host}: no answer in {limit:?}"))]
-    Late { host: MemberId, limit: Duration },
-    #[snafu(display("host {host} declined: {why}"))]
-    Declined { host: MemberId, why: String },
+    #[snafu(display("host {host}: incomplete response"))]
+    Truncated { host: MemberId },
+    #[snafu(display("host {host}: no response within {limit:?}"))]
+    TimedOut { host: MemberId, limit: Duration },
+    #[snafu(display("host {host} declined: {reason}"))]
+    Declined { host: MemberId, reason: String },
 }
 
 pub(super) type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Tells whether the other host may have begun to fan the search out. It may have asked as many servers of
-    /// a shard then as a request may run on, and this host must not ask more.
-    pub(super) fn may_have_begun(&self) -> bool {
+    /// Returns whether the other host may have started to fan the search out. It may then have used up the attempts
+    /// allowed per shard, so this host must not send more.
+    pub(super) fn may_have_started(&self) -> bool {
         matches!(
             self,
-            Self::Lost { .. } | Self::Broken { .. } | Self::Late { .. }
+            Self::Interrupted { .. } | Self::Truncated { .. } | Self::TimedOut { .. }
         )
     }
 
-    fn ended(&self) -> Outcome {
+    fn outcome(&self) -> Outcome {
         match self {
             Self::Declined { .. } => Outcome::Declined,
-            // It acknowledged the search, and others in its place would have taken as long.
-            Self::Late { .. } => Outcome::Cancelled,
+            // The host acknowledged the search, and another one would likely have been as slow.
+            Self::TimedOut { .. } => Outcome::Cancelled,
             _ => Outcome::Failed,
         }
     }
 }
 
 /// A connection to another host.
-struct Link {
+struct Connection {
     sender: client::Sender<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
 }
 
-/// The hosts that fan out for this one, and the connections to them.
+/// Sends searches to helpers and pools the connections to them.
 pub(super) struct Relay {
     clock: Clock,
-    /// Told when another host has a newer configuration.
-    behind: Arc<Notify>,
+    /// Notified when another host has a newer configuration.
+    outdated: Arc<Notify>,
     helpers: Mutex<Table>,
-    idle: Mutex<HashMap<MemberId, Vec<Link>>>,
+    idle: Mutex<HashMap<MemberId, Vec<Connection>>>,
 }
 
-/// A search that a helper was chosen for. Where the client leaves meanwhile this is dropped.
-struct Chosen<'a> {
+/// A search assigned to a helper. Reports its outcome when dropped, also if the client disconnects.
+struct Assignment<'a> {
     relay: &'a Relay,
     host: MemberId,
-    ended: Outcome,
+    outcome: Outcome,
 }
 
-impl Drop for Chosen<'_> {
+impl Drop for Assignment<'_> {
     fn drop(&mut self) {
         let now = self.relay.clock.now();
-        self.relay.helpers().finished(self.host, self.ended, now);
+        self.relay.helpers().finished(self.host, self.outcome, now);
     }
 }
 
 impl Relay {
-    pub(super) fn new(strength: Centicores, clock: Clock, behind: Arc<Notify>) -> Self {
+    pub(super) fn new(strength: Centicores, clock: Clock, outdated: Arc<Notify>) -> Self {
         Self {
             clock,
-            behind,
+            outdated,
             helpers: Mutex::new(Table::new(strength)),
             idle: Mutex::default(),
         }
     }
 
-    /// Takes in how strong a host in the same data centre is.
-    pub(super) fn told(&self, host: MemberId, strength: Centicores) {
+    /// Sets the CPU capacity of a host in the same data centre.
+    pub(super) fn set_strength(&self, host: MemberId, strength: Centicores) {
         self.helpers().set_strength(host, strength);
     }
 
-    /// Takes in which hosts of another data centre may fan out.
-    pub(super) fn told_remote(&self, remote: Remote) {
+    /// Sets the candidates in another data centre.
+    pub(super) fn set_remote(&self, remote: Remote) {
         self.helpers().set_remote(remote);
     }
 
-    /// Asks the host that is best placed; `None` where there is none.
-    pub(super) async fn ask(
+    /// Sends a search to the best helper; returns `None` if there is none.
+    pub(super) async fn search(
         &self,
         head: &request::Parts,
         body: &Bytes,
         version: u64,
-        patience: Duration,
+        remaining: Duration,
     ) -> Option<(MemberId, Result<Response<Full<Bytes>>>)> {
         let host = self.helpers().choose(self.clock.now())?;
-        let mut chosen = Chosen {
+        let mut assignment = Assignment {
             relay: self,
             host,
-            ended: Outcome::Cancelled,
+            outcome: Outcome::Cancelled,
         };
         let mut request = Request::from_parts(head.clone(), Full::new(body.clone()));
-        // A client that sends the header of a part would have its search answered as one.
-        request.headers_mut().remove(ONLY);
-        let answer = self.hand(host, request, version, patience).await;
-        chosen.ended = match &answer {
+        // A client that sets this header must not have its search answered as a part.
+        request.headers_mut().remove(ONLY_KEYS);
+        let response = self.send(host, request, version, remaining).await;
+        assignment.outcome = match &response {
             Ok(_) => Outcome::Answered,
-            Err(error) => error.ended(),
+            Err(error) => error.outcome(),
         };
-        Some((host, answer))
+        Some((host, response))
     }
 
-    /// Hands a request to a host, under a version of the configuration.
-    async fn hand(
+    /// Sends a request to a host, with the version of the configuration.
+    async fn send(
         &self,
         host: MemberId,
         mut request: Request<Full<Bytes>>,
         version: u64,
-        patience: Duration,
+        remaining: Duration,
     ) -> Result<Response<Full<Bytes>>> {
         remove_framing(request.headers_mut());
         request.headers_mut().insert(VERSION, version.into());
-        let limit = patience + SLACK;
+        let limit = remaining + RESPONSE_GRACE;
         match timeout(limit, self.exchange(host, request)).await {
-            Ok(answer) => answer,
-            Err(_) => LateSnafu { host, limit }.fail(),
+            Ok(response) => response,
+            Err(_) => TimedOutSnafu { host, limit }.fail(),
         }
     }
 
@@ -206,106 +206,110 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Full<Bytes>>> {
         let own = version(request.headers());
-        let mut link = self.link(host).await?;
-        let response = match link.sender.try_send_request(request).await {
+        let mut connection = self.acquire(host).await?;
+        let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
-            // The library hands the request back only where it has not written any of it.
+            // hyper returns the request only if none of it was written.
             Err(error) if error.message().is_some() => {
                 let source = error.into_error();
-                return Err(Error::Unasked { host, source });
+                return Err(Error::NotSent { host, source });
             }
             Err(error) => {
                 let source = error.into_error();
-                return Err(Error::Lost { host, source });
+                return Err(Error::Interrupted { host, source });
             }
         };
         let (mut head, body) = response.into_parts();
-        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         let Ok(body) = body else {
-            return BrokenSnafu { host }.fail();
+            return TruncatedSnafu { host }.fail();
         };
-        self.keep(host, link);
+        self.release(host, connection);
         if version(&head.headers) > own {
-            self.behind.notify_one();
+            self.outdated.notify_one();
         }
-        if let Some(why) = head.headers.get(DECLINED) {
-            let why = why.to_str().unwrap_or_default();
-            return DeclinedSnafu { host, why }.fail();
+        if let Some(reason) = head.headers.get(DECLINED) {
+            let reason = reason.to_str().unwrap_or_default();
+            return DeclinedSnafu { host, reason }.fail();
         }
         remove_framing(&mut head.headers);
         Ok(Response::from_parts(head, Full::new(body.to_bytes())))
     }
 
-    async fn link(&self, host: MemberId) -> Result<Link> {
-        while let Some(link) = self.idle().get_mut(&host).and_then(Vec::pop) {
-            if link.sender.is_ready() {
-                return Ok(link);
+    async fn acquire(&self, host: MemberId) -> Result<Connection> {
+        while let Some(connection) = self.idle().get_mut(&host).and_then(Vec::pop) {
+            if connection.sender.is_ready() {
+                return Ok(connection);
             }
         }
-        let opened = timeout(CONNECT_TIMEOUT, client::open_within(host, UNACKNOWLEDGED)).await;
-        let opened = opened.map_err(|_| Error::Silent { host })?;
-        let (sender, driver) = opened.context(ConnectSnafu)?;
-        Ok(Link {
+        let result = timeout(
+            CONNECT_TIMEOUT,
+            client::open_with_keepalive(host, ACK_TIMEOUT),
+        )
+        .await;
+        let result = result.map_err(|_| Error::ConnectTimeout { host })?;
+        let (sender, driver) = result.context(ConnectSnafu)?;
+        Ok(Connection {
             sender,
             _driver: client::drive(driver),
         })
     }
 
-    fn keep(&self, host: MemberId, link: Link) {
+    fn release(&self, host: MemberId, connection: Connection) {
         let mut idle = self.idle();
-        let links = idle.entry(host).or_default();
-        if links.len() < IDLE {
-            links.push(link);
+        let connections = idle.entry(host).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(connection);
         }
     }
 
-    // Nothing panics with a lock held, and what is behind it is never left half changed.
+    // No code panics while it holds a lock, so the guarded values are consistent even if poisoned.
     fn helpers(&self) -> MutexGuard<'_, Table> {
         self.helpers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn idle(&self) -> MutexGuard<'_, HashMap<MemberId, Vec<Link>>> {
+    fn idle(&self) -> MutexGuard<'_, HashMap<MemberId, Vec<Connection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Removes what belongs to the one connection that a message came over.
+/// Removes the headers that apply to a single connection.
 fn remove_framing(headers: &mut HeaderMap) {
     for name in [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING] {
         headers.remove(name);
     }
 }
 
-/// Returns the version of the configuration that a message names.
+/// Returns the version of the configuration in the headers.
 fn version(headers: &HeaderMap) -> Option<u64> {
-    number(headers, &VERSION)
+    parse_number(headers, &VERSION)
 }
 
-/// Returns the number that a header between hosts holds.
-pub(super) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+/// Parses the number in a header.
+pub(super) fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Answers that the search has not run here, and that whoever asked may fan out by itself.
-pub(super) fn declined(why: &'static str) -> Response<Full<Bytes>> {
+/// Builds a response that declines a search: it has not run here, and the sender may fan it out itself.
+pub(super) fn decline(reason: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     let headers = response.headers_mut();
-    headers.insert(DECLINED, HeaderValue::from_static(why));
+    headers.insert(DECLINED, HeaderValue::from_static(reason));
     response
 }
 
-/// Tells the other host how long the answer takes from here to the caller.
-pub(super) fn set_on_the_way(headers: &mut HeaderMap, time: Duration) {
-    headers.insert(ON_THE_WAY, (time.as_millis() as u64).into());
+/// Sets the time that a response needs from this host to the caller.
+pub(super) fn set_delivery_margin(headers: &mut HeaderMap, time: Duration) {
+    headers.insert(DELIVERY_MARGIN, (time.as_millis() as u64).into());
 }
 
-/// Takes out of a search what is between hosts, and no backend server's concern. Returns the version of the
-/// configuration that it came under, and how long the answer takes on its way, as far as it says so.
-fn take_out(headers: &mut HeaderMap) -> (Option<u64>, Option<Duration>) {
+/// Removes the relay headers, so that they are not forwarded to backend servers. Returns the version of the
+/// configuration and the delivery margin, where set.
+fn take_relay_headers(headers: &mut HeaderMap) -> (Option<u64>, Option<Duration>) {
     let version = version(headers);
     headers.remove(VERSION);
-    let time = number(headers, &ON_THE_WAY);
-    headers.remove(ON_THE_WAY);
+    let time = parse_number(headers, &DELIVERY_MARGIN);
+    headers.remove(DELIVERY_MARGIN);
     (version, time.map(Duration::from_millis))
 }
--- a/crates/daemon/src/gateway/relay/tests.rs
+++ b/crates/daemon/src/gateway/relay/tests.rs
@@ -1,6 +1,6 @@
-//! What a host that handed a search on may still do itself.
+//! Whether a search that failed at another host may still run on this one.
 
-use super::{Error, Link, Relay};
+use super::{Connection, Error, Relay};
 use crate::clock::Clock;
 use bytes::Bytes;
 use hyper::Request;
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio_util::task::AbortOnDropHandle;
 
-/// A stream that takes all that is written, and then fails.
+/// A stream that accepts writes and fails on the read that follows.
 struct Failing {
     error: ErrorKind,
     written: bool,
@@ -60,60 +60,57 @@
     }
 }
 
-/// Returns a connection to another host that takes a request and then fails.
-async fn link(error: ErrorKind) -> Link {
+/// Returns a connection that fails after the request was written.
+async fn connection(error: ErrorKind) -> Connection {
     let stream = Failing {
         error,
         written: false,
         reader: None,
     };
-    let opened = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, driver) = opened.expect("it takes all that is written");
+    let result = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, driver) = result.expect("handshake succeeds");
     let driver = tokio::spawn(async move {
         let _ = driver.await;
     });
-    // Until it is driven it is not ready.
+    // The connection becomes ready once its driver has run.
     tokio::task::yield_now().await;
-    Link {
+    Connection {
         sender,
         _driver: AbortOnDropHandle::new(driver),
     }
 }
 
-// Symptom: of each shard up to twice as many servers run a search as its route allows.
-// Events:  a host hands a search on, and its connection times out: what it sent arrived, and the acknowledgement
-//          was lost on a way that is cut one way; or the search was at work for seconds at a host that lost
-//          power. The host fans the search out itself.
-// Cause:   a connection that timed out was taken for a sign that nothing had arrived.
+// Guards against a search that two hosts fan out: after a timeout or reset the request may have arrived, and a second
+// fan-out would exceed the attempts allowed per shard.
 #[test_case(ErrorKind::TimedOut; "timed_out")]
 #[test_case(ErrorKind::ConnectionReset; "reset")]
 #[tokio::test]
-async fn ask_connection_ends_after_the_search_has_left(error: ErrorKind) {
+async fn search_connection_fails_after_the_request_was_sent(error: ErrorKind) {
     let host = SocketAddr::from(([127, 0, 0, 1], 9));
     let relay = Relay::new(12, Clock::start(), Arc::new(Notify::new()));
-    relay.told(host, 50);
-    relay.keep(host, link(error).await);
-    let request = Request::get("/map/1").body(()).expect("it is proper");
+    relay.set_strength(host, 50);
+    relay.release(host, connection(error).await);
+    let request = Request::get("/map/1").body(()).expect("valid request");
     let ((head, ()), body) = (request.into_parts(), Bytes::new());
-    let asked = relay.ask(&head, &body, 7, Duration::from_secs(5));
-    let (_, answer) = asked.await.expect("there is one to ask");
-    let error = answer.expect_err("there is no answer");
-    assert!(error.may_have_begun(), "{error}");
+    let search = relay.search(&head, &body, 7, Duration::from_secs(5));
+    let (_, answer) = search.await.expect("a helper is available");
+    let error = answer.expect_err("the connection fails");
+    assert!(error.may_have_started(), "{error}");
 }
 
-// The other way about: where nothing was sent the search is still this host's.
+// A request that was never sent may still run on this host.
 #[tokio::test]
-async fn ask_nobody_listens_leaves_the_search_here() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let host = listener.local_addr().expect("it is bound");
+async fn search_connection_refused_may_run_on_this_host() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("free port");
+    let host = listener.local_addr().expect("bound socket");
     drop(listener);
     let relay = Relay::new(12, Clock::start(), Arc::new(Notify::new()));
-    relay.told(host, 50);
-    let request = Request::get("/map/1").body(()).expect("it is proper");
+    relay.set_strength(host, 50);
+    let request = Request::get("/map/1").body(()).expect("valid request");
     let ((head, ()), body) = (request.into_parts(), Bytes::new());
-    let asked = relay.ask(&head, &body, 7, Duration::from_secs(5));
-    let (_, answer) = asked.await.expect("there is one to ask");
-    let error = answer.expect_err("nobody listens");
+    let search = relay.search(&head, &body, 7, Duration::from_secs(5));
+    let (_, answer) = search.await.expect("a helper is available");
+    let error = answer.expect_err("connect is refused");
     assert!(matches!(error, Error::Connect { .. }), "{error}");
-    assert!(!error.may_have_begun());
+    assert!(!error.may_have_started());
 }
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! What this daemon does for its peers.
+//! Serves the calls of other daemons.
 
 use crate::control;
 use crate::node::Node;
@@ -21,35 +21,35 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// Pause after a failed accept: the process is out of descriptors, and trying at once again would
-/// only take processor time from those who could give some back.
+/// Pause after a failed accept. `accept` fails if the process is out of file descriptors; retrying
+/// at once would only use up processor time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time that a probe on behalf of another member may take.
+/// Timeout of a probe on behalf of another member.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves peers until the process ends.
+/// Serves peers until the process exits.
 ///
-/// Without a limit, someone at the port who needs no key to open connections would take the
-/// descriptors that callers and backend servers need; one would see accepting fail everywhere. One
-/// above the limit is closed, and one that does not finish its handshake frees its place in a second.
+/// Opening a connection needs no key, so without a limit anyone who can reach the port could use up
+/// the file descriptors that callers and backend servers need. Connections above the limit are
+/// closed, and one that does not finish its handshake within a second frees its permit.
 pub(crate) async fn serve(
     node: Arc<Node>,
     listener: TcpListener,
     endpoint: Endpoint,
     max_connections: usize,
 ) {
-    let places = Arc::new(Semaphore::new(max_connections.min(Semaphore::MAX_PERMITS)));
+    let permits = Arc::new(Semaphore::new(max_connections.min(Semaphore::MAX_PERMITS)));
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let Ok(place) = places.clone().try_acquire_owned() else {
+                let Ok(permit) = permits.clone().try_acquire_owned() else {
                     continue;
                 };
-                let conversation = converse(node.clone(), stream, peer, endpoint.clone());
+                let connection = serve_connection(node.clone(), stream, peer, endpoint.clone());
                 tokio::spawn(async move {
-                    conversation.await;
-                    drop(place);
+                    connection.await;
+                    drop(permit);
                 });
             }
             Err(error) => {
@@ -60,7 +60,12 @@
     }
 }
 
-async fn converse(node: Arc<Node>, stream: TcpStream, peer: SocketAddr, endpoint: Endpoint) {
+async fn serve_connection(
+    node: Arc<Node>,
+    stream: TcpStream,
+    peer: SocketAddr,
+    endpoint: Endpoint,
+) {
     let stream = match endpoint.accept(stream, peer).await {
         Ok(stream) => stream,
         Err(error) => {
@@ -70,9 +75,9 @@
     };
     let open = node.open_connections();
     open.inc();
-    let answer = async |call| drop(tokio::spawn(call));
+    let spawn = async |call| drop(tokio::spawn(call));
     wire::calls(stream, Server(node).serve())
-        .for_each(answer)
+        .for_each(spawn)
         .await;
     open.dec();
 }
@@ -97,23 +102,23 @@
         self.0.probe(target, message, PROBE_TIMEOUT).await
     }
 
-    async fn page(self, _: Context, span: BucketRange) -> Option<Page> {
-        self.control().page(span).await
+    async fn page(self, _: Context, range: BucketRange) -> Option<Page> {
+        self.control().page(range).await
     }
 
-    async fn sections(self, _: Context, least: Version, base: Base) -> Option<Sections> {
-        let (version, sections) = self.control().sections(least).await?;
+    async fn sections(self, _: Context, min_version: Version, base: Base) -> Option<Sections> {
+        let (version, sections) = self.control().sections(min_version).await?;
         let parts = parts(&sections, &base);
         Some(Sections { version, parts })
     }
 
     async fn search(self, context: Context, request: Request) -> Result<Outcome, Declined> {
-        let _in_flight = self.0.passed_on();
+        let _in_flight = self.0.track_forwarded();
         let call = self
             .0
             .call(request, deadline(&context))
             .ok_or(Declined::NotHome)?;
-        self.0.search_passed(call).await
+        self.0.search_forwarded(call).await
     }
 
     async fn mint(self, context: Context, request: Request) -> Result<Key, Declined> {
@@ -125,7 +130,7 @@
     }
 
     async fn send(self, context: Context, send: Send) -> Sent {
-        let _in_flight = self.0.passed_on();
+        let _in_flight = self.0.track_forwarded();
         match self.0.call(send.request, deadline(&context)) {
             Some(call) => self.0.send(call, send.key, send.send, true).await,
             None => Sent::Refused(Refusal::Gone),
@@ -138,20 +143,20 @@
         request: Request,
         key: String,
     ) -> Result<Outcome, Declined> {
-        let _in_flight = self.0.passed_on();
+        let _in_flight = self.0.track_forwarded();
         let call = self
             .0
             .call(request, deadline(&context))
             .ok_or(Declined::NotHome)?;
-        self.0.run_passed(call, key).await
+        self.0.run_forwarded(call, key).await
     }
 
-    async fn ask(self, _: Context, question: Lookup) -> Finding {
-        self.0.answer(&question)
+    async fn ask(self, _: Context, lookup: Lookup) -> Finding {
+        self.0.answer(&lookup)
     }
 
     async fn hear(self, _: Context, entry: fact::Entry, from: MemberId) {
-        self.control().tell(control::Input::Heard(entry, from));
+        self.control().send(control::Input::RemoteFact(entry, from));
     }
 
     async fn take_over(self, _: Context, handover: Handover) -> Option<Receipt> {
@@ -159,7 +164,7 @@
     }
 }
 
-/// Returns the deadline of the request that a call carries.
+/// Returns the deadline of the request in a call, which is `GRACE` before that of the call.
 fn deadline(context: &Context) -> Instant {
     context
         .deadline
