--- a/crates/decision/tests/home_queue.rs
+++ b/crates/decision/tests/home_queue.rs
@@ -1,4 +1,4 @@
-//! What waits: for admission, for room at a server, for a connection.
+//! Requests that wait for admission, for a slot at a server or for a connection.
 
 mod session;
 
@@ -8,33 +8,36 @@
 use monsoonring_decision::outcome::{Outcome, Reason};
 use session::{Session, VERSION, ms, report, request, route, server, tickets};
 
-/// Server for which the last attempt was made.
-fn chosen(session: &Session) -> BackendServerId {
+/// Returns the server that was chosen last.
+fn last_chosen_server(session: &Session) -> BackendServerId {
     let servers = session
         .log
         .iter()
         .rev()
         .filter_map(|decision| decision.backend_server);
-    servers.into_iter().next().expect("an attempt was logged")
+    servers
+        .into_iter()
+        .next()
+        .expect("an attempt is in the log")
 }
 
-/// Lets the connections to a server that were asked for open.
-fn open(session: &mut Session, server: BackendServerId) {
+/// Opens all pending connections to a server.
+fn open_pending(session: &mut Session, server: BackendServerId) {
     session.pending.remove(&server);
     for (connection, to) in session.opens.clone() {
         if to == server {
-            session.on(Event::Opened(connection));
+            session.handle(Event::Opened(connection));
         }
     }
 }
 
 #[test]
-fn request_after_its_deadline_is_not_run() {
+fn request_past_its_deadline_is_not_run() {
     let mut session = Session::polled(tickets(1), &[VERSION]);
     session.now = ms(10);
     let mut late = request(1, ms(0));
     late.deadline = ms(10);
-    session.on(Event::Request(late));
+    session.handle(Event::Request(late));
     let reason = Reason::Deadline;
     let retry_after = None;
     assert_eq!(
@@ -47,13 +50,12 @@
 }
 
 #[test]
-fn request_beyond_the_limit_is_refused_at_once() {
-    // Symptom: past saturation every answer is late, and servers work for callers that have gone.
-    // Events: far more requests arrive than the servers can work on.
-    // Cause: each of them is taken on, and waits behind the others.
+fn request_over_the_limit_is_refused_immediately() {
+    // Guards against unbounded queues: beyond saturation every answer would be late, and servers
+    // would work for callers that have left.
     let mut session = Session::polled(route(1, 1), &[VERSION]);
     for id in 1..2000 {
-        session.ask(id);
+        session.submit(id);
     }
     let refused = |(_, outcome): &&(u128, Outcome)| {
         let reason = Reason::Overload;
@@ -64,78 +66,70 @@
 }
 
 #[test]
-fn search_without_room_waits_and_the_urgent_go_first() {
-    // Symptom: dispatchers wait behind planners.
-    // Events: all connections are in use; a background search waits, then an urgent one does.
-    // Cause: those who wait are served in order of arrival.
+fn search_without_a_connection_waits_urgent_first() {
+    // Guards against urgent requests that wait behind background requests for a connection.
     let mut small = route(1, 1);
     small.capacity.connections = 2;
     let mut session = Session::polled(small, &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     for (id, class) in [(2, Class::Background), (3, Class::Urgent)] {
         let mut waiting = request(id, session.now);
         waiting.class = class;
-        session.on(Event::Request(waiting));
+        session.handle(Event::Request(waiting));
     }
-    assert_eq!(
-        session.sends.len(),
-        1,
-        "one connection is this home's share"
-    );
+    assert_eq!(session.sends.len(), 1, "this home may use one connection");
     session.answer_from(0);
     let order: Vec<u128> = session.sends.iter().map(|send| send.request).collect();
     assert_eq!(order, [1, 3, 2]);
-    assert_eq!(session.answered(2).coverage, 1.0);
+    assert_eq!(session.answer_to(2).coverage, 1.0);
 }
 
 #[test]
-fn leaving_server_with_a_queue_hands_it_over() {
-    // Symptom: requests are sent to a server seconds after it was marked as leaving.
-    // Events: an attempt waits for a connection; meanwhile its server is marked.
-    // Cause: the mark is looked at when a server is chosen, and not when the request leaves.
-    let both = [server(0, 0), server(0, 1)];
-    let mut session = Session::pending(route(1, 2), &both);
-    session.ask(1);
-    let leaving = chosen(&session);
-    session.on(Event::Leaving {
+fn leaving_server_queue_moves_to_another() {
+    // Guards against an attempt that is sent to a leaving server because it was already queued for
+    // a connection when the server was marked.
+    let servers = [server(0, 0), server(0, 1)];
+    let mut session = Session::pending(route(1, 2), &servers);
+    session.submit(1);
+    let leaving = last_chosen_server(&session);
+    session.handle(Event::Leaving {
         backend_server: leaving,
         start: None,
     });
-    open(&mut session, both[0]);
-    open(&mut session, both[1]);
+    open_pending(&mut session, servers[0]);
+    open_pending(&mut session, servers[1]);
     assert_eq!(session.sends.len(), 1);
     assert_ne!(session.sends[0].backend_server, leaving);
 }
 
 #[test]
-fn unreachable_server_with_a_queue_hands_it_over() {
-    let both = [server(0, 0), server(0, 1)];
-    let mut session = Session::pending(tickets(2), &both);
-    session.ask(1);
-    let down = chosen(&session);
+fn unreachable_server_queue_moves_to_another() {
+    let servers = [server(0, 0), server(0, 1)];
+    let mut session = Session::pending(tickets(2), &servers);
+    session.submit(1);
+    let unreachable = last_chosen_server(&session);
     let (connection, _) = *session
         .opens
         .iter()
-        .find(|(_, to)| *to == down)
-        .expect("asked for");
-    session.on(Event::Closed(connection));
-    for server in both.into_iter().filter(|server| *server != down) {
-        open(&mut session, server);
+        .find(|(_, to)| *to == unreachable)
+        .expect("a connection was requested");
+    session.handle(Event::Closed(connection));
+    for server in servers.into_iter().filter(|server| *server != unreachable) {
+        open_pending(&mut session, server);
     }
     assert_eq!(session.sends.len(), 1);
-    assert_ne!(session.sends[0].backend_server, down);
+    assert_ne!(session.sends[0].backend_server, unreachable);
 }
 
 #[test]
-fn execute_deadline_before_the_connection_is_not_run() {
-    // Symptom: a ticket whose caller was told "unknown" is opened seconds later.
-    // Events: the connection opens after the deadline.
-    // Cause: the request was put into a queue in time, and nobody looks at the time again.
-    let only = server(0, 0);
-    let mut session = Session::pending(tickets(1), &[only]);
-    session.ask(1);
-    session.pass(ms(1001));
-    open(&mut session, only);
+fn execute_deadline_before_the_connection_opens_is_not_run() {
+    // Guards against a non-idempotent request that is sent when a connection opens after its
+    // deadline.
+    let pending_server = server(0, 0);
+    let mut session = Session::pending(tickets(1), &[pending_server]);
+    session.submit(1);
+    session.advance(ms(1001));
+    open_pending(&mut session, pending_server);
     assert!(matches!(
         session.outcome(1),
         Outcome::NotRun {
@@ -147,31 +141,30 @@
 }
 
 #[test]
-fn minimum_raised_in_mid_query_begins_again() {
-    // Symptom: answers from an index that the operators have withdrawn.
-    // Events: the minimum version is raised while a query runs at the version before.
-    // Cause: the minimum is looked at when a version is pinned, and not when an answer is given.
+fn minimum_raised_during_a_search_restarts_it() {
+    // Guards against an answer at an index version that fell below the minimum while the search
+    // ran.
     let newer = VERSION + 1;
     let mut session = Session::polled(route(2, 1), &[VERSION]);
-    session.on(Event::Polled(server(0, 0), Some(report(&[VERSION, newer]))));
-    session.ask(1);
+    session.handle(Event::Polled(server(0, 0), Some(report(&[VERSION, newer]))));
+    session.submit(1);
     session.answer(&session.sends[1].clone());
     let mut raised = route(2, 1);
     raised.minimum_index_version = newer;
-    session.on(Event::Route(std::sync::Arc::new(raised)));
+    session.handle(Event::Route(std::sync::Arc::new(raised)));
     session.answer_from(2);
-    let answer = session.answered(1);
+    let answer = session.answer_to(1);
     assert_eq!((answer.index_version, answer.coverage), (newer, 0.5));
 }
 
 #[test]
-fn minimum_raised_beyond_all_versions_gives_no_answer() {
+fn minimum_raised_above_all_versions_fails() {
     let mut session = Session::polled(route(2, 1), &[VERSION]);
-    session.ask(1);
+    session.submit(1);
     session.answer(&session.sends[0].clone());
     let mut raised = route(2, 1);
     raised.minimum_index_version = VERSION + 1;
-    session.on(Event::Route(std::sync::Arc::new(raised)));
+    session.handle(Event::Route(std::sync::Arc::new(raised)));
     session.answer(&session.sends[1].clone());
     assert!(matches!(session.outcome(1), Outcome::Failed { .. }));
 }
