--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -21,7 +21,7 @@
 mod tiling;
 
 pub use fault::Fault;
-pub use path::{Path, Step};
+pub use path::{Path, Segment};
 
 use crate::Document;
 use crate::document::Kind;
--- a/crates/configuration/src/check/path.rs
+++ b/crates/configuration/src/check/path.rs
@@ -7,7 +7,7 @@
 
 /// One step down into a JSON value.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum Segment {
     /// Into an item of an array.
     #[display("[{_0}]")]
     Index(usize),
@@ -20,25 +20,25 @@
 ///
 /// The empty path is the document itself. Paths order as their places do in an array.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Path(Vec<Step>);
+pub struct Path(Vec<Segment>);
 
 impl Path {
     /// Returns the path of an item of the array at this path.
     pub fn index(&self, index: usize) -> Self {
-        self.step(Step::Index(index))
+        self.step(Segment::Index(index))
     }
 
     /// Returns the path of a field of the object at this path.
     pub fn field(&self, name: impl Into<Cow<'static, str>>) -> Self {
-        self.step(Step::Field(name.into()))
+        self.step(Segment::Field(name.into()))
     }
 
     /// Returns the steps from the document down.
-    pub fn steps(&self) -> &[Step] {
+    pub fn segments(&self) -> &[Segment] {
         &self.0
     }
 
-    pub(super) fn push(&mut self, step: Step) {
+    pub(super) fn push(&mut self, step: Segment) {
         self.0.push(step);
     }
 
@@ -46,7 +46,7 @@
         self.0.pop();
     }
 
-    fn step(&self, step: Step) -> Self {
+    fn step(&self, step: Segment) -> Self {
         let mut steps = Vec::with_capacity(self.0.len() + 1);
         steps.extend_from_slice(&self.0);
         steps.push(step);
@@ -61,8 +61,8 @@
         }
         for (position, step) in self.0.iter().enumerate() {
             match step {
-                Step::Field(name) if !is_plain(name) => write!(formatter, "[{name:?}]")?,
-                Step::Field(name) if position > 0 => write!(formatter, ".{name}")?,
+                Segment::Field(name) if !is_plain(name) => write!(formatter, "[{name:?}]")?,
+                Segment::Field(name) if position > 0 => write!(formatter, ".{name}")?,
                 other => write!(formatter, "{other}")?,
             }
         }
--- a/crates/configuration/src/check/reader.rs
+++ b/crates/configuration/src/check/reader.rs
@@ -3,7 +3,7 @@
 //! The usual reader keeps the last of two equal keys. An operator who edits a copied block then
 //! sees one value in the file and another in force, and nothing complains. Here both are a fault.
 
-use super::{Fault, Path, Step};
+use super::{Fault, Path, Segment};
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
@@ -89,7 +89,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
         loop {
-            self.path.push(Step::Index(items.len()));
+            self.path.push(Segment::Index(items.len()));
             let item = access.next_element_seed(Seed {
                 path: &mut *self.path,
                 faults: &mut *self.faults,
@@ -105,7 +105,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Value, A::Error> {
         let mut fields = Map::new();
         while let Some(name) = access.next_key::<String>()? {
-            self.path.push(Step::Field(name.clone().into()));
+            self.path.push(Segment::Field(name.clone().into()));
             if fields.contains_key(&name) {
                 self.faults.push(duplicate_fault(self.path.clone()));
             }
--- a/crates/configuration/src/check/structure.rs
+++ b/crates/configuration/src/check/structure.rs
@@ -106,13 +106,13 @@
             TypeKind::Multiple(_) => "a value of another type".to_owned(),
         },
         ValidationErrorKind::Pattern { pattern } => format!("a string of the form {pattern}"),
-        ValidationErrorKind::Minimum { limit } => format!("{} or more", schema::shown(limit)),
+        ValidationErrorKind::Minimum { limit } => format!("{} or more", schema::render(limit)),
         ValidationErrorKind::ExclusiveMinimum { limit } => {
-            format!("more than {}", schema::shown(limit))
+            format!("more than {}", schema::render(limit))
         }
-        ValidationErrorKind::Maximum { limit } => format!("{} or less", schema::shown(limit)),
+        ValidationErrorKind::Maximum { limit } => format!("{} or less", schema::render(limit)),
         ValidationErrorKind::ExclusiveMaximum { limit } => {
-            format!("less than {}", schema::shown(limit))
+            format!("less than {}", schema::render(limit))
         }
         ValidationErrorKind::MinItems { limit } => format!("{limit} or more items"),
         ValidationErrorKind::MaxItems { limit } => format!("{limit} or fewer items"),
--- a/crates/configuration/src/reference.rs
+++ b/crates/configuration/src/reference.rs
@@ -98,7 +98,7 @@
 
 fn row(field: &str, schema: &'static Value, is_required: bool) -> String {
     let default = match schema.get("default") {
-        Some(value) => format!("`{}`", schema::shown(value)),
+        Some(value) => format!("`{}`", schema::render(value)),
         None if is_required => "required".to_owned(),
         None => "none".to_owned(),
     };
--- a/crates/configuration/src/schema.rs
+++ b/crates/configuration/src/schema.rs
@@ -47,13 +47,13 @@
 
 /// Renders a value alike in every build: the order of an object's fields depends on a feature of
 /// `serde_json` that any crate of the workspace can switch on.
-pub fn shown(value: &Value) -> String {
+pub fn render(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
             let sorted: BTreeMap<_, _> = fields.iter().collect();
             let fields: Vec<String> = sorted
                 .into_iter()
-                .map(|(name, value)| format!("\"{name}\": {}", shown(value)))
+                .map(|(name, value)| format!("\"{name}\": {}", render(value)))
                 .collect();
             format!("{{{}}}", fields.join(", "))
         }
@@ -95,7 +95,7 @@
 fn bound(fields: &Map<String, Value>, keyword: &str) -> Option<String> {
     let text = match fields.get(keyword)? {
         Value::String(pattern) => format!("`{pattern}`"),
-        number => shown(number),
+        number => render(number),
     };
     Some(text)
 }
--- a/crates/configuration/src/section.rs
+++ b/crates/configuration/src/section.rs
@@ -23,8 +23,8 @@
 use crate::document::{Caller, Route};
 use crate::{Document, canonical, check};
 use error::{
-    InvalidSnafu, MismatchSnafu, MisplacedSnafu, MissingSnafu, UnexpectedSnafu, UnreadableSnafu,
-    UnwritableSnafu,
+    DecodeSnafu, EncodeSnafu, InvalidSnafu, MismatchSnafu, MissingSnafu, UnexpectedSnafu,
+    WrongRouteSnafu,
 };
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, ensure};
@@ -63,12 +63,12 @@
     }
 
     fn write<T: Serialize>(name: Name, part: &T) -> Result<Self> {
-        let body = serde_json::to_vec(part).context(UnwritableSnafu { name: name.clone() })?;
+        let body = serde_json::to_vec(part).context(EncodeSnafu { name: name.clone() })?;
         Ok(Self::new(name, body))
     }
 
     fn read<'a, T: Deserialize<'a>>(&'a self) -> Result<T> {
-        serde_json::from_slice(&self.body).context(UnreadableSnafu {
+        serde_json::from_slice(&self.body).context(DecodeSnafu {
             name: self.name.clone(),
         })
     }
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Unwritable`] if a part can't be written as JSON.
+/// Returns [`Error::Encode`] if a part can't be written as JSON.
 pub fn split(document: &Document) -> Result<Vec<Section>> {
     let form = canonical::form(document);
     let callers = Section::write(Name::Callers, &form.callers);
@@ -113,7 +113,7 @@
                 let route: Route = section.read()?;
                 ensure!(
                     route.name == *name,
-                    MisplacedSnafu {
+                    WrongRouteSnafu {
                         name: section.name.clone(),
                         found: route.name
                     }
--- a/crates/configuration/src/section/error.rs
+++ b/crates/configuration/src/section/error.rs
@@ -14,7 +14,7 @@
 pub enum Error {
     /// A part can't be written as JSON.
     #[snafu(display("the section {name} can't be written"))]
-    Unwritable {
+    Encode {
         /// The part.
         name: Name,
         /// Why it can't.
@@ -44,7 +44,7 @@
     },
     /// The bytes of a section don't hold what they should.
     #[snafu(display("the section {name} can't be read"))]
-    Unreadable {
+    Decode {
         /// The section.
         name: Name,
         /// Why it can't.
@@ -52,7 +52,7 @@
     },
     /// A section holds another route than its name says.
     #[snafu(display("the section {name} holds the route {found}"))]
-    Misplaced {
+    WrongRoute {
         /// The section.
         name: Name,
         /// The route in it.
@@ -60,7 +60,7 @@
     },
     /// A part stands for a section that isn't held.
     #[snafu(display("there is no section at position {position}"))]
-    Unknown {
+    UnknownPosition {
         /// The position.
         position: u32,
     },
--- a/crates/configuration/src/section/transfer.rs
+++ b/crates/configuration/src/section/transfer.rs
@@ -9,7 +9,7 @@
 //! digest of that against the one which was announced: two sections that share eight bytes of their
 //! digests, a position that means another section, a body cut short, all of them give another digest.
 
-use super::error::{Result, UnknownSnafu};
+use super::error::{Result, UnknownPositionSnafu};
 use super::{Name, Section};
 use serde::{Deserialize, Serialize};
 use snafu::OptionExt;
@@ -66,14 +66,14 @@
 ///
 /// # Errors
 ///
-/// Returns [`super::Error::Unknown`] if a part stands for a section that is not held.
+/// Returns [`super::Error::UnknownPosition`] if a part stands for a section that is not held.
 pub fn join(parts: Vec<Part>, held: &[Section]) -> Result<Vec<Section>> {
     let section = |part| match part {
         Part::Held(position) => usize::try_from(position)
             .ok()
             .and_then(|position| held.get(position))
             .cloned()
-            .context(UnknownSnafu { position }),
+            .context(UnknownPositionSnafu { position }),
         Part::Sent { name, body } => Ok(Section::new(name, body)),
     };
     parts.into_iter().map(section).collect()
--- a/crates/configuration/tests/sections.rs
+++ b/crates/configuration/tests/sections.rs
@@ -159,8 +159,8 @@
 #[test_case(drop_one, |error| matches!(error, Error::Missing { .. }); "section_missing")]
 #[test_case(add_one, |error| matches!(error, Error::Unexpected { .. }); "section_not_in_the_index")]
 #[test_case(flip_bit, |error| matches!(error, Error::Mismatch { .. }); "bit_flipped")]
-#[test_case(swap_bodies, |error| matches!(error, Error::Misplaced { .. }); "route_under_another_name")]
-#[test_case(spoil, |error| matches!(error, Error::Unreadable { .. }); "body_is_no_route")]
+#[test_case(swap_bodies, |error| matches!(error, Error::WrongRoute { .. }); "route_under_another_name")]
+#[test_case(spoil, |error| matches!(error, Error::Decode { .. }); "body_is_no_route")]
 #[test_case(lose_callers, |error| matches!(error, Error::Invalid { .. }); "caller_of_a_route_is_gone")]
 fn assemble_damaged_is_refused(damage: fn(&mut Transfer), is_expected: fn(&Error) -> bool) {
     let sections = sections();
--- a/crates/configuration/tests/transfer.rs
+++ b/crates/configuration/tests/transfer.rs
@@ -99,7 +99,10 @@
 #[test]
 fn join_position_not_held_is_refused() {
     let error = join(vec![Part::Held(u32::MAX)], &cut(&document())).expect_err("not held");
-    assert!(matches!(error, Error::Unknown { position: u32::MAX }));
+    assert!(matches!(
+        error,
+        Error::UnknownPosition { position: u32::MAX }
+    ));
 }
 
 proptest! {
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -19,7 +19,7 @@
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::outcome::{Outcome, Reason};
 use monsoonring_decision::{RequestId, Time};
-use monsoonring_wire::message::{Declined, Send, Sent};
+use monsoonring_wire::message::{Rejection, Send, SendReply};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -120,16 +120,16 @@
         };
         let fenced = matches!(key, Key::Fenced(_));
         match self.send(call.clone(), key, send, false).await {
-            Sent::Ended(outcome @ Outcome::NotRun { .. }) if fenced => {
+            SendReply::Ended(outcome @ Outcome::NotRun { .. }) if fenced => {
                 self.offer_key(call, outcome).await
             }
-            Sent::Ended(outcome) => outcome.into(),
-            Sent::Conflict => conflict(),
-            Sent::Refused(Refusal::Unmarked) => {
+            SendReply::Ended(outcome) => outcome.into(),
+            SendReply::Conflict => conflict(),
+            SendReply::Refused(Refusal::Unmarked) => {
                 let outcome = Outcome::from(Refusal::Unmarked.outcome());
                 self.offer_key(call, outcome).await
             }
-            Sent::Refused(refusal) => Execution::from(Outcome::from(refusal.outcome())),
+            SendReply::Refused(refusal) => Execution::from(Outcome::from(refusal.outcome())),
         }
     }
 
@@ -151,7 +151,7 @@
         key: Key,
         send: Option<u32>,
         passed_on: bool,
-    ) -> Sent {
+    ) -> SendReply {
         let request = Request {
             id: call.request,
             caller: call.caller.clone(),
@@ -173,15 +173,15 @@
         self.metrics.node.decided(label);
         self.log_decision(&call, label, home, &reason);
         match decision {
-            Decision::Run(permit) => Sent::Ended(self.run(permit, call, &key).await),
-            Decision::Join => Sent::Ended(self.join(receiver, &call).await),
-            Decision::Replay(outcome) => Sent::Ended(outcome.into()),
-            Decision::Refuse(Refusal::Mismatch) => Sent::Conflict,
-            Decision::Refuse(refusal) => Sent::Refused(refusal),
+            Decision::Run(permit) => SendReply::Ended(self.run(permit, call, &key).await),
+            Decision::Join => SendReply::Ended(self.join(receiver, &call).await),
+            Decision::Replay(outcome) => SendReply::Ended(outcome.into()),
+            Decision::Refuse(Refusal::Mismatch) => SendReply::Conflict,
+            Decision::Refuse(refusal) => SendReply::Refused(refusal),
             // A request that waited in the socket of a paused process may be long past its
             // deadline, and a peer could not tell. The caller learns the outcome with a resend.
             Decision::ForwardTo(_) | Decision::LookUp if self.control.ready().is_err() => {
-                Sent::Ended(Outcome::Unknown {
+                SendReply::Ended(Outcome::Unknown {
                     reason: Reason::Unavailable,
                 })
             }
@@ -284,7 +284,7 @@
             });
             match answer {
                 Ok(Ok(outcome)) => return outcome,
-                Ok(Err(Declined::NotHome | Declined::Ledger(_))) => {}
+                Ok(Err(Rejection::NotHome | Rejection::Ledger(_))) => {}
                 Err(_) => {
                     return Outcome::Unknown {
                         reason: Reason::Lost,
@@ -296,10 +296,17 @@
     }
 
     /// Runs a request at this home for the peer that holds its permit.
-    pub(crate) async fn run_forwarded(&self, call: Call, key: String) -> Result<Outcome, Declined> {
+    pub(crate) async fn run_forwarded(
+        &self,
+        call: Call,
+        key: String,
+    ) -> Result<Outcome, Rejection> {
         self.check_ready()?;
-        let entry = self.routes.get(&call.route.name).ok_or(Declined::NotHome)?;
-        let handle = entry.handle.ok_or(Declined::NotHome)?;
+        let entry = self
+            .routes
+            .get(&call.route.name)
+            .ok_or(Rejection::NotHome)?;
+        let handle = entry.handle.ok_or(Rejection::NotHome)?;
         Ok(handle.run(self.home_request(&call, Some(key.into()))).await)
     }
 
@@ -311,7 +318,7 @@
         call: Call,
         key: Key,
         send: Option<u32>,
-    ) -> Sent {
+    ) -> SendReply {
         // Only to a known member, including one that has left. The address comes from the caller; a
         // forged one could make this daemon connect to any host and port.
         let sent = match self.control.start(fence.member).await {
@@ -319,11 +326,11 @@
             None => None,
         };
         match sent {
-            Some(Sent::Refused(Refusal::Moved(to))) => {
+            Some(SendReply::Refused(Refusal::Moved(to))) => {
                 let sent = self.send_to(to.member, &call, &key, send).await;
                 sent.unwrap_or(unknown())
             }
-            Some(Sent::Refused(Refusal::Gone)) | None => {
+            Some(SendReply::Refused(Refusal::Gone)) | None => {
                 self.look_up(Lookup::Fence(fence), call, key, send).await
             }
             Some(sent) => sent,
@@ -338,7 +345,7 @@
         call: &Call,
         key: &Key,
         send: Option<u32>,
-    ) -> Option<Sent> {
+    ) -> Option<SendReply> {
         let client = self.peers.client(member).await.ok()?;
         let message = Send {
             request: self.wire_request(call),
@@ -361,7 +368,7 @@
         call: Call,
         key: Key,
         send: Option<u32>,
-    ) -> Sent {
+    ) -> SendReply {
         let members = self.members_to_query(&call);
         let mut poll = Poll::new(members.iter().copied());
         let mut resolution = poll.resolve();
@@ -384,8 +391,8 @@
                 let sent = self.send_to(member, &call, &key, send).await;
                 sent.unwrap_or(unknown())
             }
-            Some(Resolution::Replay(outcome)) => Sent::Ended(outcome.into()),
-            Some(Resolution::Mismatch) => Sent::Conflict,
+            Some(Resolution::Replay(outcome)) => SendReply::Ended(outcome.into()),
+            Some(Resolution::Mismatch) => SendReply::Conflict,
             Some(Resolution::Unknown) | None => unknown(),
         }
     }
@@ -442,8 +449,8 @@
     }
 }
 
-fn unknown() -> Sent {
-    Sent::Ended(Outcome::Unknown {
+fn unknown() -> SendReply {
+    SendReply::Ended(Outcome::Unknown {
         reason: Reason::Fence,
     })
 }
--- a/crates/daemon/src/node/forward.rs
+++ b/crates/daemon/src/node/forward.rs
@@ -2,7 +2,7 @@
 
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::placement::HomeLoad;
-use monsoonring_wire::peer::GRACE;
+use monsoonring_wire::peer::DEADLINE_GRACE;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -107,6 +107,6 @@
 /// Returns the RPC context of a request with this deadline.
 pub(super) fn context(deadline: Instant) -> Context {
     let mut context = tarpc::context::current();
-    context.deadline = deadline + GRACE;
+    context.deadline = deadline + DEADLINE_GRACE;
     context
 }
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -10,7 +10,7 @@
 use monsoonring_decision::member::MemberId;
 use monsoonring_decision::outcome::{Outcome, Reason};
 use monsoonring_decision::placement::{self, HomeLoad};
-use monsoonring_wire::message::{Declined, Request};
+use monsoonring_wire::message::{Rejection, Request};
 use std::pin::pin;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -229,7 +229,7 @@
         });
         match answer {
             Ok(Ok(outcome)) => Attempt::Finished(outcome),
-            Ok(Err(Declined::NotHome | Declined::Ledger(_))) => Attempt::Declined,
+            Ok(Err(Rejection::NotHome | Rejection::Ledger(_))) => Attempt::Declined,
             Err(_) => {
                 self.peers.forget(home);
                 Attempt::Lost
@@ -272,15 +272,18 @@
 
     /// Declines a forwarded request if this daemon is not ready, so that the peer tries another
     /// home.
-    pub(super) fn check_ready(&self) -> Result<(), Declined> {
-        self.control.ready().map_err(|_| Declined::NotHome)
+    pub(super) fn check_ready(&self) -> Result<(), Rejection> {
+        self.control.ready().map_err(|_| Rejection::NotHome)
     }
 
     /// Runs a search that a peer forwarded.
-    pub(crate) async fn search_forwarded(&self, call: Call) -> Result<Outcome, Declined> {
+    pub(crate) async fn search_forwarded(&self, call: Call) -> Result<Outcome, Rejection> {
         self.check_ready()?;
-        let entry = self.routes.get(&call.route.name).ok_or(Declined::NotHome)?;
-        let handle = entry.handle.ok_or(Declined::NotHome)?;
+        let entry = self
+            .routes
+            .get(&call.route.name)
+            .ok_or(Rejection::NotHome)?;
+        let handle = entry.handle.ok_or(Rejection::NotHome)?;
         Ok(handle.run(self.home_request(&call, None)).await)
     }
 
--- a/crates/daemon/src/operator/console/editor.rs
+++ b/crates/daemon/src/operator/console/editor.rs
@@ -107,7 +107,7 @@
     html! {
         (faults(view.at(at)))
         @for fault in view.below(at).take(super::page::MAX_SHOWN) {
-            @let steps = fault.path.steps().iter().skip(depth);
+            @let steps = fault.path.segments().iter().skip(depth);
             @let field: Vec<String> = steps.map(ToString::to_string).collect();
             p.fault {
                 code { (field.join(".").replace(".[", "[")) } ": "
--- a/crates/daemon/src/operator/console/field.rs
+++ b/crates/daemon/src/operator/console/field.rs
@@ -128,7 +128,7 @@
 
 fn default(part: &Value) -> String {
     match part.get("default") {
-        Some(value) => format!("the default, {}", schema::shown(value)),
+        Some(value) => format!("the default, {}", schema::render(value)),
         None => "none".to_owned(),
     }
 }
@@ -166,7 +166,7 @@
     if !variants.is_empty() {
         return choice(place, &text, &variants, class);
     }
-    let default = place.part.get("default").map(schema::shown);
+    let default = place.part.get("default").map(schema::render);
     html! {
         input type="text" id=(place.pointer) name=(place.pointer) value=(text) class=[class]
             placeholder=[default] spellcheck="false" autocomplete="off"
@@ -237,7 +237,7 @@
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
         Value::Object(_) | Value::Array(_) => excerpt(value),
-        other => schema::shown(other),
+        other => schema::render(other),
     }
 }
 
--- a/crates/daemon/src/operator/console/pointer.rs
+++ b/crates/daemon/src/operator/console/pointer.rs
@@ -1,6 +1,6 @@
 //! JSON pointers (RFC 6901), which name the fields of the forms.
 
-use monsoonring_configuration::check::{Path, Step};
+use monsoonring_configuration::check::{Path, Segment};
 use monsoonring_configuration::schema;
 use serde_json::Value;
 
@@ -12,11 +12,11 @@
 
 /// Returns the pointer to the place that a path names.
 pub(super) fn of(path: &Path) -> String {
-    path.steps()
+    path.segments()
         .iter()
         .fold(String::new(), |parent, step| match step {
-            Step::Index(index) => child(&parent, &index.to_string()),
-            Step::Field(name) => child(&parent, name),
+            Segment::Index(index) => child(&parent, &index.to_string()),
+            Segment::Field(name) => child(&parent, name),
         })
 }
 
--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -4,14 +4,14 @@
 //! by the next call; whether a failed call may be repeated is up to its caller.
 
 use monsoonring_wire::channel::{self, Endpoint};
-use monsoonring_wire::peer::{self, Line, PeerClient};
+use monsoonring_wire::peer::{self, Connection, PeerClient};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::OnceCell;
 
 /// A client, or the cell in which the first caller is opening one.
-type Slot = Arc<OnceCell<Line>>;
+type Slot = Arc<OnceCell<Connection>>;
 
 /// Clients by peer address; clones share them.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     fn slot(&self, peer: SocketAddr) -> Slot {
         let mut slots = self.lock();
         let slot = slots.entry(peer).or_default();
-        if slot.get().is_some_and(Line::has_ended) {
+        if slot.get().is_some_and(Connection::has_ended) {
             *slot = Slot::default();
         }
         slot.clone()
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -11,8 +11,8 @@
 use monsoonring_decision::member::{BucketRange, MemberId, Message, Page};
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_wire::channel::Endpoint;
-use monsoonring_wire::message::{Declined, Request, Sections, Send, Sent};
-use monsoonring_wire::peer::{self as wire, GRACE, Peer};
+use monsoonring_wire::message::{Rejection, Request, Sections, Send, SendReply};
+use monsoonring_wire::peer::{self as wire, DEADLINE_GRACE, Peer};
 use slog::warn;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
     let open = node.open_connections();
     open.inc();
     let spawn = async |call| drop(tokio::spawn(call));
-    wire::calls(stream, Server(node).serve())
+    wire::call_handlers(stream, Server(node).serve())
         .for_each(spawn)
         .await;
     open.dec();
@@ -112,28 +112,28 @@
         Some(Sections { version, parts })
     }
 
-    async fn search(self, context: Context, request: Request) -> Result<Outcome, Declined> {
+    async fn search(self, context: Context, request: Request) -> Result<Outcome, Rejection> {
         let _in_flight = self.0.track_forwarded();
         let call = self
             .0
             .call(request, deadline(&context))
-            .ok_or(Declined::NotHome)?;
+            .ok_or(Rejection::NotHome)?;
         self.0.search_forwarded(call).await
     }
 
-    async fn mint(self, context: Context, request: Request) -> Result<Key, Declined> {
+    async fn mint(self, context: Context, request: Request) -> Result<Key, Rejection> {
         let call = self
             .0
             .call(request, deadline(&context))
-            .ok_or(Declined::NotHome)?;
-        self.0.mint_here(&call).map_err(Declined::Ledger)
+            .ok_or(Rejection::NotHome)?;
+        self.0.mint_here(&call).map_err(Rejection::Ledger)
     }
 
-    async fn send(self, context: Context, send: Send) -> Sent {
+    async fn send(self, context: Context, send: Send) -> SendReply {
         let _in_flight = self.0.track_forwarded();
         match self.0.call(send.request, deadline(&context)) {
             Some(call) => self.0.send(call, send.key, send.send, true).await,
-            None => Sent::Refused(Refusal::Gone),
+            None => SendReply::Refused(Refusal::Gone),
         }
     }
 
@@ -142,12 +142,12 @@
         context: Context,
         request: Request,
         key: String,
-    ) -> Result<Outcome, Declined> {
+    ) -> Result<Outcome, Rejection> {
         let _in_flight = self.0.track_forwarded();
         let call = self
             .0
             .call(request, deadline(&context))
-            .ok_or(Declined::NotHome)?;
+            .ok_or(Rejection::NotHome)?;
         self.0.run_forwarded(call, key).await
     }
 
@@ -164,10 +164,10 @@
     }
 }
 
-/// Returns the deadline of the request in a call, which is `GRACE` before that of the call.
+/// Returns the deadline of the request in a call, which is `DEADLINE_GRACE` before that of the call.
 fn deadline(context: &Context) -> Instant {
     context
         .deadline
-        .checked_sub(GRACE)
+        .checked_sub(DEADLINE_GRACE)
         .unwrap_or(context.deadline)
 }
--- a/crates/daemon/tests/hostile.rs
+++ b/crates/daemon/tests/hostile.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::SinkExt;
 use monsoonring_decision::member::BucketRange;
-use monsoonring_wire::peer::{Line, connect, framed};
+use monsoonring_wire::peer::{Connection, connect, framed};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,11 +46,11 @@
     })
 }
 
-async fn line(peer: SocketAddr) -> Option<Line> {
+async fn line(peer: SocketAddr) -> Option<Connection> {
     connect(peer, &endpoint()).await.ok()
 }
 
-async fn is_served(line: &Line) -> bool {
+async fn is_served(line: &Connection) -> bool {
     let span = BucketRange { first: 0, last: 0 };
     let page = line.client().page(tarpc::context::current(), span);
     within(page).await.is_ok_and(|page| page.is_some())
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -13,9 +13,9 @@
 use monsoonring_decision::outcome::Outcome;
 use monsoonring_wire::channel::Endpoint;
 use monsoonring_wire::key::Ring;
-use monsoonring_wire::message::{Declined, Request, Sections, Send, Sent};
+use monsoonring_wire::message::{Rejection, Request, Sections, Send, SendReply};
 use monsoonring_wire::meter::Meter;
-use monsoonring_wire::peer::{Peer, calls};
+use monsoonring_wire::peer::{Peer, call_handlers};
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -94,7 +94,7 @@
                 let Ok(stream) = endpoint().accept(stream, peer).await else {
                     return;
                 };
-                calls(stream, fake.serve())
+                call_handlers(stream, fake.serve())
                     .for_each(async |call| drop(tokio::spawn(call)))
                     .await;
             });
@@ -148,20 +148,20 @@
         Some(Sections { version, parts })
     }
 
-    async fn search(self, _: Context, _: Request) -> Result<Outcome, Declined> {
-        Err(Declined::NotHome)
+    async fn search(self, _: Context, _: Request) -> Result<Outcome, Rejection> {
+        Err(Rejection::NotHome)
     }
 
-    async fn mint(self, _: Context, _: Request) -> Result<Key, Declined> {
-        Err(Declined::NotHome)
+    async fn mint(self, _: Context, _: Request) -> Result<Key, Rejection> {
+        Err(Rejection::NotHome)
     }
 
-    async fn send(self, _: Context, _: Send) -> Sent {
-        Sent::Refused(Refusal::Gone)
+    async fn send(self, _: Context, _: Send) -> SendReply {
+        SendReply::Refused(Refusal::Gone)
     }
 
-    async fn run(self, _: Context, _: Request, _: String) -> Result<Outcome, Declined> {
-        Err(Declined::NotHome)
+    async fn run(self, _: Context, _: Request, _: String) -> Result<Outcome, Rejection> {
+        Err(Rejection::NotHome)
     }
 
     async fn ask(self, _: Context, _: Lookup) -> Finding {
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -3,7 +3,7 @@
 //! During a roll-out two versions run beside each other, and a newer daemon may call a method that
 //! this one does not know. With the plain codec such a call is an error of the connection: it is
 //! closed, and with it end all calls of that peer which are in flight, queries of callers among them.
-//! Here a call whose body can't be read is [`Heard::Unknown`]: it alone is refused.
+//! Here a call whose body can't be read is [`Body::Unknown`]: it alone is refused.
 
 use bincode::Options;
 use bytes::{Bytes, BytesMut};
@@ -27,14 +27,14 @@
 
 /// The body of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard<T> {
+pub enum Body<T> {
     /// One that this daemon can read.
     Known(T),
     /// One that it can't.
     Unknown,
 }
 
-impl<'de, T: Deserialize<'de>> Deserialize<'de> for Heard<T> {
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for Body<T> {
     /// The body is the last part of a message, so that nothing is lost with the place at which
     /// reading it stopped.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
@@ -42,7 +42,7 @@
     }
 }
 
-impl<T: RequestName> RequestName for Heard<T> {
+impl<T: RequestName> RequestName for Body<T> {
     fn name(&self) -> &str {
         match self {
             Self::Known(request) => request.name(),
@@ -56,13 +56,13 @@
 pub(crate) struct Tolerant<S>(pub(crate) S);
 
 impl<S: Serve> Serve for Tolerant<S> {
-    type Req = Heard<S::Req>;
+    type Req = Body<S::Req>;
     type Resp = S::Resp;
 
     async fn serve(self, context: Context, request: Self::Req) -> Result<S::Resp, ServerError> {
         match request {
-            Heard::Known(request) => self.0.serve(context, request).await,
-            Heard::Unknown => Err(ServerError::new(
+            Body::Known(request) => self.0.serve(context, request).await,
+            Body::Unknown => Err(ServerError::new(
                 ErrorKind::Unsupported,
                 "this daemon does not know the method".to_owned(),
             )),
@@ -80,7 +80,7 @@
     }
 }
 
-impl<Request, Response> tarpc::tokio_serde::Deserializer<ClientMessage<Heard<Request>>>
+impl<Request, Response> tarpc::tokio_serde::Deserializer<ClientMessage<Body<Request>>>
     for Codec<Request, Response>
 where
     Request: for<'de> Deserialize<'de>,
@@ -90,14 +90,14 @@
     fn deserialize(
         self: Pin<&mut Self>,
         source: &BytesMut,
-    ) -> Result<ClientMessage<Heard<Request>>> {
+    ) -> Result<ClientMessage<Body<Request>>> {
         check_deadline(source)?;
         let mut rest = source.as_ref();
         let mut message = options().deserialize_from(&mut rest).map_err(invalid)?;
         if let ClientMessage::Request(request) = &mut message {
             // A body that goes on where this daemon sees its end is another one than it seems.
             if !rest.is_empty() {
-                request.message = Heard::Unknown;
+                request.message = Body::Unknown;
             }
         }
         Ok(message)
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -42,7 +42,7 @@
 
 /// Why a daemon did not do what it was asked to; none of it ran there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Declined {
+pub enum Rejection {
     /// It is no home of the route.
     NotHome,
     /// Its ledger refuses.
@@ -60,7 +60,7 @@
 
 /// What a send came to at another daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Sent {
+pub enum SendReply {
     /// It has this outcome.
     Ended(Outcome),
     /// The key was used for another request before; this one did not run.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crate::channel::{Endpoint, Result as Opened, Stream};
 use crate::codec::{Codec, MAX_FRAME, Tolerant};
-use crate::message::{Declined, Request, Sections, Send, Sent};
+use crate::message::{Rejection, Request, Sections, Send, SendReply};
 use monsoonring_configuration::section::transfer::Base;
 use monsoonring_decision::configuration::Version;
 use monsoonring_decision::fact;
@@ -24,7 +24,7 @@
 
 /// Time for which a call outlives the deadline of the request that it carries, so that the final
 /// answer "the deadline has passed" still arrives in place of a call that was cut off.
-pub const GRACE: Duration = Duration::from_millis(100);
+pub const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 
 /// What a daemon does for another.
 ///
@@ -47,16 +47,16 @@
     async fn sections(least: Version, base: Base) -> Option<Sections>;
 
     /// Runs a search at this home.
-    async fn search(request: Request) -> Result<Outcome, Declined>;
+    async fn search(request: Request) -> Result<Outcome, Rejection>;
 
     /// Issues a key at this home.
-    async fn mint(request: Request) -> Result<Key, Declined>;
+    async fn mint(request: Request) -> Result<Key, Rejection>;
 
     /// Takes a send to the incarnation that its key names.
-    async fn send(send: Send) -> Sent;
+    async fn send(send: Send) -> SendReply;
 
     /// Runs a non-idempotent request at this home, for the incarnation that holds its key's permit.
-    async fn run(request: Request, key: String) -> Result<Outcome, Declined>;
+    async fn run(request: Request, key: String) -> Result<Outcome, Rejection>;
 
     /// Tells what this daemon's ledger knows.
     async fn ask(question: Lookup) -> Finding;
@@ -69,19 +69,19 @@
 }
 
 /// How the opener of a connection writes calls and reads answers.
-pub type CallerCodec = Bincode<Response<PeerResponse>, ClientMessage<PeerRequest>>;
+pub type ClientCodec = Bincode<Response<PeerResponse>, ClientMessage<PeerRequest>>;
 
 /// How the acceptor of a connection reads calls and writes answers.
-pub type AnswererCodec = Codec<PeerRequest, Response<PeerResponse>>;
+pub type ServerCodec = Codec<PeerRequest, Response<PeerResponse>>;
 
 /// A client, and whether it can still be used.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct Connection {
     client: PeerClient,
     ended: Arc<AtomicBool>,
 }
 
-impl Line {
+impl Connection {
     /// Returns the client.
     pub fn client(&self) -> &PeerClient {
         &self.client
@@ -98,9 +98,9 @@
 /// # Errors
 ///
 /// Fails where no stream to the peer can be opened.
-pub async fn connect(peer: SocketAddr, endpoint: &Endpoint) -> Opened<Line> {
+pub async fn connect(peer: SocketAddr, endpoint: &Endpoint) -> Opened<Connection> {
     let stream = endpoint.connect(peer).await?;
-    let calls = tarpc::serde_transport::new(framed(stream), CallerCodec::default());
+    let calls = tarpc::serde_transport::new(framed(stream), ClientCodec::default());
     let new = PeerClient::new(tarpc::client::Config::default(), calls);
     let ended = Arc::new(AtomicBool::new(false));
     let (dispatch, flag) = (new.dispatch, ended.clone());
@@ -110,20 +110,20 @@
         flag.store(true, Ordering::Relaxed);
     });
     let client = new.client;
-    Ok(Line { client, ended })
+    Ok(Connection { client, ended })
 }
 
 /// Returns the answering of each call that comes on a stream, until the stream ends.
 ///
 /// `server` is what [`Peer::serve`] makes. Each answering runs on its own and has to be spawned.
-pub fn calls<S>(
+pub fn call_handlers<S>(
     stream: Box<dyn Stream>,
     server: S,
 ) -> impl futures::Stream<Item = impl Future<Output = ()>>
 where
     S: Serve<Req = PeerRequest, Resp = PeerResponse> + Clone,
 {
-    let calls = tarpc::serde_transport::new(framed(stream), AnswererCodec::default());
+    let calls = tarpc::serde_transport::new(framed(stream), ServerCodec::default());
     BaseChannel::with_defaults(calls)
         .max_concurrent_requests(MAX_CALLS)
         .execute(Tolerant(server))
--- a/crates/wire/tests/compatibility.rs
+++ b/crates/wire/tests/compatibility.rs
@@ -7,8 +7,8 @@
 mod samples;
 
 use bytes::{Bytes, BytesMut};
-use monsoonring_wire::codec::Heard;
-use monsoonring_wire::peer::{AnswererCodec, CallerCodec, PeerRequest, PeerResponse};
+use monsoonring_wire::codec::Body;
+use monsoonring_wire::peer::{ClientCodec, PeerRequest, PeerResponse, ServerCodec};
 use std::fmt::Write;
 use std::io;
 use std::pin::Pin;
@@ -32,12 +32,12 @@
 }
 
 fn write_call(message: &ClientMessage<PeerRequest>) -> Bytes {
-    let written = Pin::new(&mut CallerCodec::default()).serialize(message);
+    let written = Pin::new(&mut ClientCodec::default()).serialize(message);
     written.expect("it can be written")
 }
 
-fn read_call(bytes: &[u8]) -> io::Result<ClientMessage<Heard<PeerRequest>>> {
-    Pin::new(&mut AnswererCodec::default()).deserialize(&BytesMut::from(bytes))
+fn read_call(bytes: &[u8]) -> io::Result<ClientMessage<Body<PeerRequest>>> {
+    Pin::new(&mut ServerCodec::default()).deserialize(&BytesMut::from(bytes))
 }
 
 fn write_answer(message: Result<PeerResponse, ServerError>) -> Bytes {
@@ -45,16 +45,16 @@
         request_id: ID,
         message,
     };
-    let written = Pin::new(&mut AnswererCodec::default()).serialize(&response);
+    let written = Pin::new(&mut ServerCodec::default()).serialize(&response);
     written.expect("it can be written")
 }
 
 fn read_answer(bytes: &[u8]) -> Response<PeerResponse> {
-    let read = Pin::new(&mut CallerCodec::default()).deserialize(&BytesMut::from(bytes));
+    let read = Pin::new(&mut ClientCodec::default()).deserialize(&BytesMut::from(bytes));
     read.expect("it can be read")
 }
 
-fn heard(bytes: &[u8]) -> Heard<PeerRequest> {
+fn heard(bytes: &[u8]) -> Body<PeerRequest> {
     match read_call(bytes).expect("the head can be read") {
         ClientMessage::Request(request) => request.message,
         other => unreachable!("a call: {other:?}"),
@@ -73,7 +73,7 @@
 fn calls_have_the_bytes_that_they_had() {
     let mut golden = String::new();
     for (name, request) in samples::requests() {
-        let expected = format!("{:?}", Heard::Known(&request));
+        let expected = format!("{:?}", Body::Known(&request));
         let bytes = write_call(&call(request));
         line(&mut golden, name, &bytes);
         assert_eq!(format!("{:?}", heard(&bytes)), expected);
@@ -113,7 +113,7 @@
     let mut bytes = write_call(&call(request)).to_vec();
     assert_eq!(bytes[METHOD], 0, "the number of the first method");
     bytes[METHOD] = LATER;
-    assert!(matches!(heard(&bytes), Heard::Unknown));
+    assert!(matches!(heard(&bytes), Body::Unknown));
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let (_, request) = samples::requests().remove(0);
     let mut bytes = write_call(&call(request)).to_vec();
     bytes.push(0);
-    assert!(matches!(heard(&bytes), Heard::Unknown));
+    assert!(matches!(heard(&bytes), Body::Unknown));
 }
 
 // Symptom: a connection's task panics, and all calls of that peer fail.
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -16,7 +16,7 @@
 };
 use monsoonring_decision::outcome::{self, Outcome, Reason};
 use monsoonring_decision::reply::Item;
-use monsoonring_wire::message::{Declined, Request, Sections, Send, Sent};
+use monsoonring_wire::message::{Rejection, Request, Sections, Send, SendReply};
 use monsoonring_wire::peer::{PeerRequest, PeerResponse};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -362,13 +362,13 @@
         ("sections", PeerResponse::Sections(Some(sections))),
         (
             "search_not_home",
-            PeerResponse::Search(Err(Declined::NotHome)),
+            PeerResponse::Search(Err(Rejection::NotHome)),
         ),
         ("mint", PeerResponse::Mint(Ok(fenced()))),
-        ("send_conflict", PeerResponse::Send(Sent::Conflict)),
+        ("send_conflict", PeerResponse::Send(SendReply::Conflict)),
         (
             "send_ended",
-            PeerResponse::Send(Sent::Ended(not_run(Reason::Fence))),
+            PeerResponse::Send(SendReply::Ended(not_run(Reason::Fence))),
         ),
         ("run", PeerResponse::Run(Ok(Outcome::Executed("1".into())))),
         (
@@ -383,8 +383,8 @@
     let reasons = reasons().into_iter();
     all.extend(reasons.map(|(name, reason)| (name, PeerResponse::Run(Ok(not_run(reason))))));
     for (name, refusal) in refusals() {
-        all.push((name, PeerResponse::Send(Sent::Refused(refusal))));
-        all.push((name, PeerResponse::Mint(Err(Declined::Ledger(refusal)))));
+        all.push((name, PeerResponse::Send(SendReply::Refused(refusal))));
+        all.push((name, PeerResponse::Mint(Err(Rejection::Ledger(refusal)))));
     }
     all.extend(
         asked()
