--- a/crates/decision/tests/evacuation.rs
+++ b/crates/decision/tests/evacuation.rs
@@ -1,11 +1,11 @@
-//! Which data centres count as emptied, whatever a host reads and watches, and in which order.
+//! Tests which data centres a host considers evacuated, for any order of lists and watched changes.
 
 mod registered;
 
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::Time;
 use monsoonring_decision::gateway::evacuation::{Evacuations, Order};
-use monsoonring_decision::gateway::registry::{Entry, Event, Order as Said, Registry, State};
+use monsoonring_decision::gateway::registry::{Entry, Event, Order as EntryOrder, Registry, State};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use registered::{listed, usable};
@@ -38,7 +38,7 @@
         slots: 3,
         state: State::Ready,
         cold_for: Duration::ZERO,
-        order: Said::default(),
+        order: EntryOrder::default(),
         revision: 1,
     }
 }
@@ -47,11 +47,9 @@
     listed(&[entry("a", 1, "hall"), entry("b", 2, "lac")])
 }
 
-// Symptom: requests reach the servers of a data centre that operators have emptied.
-// Events:  the order is written; a server there starts only afterwards.
-// Cause:   the order was not known, or only to the servers that were there when it came.
+// Guards against sending requests to servers that start in a data centre after it was evacuated.
 #[test]
-fn usable_of_an_emptied_data_centre_is_nobody() {
+fn usable_of_an_evacuated_data_centre_is_empty() {
     let mut registry = registry();
     assert!(registry.handle(Event::EvacuationOrdered(order("hall", 5)), ms(10)));
     assert_eq!(usable(&registry), ["b"]);
@@ -62,7 +60,7 @@
 }
 
 #[test]
-fn usable_of_a_store_that_is_away_stays_emptied() {
+fn usable_after_a_store_outage_stays_evacuated() {
     let mut registry = registry();
     registry.handle(Event::EvacuationOrdered(order("hall", 5)), ms(10));
     registry.handle(Event::StoreLost, ms(20));
@@ -72,7 +70,7 @@
 }
 
 #[test]
-fn listed_without_the_order_is_given_back() {
+fn listed_without_the_order_withdraws_it() {
     let mut registry = registry();
     registry.handle(Event::EvacuationOrdered(order("hall", 5)), ms(10));
     assert!(registry.handle(Event::EvacuationsListed(Vec::new(), 9), ms(20)));
@@ -80,7 +78,7 @@
 }
 
 #[test]
-fn given_back_is_told_with_its_time() {
+fn withdrawn_at_is_the_time_of_withdrawal() {
     let mut evacuations = Evacuations::default();
     let hall: DataCentreId = "hall".into();
     assert_eq!(evacuations.withdrawn_at(&hall), None);
@@ -90,30 +88,24 @@
     assert_eq!(evacuations.withdrawn_at(&hall), Some(ms(30)));
 }
 
-// Symptom: an emptied data centre gets requests for a moment, each time that the history is gone.
-// Events:  an order is given, taken back and given again; a host reads everything, and then watches from the
-//          first page on, so that it is told the whole story once more.
-// Cause:   what was told again was taken for new.
+// Guards against withdrawing an order because the watch repeats an older withdrawal after a list.
 #[test]
-fn withdrawn_before_the_order_that_was_read_changes_nothing() {
+fn withdrawn_older_than_the_listed_order_is_ignored() {
     let mut evacuations = Evacuations::default();
     evacuations.listed(vec![order("hall", 8)], 5, ms(0));
     assert!(!evacuations.withdrawn(order("hall", 7), ms(1)));
     assert!(evacuations.contains(&"hall".into()));
 }
 
-// Symptom: an emptied data centre gets requests again although nobody took the order back.
-// Events:  the store comes back from a copy that is some seconds old and lacks the order; the operators write it
-//          again a few seconds later.
-// Cause:   what an older copy lacks was taken for what operators took back.
+// Guards against withdrawing an order because the store was restored from a backup that lacks it.
 #[test]
-fn went_back_before_the_order_stays_emptied_until_it_is_written_again() {
+fn store_restored_without_the_order_keeps_it_until_written_again() {
     let mut evacuations = Evacuations::default();
     evacuations.ordered(order("hall", 50), ms(0));
     evacuations.store_restored(ms(1_000));
     assert!(!evacuations.listed(Vec::new(), 40, ms(1_010)));
     assert!(evacuations.contains(&"hall".into()));
-    // Under a revision that is lower than the one under which it was known.
+    // The restored store assigns a lower revision than the known one.
     evacuations.ordered(order("hall", 44), ms(4_000));
     assert_eq!(evacuations.next_wake(), None);
     assert!(!evacuations.tick(ms(60_000)));
@@ -122,52 +114,55 @@
 }
 
 #[test]
-fn went_back_before_an_order_that_nobody_repeats_ends_it_in_the_end() {
+fn store_restored_without_the_order_drops_it_after_a_delay() {
     let mut evacuations = Evacuations::default();
     evacuations.ordered(order("hall", 50), ms(0));
     evacuations.store_restored(ms(1_000));
     evacuations.listed(Vec::new(), 40, ms(1_010));
-    let wake = evacuations.next_wake().expect("it is doubted");
-    assert!(wake >= ms(5_000), "operators need some seconds: {wake:?}");
+    let wake = evacuations.next_wake().expect("the order has a deadline");
+    assert!(
+        wake >= ms(5_000),
+        "operators need a few seconds to repeat the order: {wake:?}"
+    );
     assert!(evacuations.tick(wake));
     assert!(!evacuations.contains(&"hall".into()));
 }
 
-/// Something that is wrong on purpose.
+/// A deliberate fault that the random walks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// What is told again counts as new.
+    /// Treats a repeated change as new.
     IgnoresRevisions,
-    /// A list adds orders and ends none.
-    KeepsWhatIsMissing,
-    /// A data centre that was given back is never emptied again.
-    OrdersOnce,
+    /// Ignores that an order is missing from a list.
+    IgnoresMissing,
+    /// Ignores a second order for a data centre whose first one was withdrawn.
+    IgnoresSecondOrder,
 }
 
-/// The orders in the store, and all that was ever changed: data centre and whether it is emptied from then on.
+/// The orders in the store, as the history of changes: the data centre and whether it is evacuated.
 #[derive(Default)]
 struct Store {
     changes: Vec<(&'static str, bool)>,
 }
 
 impl Store {
-    fn emptied(&self, at: usize) -> BTreeSet<&'static str> {
-        let mut emptied = BTreeSet::new();
-        for (data_centre, is_emptied) in &self.changes[..at] {
-            match is_emptied {
-                true => emptied.insert(*data_centre),
-                false => emptied.remove(data_centre),
+    fn evacuated(&self, at: usize) -> BTreeSet<&'static str> {
+        let mut evacuated = BTreeSet::new();
+        for (data_centre, is_evacuated) in &self.changes[..at] {
+            match is_evacuated {
+                true => evacuated.insert(*data_centre),
+                false => evacuated.remove(data_centre),
             };
         }
-        emptied
+        evacuated
     }
 
-    /// Returns the last change of a data centre, up to a revision.
+    /// Returns the revision of the last change of a data centre up to revision `at`, or 0.
     fn revision(&self, data_centre: &str, at: usize) -> u64 {
         let last = self.changes[..at]
             .iter()
-            .rposition(|(one, _)| *one == data_centre);
+            .rposition(|(changed, _)| *changed == data_centre);
         last.map_or(0, |index| index as u64 + 1)
     }
 }
@@ -180,30 +175,30 @@
 }
 
 impl Host {
-    fn told(&mut self, data_centre: &'static str, is_emptied: bool, revision: u64, now: Time) {
+    fn apply(&mut self, data_centre: &'static str, is_evacuated: bool, revision: u64, now: Time) {
         let revision = match self.mutant {
             Mutant::IgnoresRevisions => u64::MAX,
             _ => revision,
         };
         let order = order(data_centre, revision);
-        if !is_emptied {
+        if !is_evacuated {
             self.known.withdrawn(order, now);
             return;
         }
         let is_new = self.ordered_once.insert(data_centre);
-        if is_new || self.mutant != Mutant::OrdersOnce {
+        if is_new || self.mutant != Mutant::IgnoresSecondOrder {
             self.known.ordered(order, now);
         }
     }
 
-    /// Reads a page that is as of `page`, which is later than the revision that the watch goes on from.
-    fn read(&mut self, store: &Store, from: usize, page: usize, now: Time) {
-        let orders = store.emptied(page).into_iter();
+    /// Lists the orders as of revision `page`. The watch continues from `from`, which may be earlier.
+    fn list(&mut self, store: &Store, from: usize, page: usize, now: Time) {
+        let orders = store.evacuated(page).into_iter();
         let orders: Vec<Order> = orders
-            .map(|one| order(one, store.revision(one, page)))
+            .map(|data_centre| order(data_centre, store.revision(data_centre, page)))
             .collect();
         match self.mutant {
-            Mutant::KeepsWhatIsMissing => orders.into_iter().for_each(|order| {
+            Mutant::IgnoresMissing => orders.into_iter().for_each(|order| {
                 self.known.ordered(order, now);
             }),
             _ => {
@@ -213,30 +208,30 @@
         self.revision = from;
     }
 
-    /// Returns what is wrong after each change that is told.
+    /// Applies all later changes. Returns a description of the first violated invariant, if any.
     fn watch(&mut self, store: &Store, now: Time) -> Option<String> {
         let from = self.revision;
         for index in from..store.changes.len() {
-            let (data_centre, is_emptied) = store.changes[index];
-            self.told(data_centre, is_emptied, index as u64 + 1, now);
-            for always in emptied_since(store, from) {
-                if !self.known.contains(&always.into()) {
-                    return Some(format!("{always} was emptied all the while since {from}"));
+            let (data_centre, is_evacuated) = store.changes[index];
+            self.apply(data_centre, is_evacuated, index as u64 + 1, now);
+            for data_centre in evacuated_since(store, from) {
+                if !self.known.contains(&data_centre.into()) {
+                    return Some(format!("{data_centre} is evacuated since {from}"));
                 }
             }
         }
         self.revision = store.changes.len();
-        let known: BTreeSet<&str> = self.known.evacuated().map(|one| &**one).collect();
-        let stored = store.emptied(self.revision);
-        (known != stored).then(|| format!("{known:?} in place of {stored:?}"))
+        let known: BTreeSet<&str> = self.known.evacuated().map(|known| &**known).collect();
+        let stored = store.evacuated(self.revision);
+        (known != stored).then(|| format!("the host has {known:?}, the store has {stored:?}"))
     }
 }
 
-/// Returns the data centres that were emptied at a revision and at each one since.
-fn emptied_since(store: &Store, from: usize) -> BTreeSet<&'static str> {
+/// Returns the data centres that are evacuated at each revision since `from`.
+fn evacuated_since(store: &Store, from: usize) -> BTreeSet<&'static str> {
     let each = from..=store.changes.len();
-    let each = each.map(|at| store.emptied(at));
-    each.reduce(|all, one| all.intersection(&one).copied().collect())
+    let each = each.map(|at| store.evacuated(at));
+    each.reduce(|all, next| all.intersection(&next).copied().collect())
         .unwrap_or_default()
 }
 
@@ -254,8 +249,8 @@
         let fault = match rng.random_range(0..10) {
             0..5 => {
                 let data_centre = DATA_CENTRES[rng.random_range(0..DATA_CENTRES.len())];
-                let is_emptied = !store.emptied(store.changes.len()).contains(data_centre);
-                store.changes.push((data_centre, is_emptied));
+                let is_evacuated = !store.evacuated(store.changes.len()).contains(data_centre);
+                store.changes.push((data_centre, is_evacuated));
                 None
             }
             5..8 => host.watch(&store, now),
@@ -263,7 +258,7 @@
                 let newest = store.changes.len();
                 let from = rng.random_range(host.revision..=newest);
                 let page = rng.random_range(from..=newest);
-                host.read(&store, from, page, now);
+                host.list(&store, from, page, now);
                 host.watch(&store, now)
             }
         };
@@ -275,16 +270,19 @@
 }
 
 #[test]
-fn walk_without_mutant_finds_nothing_wrong() {
+fn walk_without_mutant_finds_no_fault() {
     for seed in 0..WALKS {
         assert_eq!(walk(seed, Mutant::None), None);
     }
 }
 
 #[test_case(Mutant::IgnoresRevisions; "ignores_revisions")]
-#[test_case(Mutant::KeepsWhatIsMissing; "keeps_what_is_missing")]
-#[test_case(Mutant::OrdersOnce; "orders_once")]
-fn walk_with_mutant_finds_it(mutant: Mutant) {
+#[test_case(Mutant::IgnoresMissing; "ignores_missing")]
+#[test_case(Mutant::IgnoresSecondOrder; "ignores_second_order")]
+fn walk_with_mutant_finds_the_fault(mutant: Mutant) {
     let found = (0..WALKS).find_map(|seed| walk(seed, mutant));
-    assert!(found.is_some(), "{mutant:?} was not found in {WALKS} walks");
+    assert!(
+        found.is_some(),
+        "{mutant:?} was not detected in {WALKS} walks"
+    );
 }
--- a/crates/decision/tests/gateway.rs
+++ b/crates/decision/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Routes, shards and registered backend servers of a gateway.
+//! Tests the route table, the shards and the registry of backend servers of a gateway.
 
 mod registered;
 
@@ -39,33 +39,33 @@
     }
 }
 
-// Symptom: all requests are refused just when the store is back.
-// Events:  the store is down; entries lapse in it; the first list after it is empty, and the servers
-//          write their entries again over the next two seconds.
-// Cause:   the list was taken at its word.
+// Guards against refusing all requests after a store outage: entries lapse while the store is down, and servers need
+// a few seconds to write them again.
 #[test]
-fn listed_after_an_outage_missing_servers_stay_for_a_while() {
+fn listed_after_an_outage_keeps_missing_servers_for_a_grace_period() {
     let mut registry = listed(&[entry("a", "map", 1, 1), entry("b", "map", 2, 2)]);
     registry.handle(Event::StoreLost, ms(1_000));
     registry.handle(Event::StoreRegained, ms(9_000));
     registry.handle(Event::Listed(Vec::new()), ms(9_010));
     assert_eq!(usable(&registry), ["a", "b"]);
     registry.handle(Event::Written(entry("a", "map", 1, 9)), ms(10_000));
-    let wake = registry.next_wake().expect("the other is doubted");
+    let wake = registry
+        .next_wake()
+        .expect("the missing entry has a deadline");
     assert!(wake <= ms(11_500), "{wake:?}");
     assert!(registry.handle(Event::Tick, wake));
     assert_eq!(usable(&registry), ["a"]);
 }
 
 #[test]
-fn deleted_in_calm_is_gone_at_once() {
+fn deleted_without_outage_removes_immediately() {
     let mut registry = listed(&[entry("a", "map", 1, 1)]);
     assert!(registry.handle(Event::Deleted("a".into()), ms(5_000)));
     assert!(usable(&registry).is_empty());
 }
 
 #[test]
-fn deleted_just_after_an_outage_is_doubted() {
+fn deleted_just_after_an_outage_removes_after_the_grace_period() {
     let mut registry = listed(&[entry("a", "map", 1, 1)]);
     registry.handle(Event::StoreLost, ms(1_000));
     registry.handle(Event::StoreRegained, ms(2_000));
@@ -75,11 +75,9 @@
     assert!(usable(&registry).is_empty());
 }
 
-// Symptom: a request reaches a server that said seconds ago that it is leaving.
-// Events:  a page read before the change arrives after the change itself.
-// Cause:   the later arrival was taken for the newer fact.
+// Guards against sending requests to a leaving server because an older page arrives after the change itself.
 #[test]
-fn written_older_than_known_changes_nothing() {
+fn written_with_older_revision_is_ignored() {
     let mut registry = listed(&[entry("a", "map", 1, 5)]);
     let leaving = Entry {
         state: State::Draining,
@@ -90,12 +88,10 @@
     assert!(usable(&registry).is_empty());
 }
 
-// Symptom: requests for one service go to a server of another one.
-// Events:  a server ends, and its address is given to a server of another service before its entry
-//          has lapsed.
-// Cause:   both entries were believed.
+// Guards against sending requests to a server of another service, where an address was reused before the old entry
+// lapsed.
 #[test]
-fn usable_of_two_on_one_address_is_the_later() {
+fn usable_of_two_entries_with_one_address_is_the_newer() {
     let registry = listed(&[entry("old", "map", 1, 1), entry("new", "desk", 1, 9)]);
     assert_eq!(usable(&registry), ["new"]);
 }
@@ -114,7 +110,7 @@
     }
 }
 
-fn gather(services: &[&str], min_coverage: f64) -> Target {
+fn fan_out(services: &[&str], min_coverage: f64) -> Target {
     Target::FanOut(FanOut {
         shards: set(services),
         max_records: 5,
@@ -137,19 +133,19 @@
 #[test_case("MAPS.example:80", "/a/x", Some("short"); "host_with_case_and_port")]
 #[test_case("maps.example", "/ab/", None; "prefix_ends_with_its_slash")]
 #[test_case("other.example", "/a/x", None; "other_host")]
-fn find_route(host: &str, path: &str, found: Option<&str>) {
+fn find_route(host: &str, path: &str, expected: Option<&str>) {
     let routes = vec![
-        route("short", "/a/", gather(&["s0"], 1.0)),
-        route("long", "/a/b/", gather(&["s0"], 1.0)),
+        route("short", "/a/", fan_out(&["s0"], 1.0)),
+        route("long", "/a/b/", fan_out(&["s0"], 1.0)),
     ];
     let table = table(routes);
     let name = table.find(host, path).map(|route| &*route.name);
-    assert_eq!(name, found);
+    assert_eq!(name, expected);
 }
 
 #[test]
-fn route_of_shards_holds_one_key_a_shard() {
-    let table = table(vec![route("map", "/a/", gather(&["s0", "s1"], 0.89))]);
+fn route_of_shards_has_one_key_per_shard() {
+    let table = table(vec![route("map", "/a/", fan_out(&["s0", "s1"], 0.89))]);
     let leaving = Entry {
         state: State::Draining,
         ..entry("d", "s1", 4, 4)
@@ -174,7 +170,7 @@
 }
 
 #[test]
-fn split_shares_are_exact() {
+fn next_follows_the_weights_exactly() {
     let part = |name: &str, weight| WeightedTarget {
         shards: set(&[name]),
         weight,
@@ -188,7 +184,7 @@
     let mut split = Split::default();
     let mut counts = [0; 4];
     for _ in 0..1_000 {
-        counts[split.next(&parts).expect("there is weight")] += 1;
+        counts[split.next(&parts).expect("a target has a weight")] += 1;
     }
     assert_eq!(counts, [700, 200, 0, 100]);
     assert_eq!(split.next(&[]), None);
@@ -196,7 +192,7 @@
 
 proptest! {
     #[test]
-    fn greatest_any_parts_is_what_sorting_gives(
+    fn greatest_any_parts_equals_sorting(
         parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..70), 0..6),
         count in 0_usize..12,
     ) {
@@ -209,15 +205,15 @@
     }
 
     #[test]
-    fn usable_any_events_gives_one_start_an_address(
+    fn usable_any_events_has_one_instance_per_address(
         events in proptest::collection::vec((0_u8..4, 0_u8..3, 1_u64..50, any::<bool>()), 1..60),
     ) {
         let mut registry = Registry::default();
-        for (step, (instance, at, revision, written)) in events.into_iter().enumerate() {
-            let one = entry(&instance.to_string(), "map", at, revision);
+        for (step, (instance, number, revision, written)) in events.into_iter().enumerate() {
+            let entry = entry(&instance.to_string(), "map", number, revision);
             let event = match written {
-                true => Event::Written(one),
-                false => Event::Deleted(one.instance),
+                true => Event::Written(entry),
+                false => Event::Deleted(entry.instance),
             };
             registry.handle(event, ms(step as u64));
             let starts = registry.usable();
@@ -233,7 +229,7 @@
     }
 }
 
-/// Six data centres, and shards with servers in three that follow each other.
+/// Returns a registry of six data centres where each shard has servers in three consecutive ones.
 fn in_three_of_six(shards: u8) -> Registry {
     let mut entries = Vec::new();
     for shard in 0..shards {
@@ -252,33 +248,28 @@
         .collect()
 }
 
-// Symptom: half of the parts of each answer cross between data centres.
-// Events:  each data centre holds servers of half of the shards.
-// Cause:   nothing told which other data centre holds the other half.
+// Guards against delegating shards to a data centre that does not hold them.
 #[test]
-fn elsewhere_are_the_shards_without_a_server_here() {
+fn remote_shards_are_those_without_a_local_server() {
     let registry = in_three_of_six(42);
-    let elsewhere = shards::remote_shards(&numbered(42), &registry.usable(), &"dc0".into());
-    let count = |data_centre: &str| elsewhere.get(data_centre).map_or(0, KeySet::len);
+    let remote = shards::remote_shards(&numbered(42), &registry.usable(), &"dc0".into());
+    let count = |data_centre: &str| remote.get(data_centre).map_or(0, KeySet::len);
     let counts = ["dc0", "dc1", "dc2", "dc3", "dc4", "dc5"].map(count);
     assert_eq!(counts, [0, 7, 14, 21, 14, 7]);
-    assert!(elsewhere["dc3"].contains(1) && !elsewhere["dc3"].contains(0));
+    assert!(remote["dc3"].contains(1) && !remote["dc3"].contains(0));
 }
 
 #[test]
-fn elsewhere_few_shards_are_asked_for_from_here() {
+fn remote_shards_of_a_few_are_not_delegated() {
     let registry = in_three_of_six(6);
-    let elsewhere = shards::remote_shards(&numbered(6), &registry.usable(), &"dc0".into());
-    assert!(elsewhere.is_empty(), "{elsewhere:?}");
+    let remote = shards::remote_shards(&numbered(6), &registry.usable(), &"dc0".into());
+    assert!(remote.is_empty(), "{remote:?}");
 }
 
 #[test]
-fn elsewhere_of_a_data_centre_without_servers_is_all() {
+fn remote_shards_of_a_data_centre_without_servers_are_all() {
     let registry = in_three_of_six(12);
-    let elsewhere = shards::remote_shards(&numbered(12), &registry.usable(), &"bare".into());
-    assert!(
-        elsewhere.values().all(|keys| keys.len() == 6),
-        "{elsewhere:?}"
-    );
-    assert_eq!(elsewhere.len(), 6);
+    let remote = shards::remote_shards(&numbered(12), &registry.usable(), &"bare".into());
+    assert!(remote.values().all(|keys| keys.len() == 6), "{remote:?}");
+    assert_eq!(remote.len(), 6);
 }
--- a/crates/decision/tests/helper.rs
+++ b/crates/decision/tests/helper.rs
@@ -1,4 +1,4 @@
-//! Which host fans a search out in another one's place, and what each may take then.
+//! Tests the choice of a host to delegate a search to, and how hosts divide capacity when some fan out for others.
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::DataCentreId;
@@ -28,47 +28,44 @@
     table
 }
 
-#[test_case(&[12, 12], false; "alike")]
-#[test_case(&[20], false; "hardly_stronger")]
+#[test_case(&[12, 12], false; "equal")]
+#[test_case(&[20], false; "slightly_stronger")]
 #[test_case(&[12, 24], true; "twice_as_strong")]
-fn choose_takes_hosts_that_are_far_stronger(strengths: &[u32], found: bool) {
-    assert_eq!(table(strengths).choose(ms(0)).is_some(), found);
+fn choose_requires_much_stronger_hosts(strengths: &[u32], expected: bool) {
+    assert_eq!(table(strengths).choose(ms(0)).is_some(), expected);
 }
 
 #[test]
-fn choose_unknown_own_strength_hands_nothing_on() {
+fn choose_with_unknown_own_strength_delegates_nothing() {
     let mut table = Table::new(0);
     table.set_strength(host(1), 50);
     assert!(table.is_empty());
 }
 
 #[test]
-fn choose_divides_by_strength() {
+fn choose_is_proportional_to_strength() {
     let mut table = table(&[25, 100]);
     let chosen: Vec<MemberId> = (0..10).filter_map(|_| table.choose(ms(0))).collect();
-    let weaker = chosen.iter().filter(|one| **one == host(0)).count();
+    let weaker = chosen.iter().filter(|chosen| **chosen == host(0)).count();
     assert_eq!((chosen.len(), weaker), (10, 2));
 }
 
-// Symptom: two of three hosts that fan out stand idle, and the third runs out of extra attempts: 959 were denied in
-//          14 s at 195 hosts while servers were slow.
-// Events:  hosts hand one search on at a time, each answered before the next one comes.
-// Cause:   among helpers that were all idle the one with the lowest address was taken each time.
+// Guards against sending every delegated search to the idle host with the lowest address.
 #[test]
 fn choose_idle_helpers_take_turns() {
     let mut table = table(&[50, 50, 50]);
     let mut chosen = [0; 3];
     for number in 0..30 {
         let now = ms(number * 500);
-        let helper = table.choose(now).expect("all are well");
+        let helper = table.choose(now).expect("all hosts are available");
         table.finished(helper, Outcome::Answered, now + ms(80));
         let index = (0..3).find(|index| host(*index) == helper);
-        chosen[usize::from(index.expect("it is one of them"))] += 1;
+        chosen[usize::from(index.expect("the helper is in the table"))] += 1;
     }
     assert_eq!(chosen, [10; 3]);
 }
 
-/// Hosts of another data centre with their strengths.
+/// Returns candidates of another data centre, given as host number and strength.
 fn remote(data_centre: &str, round_trip: u64, hosts: &[(u8, u32)]) -> Remote {
     let candidates = hosts.iter().map(|&(number, strength)| Candidate {
         host: host(number),
@@ -81,74 +78,73 @@
     }
 }
 
-/// As many shards that only these data centres have servers of.
+/// Returns the shards without local servers, by data centre and count.
 fn lacking(held: &[(&str, u64)]) -> BTreeMap<DataCentreId, KeySet> {
     let held = held.iter();
     held.map(|&(data_centre, count)| (data_centre.into(), KeySet::from(Range::new(0, count))))
         .collect()
 }
 
-/// Returns who was chosen for a part, if somebody was.
-fn share(
+/// Delegates shards and returns the chosen host, if any.
+fn delegate(
     table: &mut Table,
     lacking: &BTreeMap<DataCentreId, KeySet>,
     now: u64,
 ) -> Option<MemberId> {
-    table.delegate(lacking, ms(now)).map(|share| share.host)
+    table
+        .delegate(lacking, ms(now))
+        .map(|delegation| delegation.host)
 }
 
-// Symptom: each of 21 to 31 shards of a search sends its kilobyte from one data centre to another.
-// Events:  a data centre holds servers of half of the shards; others hold the other half, or a part of it.
-// Cause:   whoever fans out asked all servers itself.
+// Guards against a data centre asking all remote servers itself where a stronger host near them can search for it.
 #[test_case(12; "at_a_weak_host")]
 #[test_case(50; "at_a_strong_host")]
-fn share_goes_where_most_of_the_shards_are(own: u32) {
+fn delegate_prefers_the_data_centre_with_most_shards(own: u32) {
     let mut table = Table::new(own);
     table.set_strength(host(1), 100);
     table.set_remote(remote("north", 1, &[(11, 50), (12, 50)]));
     table.set_remote(remote("south", 1, &[(21, 50)]));
     let lacking = lacking(&[("north", 21), ("south", 14)]);
-    let chosen = [0, 1, 2].map(|now| share(&mut table, &lacking, now));
+    let chosen = [0, 1, 2].map(|now| delegate(&mut table, &lacking, now));
     assert_eq!(chosen, [Some(host(11)), Some(host(12)), Some(host(11))]);
-    let share = table.delegate(&lacking, ms(3)).expect("there are hosts");
-    assert_eq!(share.keys.len(), 21);
+    let delegation = table.delegate(&lacking, ms(3)).expect("there are hosts");
+    assert_eq!(delegation.keys.len(), 21);
 }
 
 #[test]
-fn share_weaker_hosts_are_not_asked() {
+fn delegate_skips_weaker_hosts() {
     let mut table = Table::new(50);
     table.set_remote(remote("north", 1, &[(11, 12)]));
-    assert_eq!(share(&mut table, &lacking(&[("north", 21)]), 0), None);
+    assert_eq!(delegate(&mut table, &lacking(&[("north", 21)]), 0), None);
 }
 
 #[test]
-fn share_another_region_is_not_asked_where_one_nearby_could_be() {
+fn delegate_prefers_a_nearby_region() {
     let mut table = Table::new(12);
     table.set_remote(remote("nearby", 1, &[(11, 50)]));
     table.set_remote(remote("abroad", 40, &[(21, 50)]));
     let both = lacking(&[("nearby", 7), ("abroad", 21)]);
-    assert_eq!(share(&mut table, &both, 0), Some(host(11)));
+    assert_eq!(delegate(&mut table, &both, 0), Some(host(11)));
     let only = lacking(&[("abroad", 21)]);
-    assert_eq!(share(&mut table, &only, 0), Some(host(21)));
+    assert_eq!(delegate(&mut table, &only, 0), Some(host(21)));
 }
 
-// Symptom: while servers are slow or gone, one search after the other lacks what another host did not get.
-// Events:  the answer for a part lacks much, or does not come.
-// Cause:   the next part was handed over all the same. Who asks all servers itself weighs what is missing together.
-#[test_case(Outcome::Incomplete; "poor")]
-#[test_case(Outcome::Failed; "lost")]
-fn share_after_a_poor_answer_all_servers_are_asked_from_here(ended: Outcome) {
+// Guards against delegating again to a host whose answers are incomplete or missing: answers would lack more than
+// a search that asks all servers itself.
+#[test_case(Outcome::Incomplete; "incomplete")]
+#[test_case(Outcome::Failed; "failed")]
+fn delegate_after_a_failure_pauses(outcome: Outcome) {
     let mut table = Table::new(12);
     table.set_remote(remote("north", 1, &[(11, 50), (12, 50)]));
     let lacking = lacking(&[("north", 21)]);
-    let first = share(&mut table, &lacking, 0).expect("there are hosts");
-    table.finished(first, ended, ms(100));
-    assert_eq!(share(&mut table, &lacking, 1_000), None);
-    assert!(share(&mut table, &lacking, 2_200).is_some());
+    let first = delegate(&mut table, &lacking, 0).expect("there are hosts");
+    table.finished(first, outcome, ms(100));
+    assert_eq!(delegate(&mut table, &lacking, 1_000), None);
+    assert!(delegate(&mut table, &lacking, 2_200).is_some());
 }
 
 #[test]
-fn share_with_hosts_elsewhere_whole_searches_stay() {
+fn choose_with_remote_candidates_only_is_none() {
     let mut table = Table::new(12);
     table.set_remote(remote("north", 1, &[(11, 50)]));
     assert_eq!(table.choose(ms(0)), None);
@@ -156,20 +152,18 @@
 }
 
 #[test]
-fn told_remote_who_is_not_named_any_more_is_not_asked() {
+fn set_remote_replaces_earlier_candidates() {
     let mut table = Table::new(12);
     table.set_remote(remote("north", 1, &[(11, 50), (12, 50)]));
     table.set_remote(remote("north", 1, &[(12, 50)]));
     let lacking = lacking(&[("north", 21)]);
-    let chosen = [0, 1].map(|now| share(&mut table, &lacking, now));
+    let chosen = [0, 1].map(|now| delegate(&mut table, &lacking, now));
     assert_eq!(chosen, [Some(host(12)); 2]);
 }
 
-// Symptom: searches wait for a host that has lost power, one after the other.
-// Events:  a search handed to it is lost; others come.
-// Cause:   nothing was learned from the one that was lost.
+// Guards against one search after the other waiting for a host that lost power.
 #[test]
-fn ended_lost_helper_is_left_for_a_while() {
+fn finished_failed_host_is_avoided_for_a_while() {
     let mut table = table(&[50]);
     let mut now = ms(0);
     let mut tries = 0;
@@ -180,31 +174,34 @@
         }
         now += ms(10);
     }
-    assert!((3..=6).contains(&tries), "{tries} searches were lost");
-    let host = table.choose(ms(30_000)).expect("it is tried again");
+    assert!((3..=6).contains(&tries), "{tries} searches failed");
+    let host = table.choose(ms(30_000)).expect("the host is tried again");
     table.finished(host, Outcome::Answered, ms(30_000));
-    assert!(table.choose(ms(30_001)).is_some(), "it is well again");
+    assert!(
+        table.choose(ms(30_001)).is_some(),
+        "the host is available again"
+    );
 }
 
 #[test]
-fn ended_declined_helper_is_asked_again_soon() {
+fn finished_declined_host_is_retried_soon() {
     let mut table = table(&[50]);
-    let host = table.choose(ms(0)).expect("it is there");
+    let host = table.choose(ms(0)).expect("the host is available");
     table.finished(host, Outcome::Declined, ms(0));
     assert_eq!(table.choose(ms(50)), None);
     assert_eq!(table.choose(ms(150)), Some(host));
 }
 
 #[test]
-fn told_after_a_start_helper_is_asked_at_once() {
+fn set_strength_of_a_restarted_host_makes_it_available() {
     let mut table = table(&[50]);
-    let host = table.choose(ms(0)).expect("it is there");
+    let host = table.choose(ms(0)).expect("the host is available");
     table.finished(host, Outcome::Failed, ms(0));
     table.set_strength(host, 50);
     assert_eq!(table.choose(ms(1)), Some(host));
 }
 
-/// Homes of data centres of these sizes, each with so many that fan out.
+/// Returns the homes in data centres of these sizes, with `strong` hosts in each that fan out for the others.
 fn fleet(near: &[usize], strong: usize) -> Vec<Homes> {
     let all = near.iter().sum();
     let of = |near: usize| {
@@ -223,16 +220,15 @@
     near.iter().copied().flat_map(of).collect()
 }
 
-// Symptom: owners find more extra attempts than they allow beyond the ratio.
-// Events:  any sizes of data centres, and any number of hosts that fan out for the others.
-// Cause:   what one host reckons that the others take is not what they take.
-#[test_case(&[3, 3, 2], 0; "8_hosts_alike")]
+// Guards against hosts together making more extra attempts than the limit, or far fewer, for any sizes of data
+// centres.
+#[test_case(&[3, 3, 2], 0; "8_equal_hosts")]
 #[test_case(&[30, 31, 28], 2; "89_hosts")]
-#[test_case(&[30, 31, 28], 0; "89_hosts_alike")]
+#[test_case(&[30, 31, 28], 0; "89_equal_hosts")]
 #[test_case(&[16, 15, 15, 15], 1; "61_hosts")]
 #[test_case(&[100, 150, 50], 5; "300_hosts_unevenly_placed")]
 #[test_case(&[180, 181, 180, 180], 9; "many_hosts")]
-fn slack_of_all_homes_is_what_owners_allow(near: &[usize], strong: usize) {
+fn slack_of_all_homes_adds_up_to_the_limit(near: &[usize], strong: usize) {
     let parts = fleet(near, strong).into_iter();
     let slack = parts.filter_map(|homes| Division::among_all_hosts(homes, 218.0).slack());
     let slack: f64 = slack.sum();
@@ -240,25 +236,26 @@
     assert!(slack >= 218.0 * 0.9, "{slack}");
 }
 
-// Symptom: servers end connections that they have too many of, 203,276 of them in a calm minute.
-// Events:  89 hosts each keep a connection ready at every server, which takes 76.
-// Cause:   what is kept ready did not depend on how many hosts there are.
-#[test_case(&[3, 3, 2], 0, 41, true; "8_hosts_alike")]
+// Guards against idle connections of many hosts exceeding the connection limit of a server.
+#[test_case(&[3, 3, 2], 0, 41, true; "8_equal_hosts")]
 #[test_case(&[30, 31, 28], 2, 76, true; "89_hosts")]
-#[test_case(&[30, 31, 28], 0, 76, true; "89_hosts_alike")]
-#[test_case(&[100, 100, 100], 0, 64, false; "300_hosts_alike")]
-fn connections_kept_ready_leave_room_for_a_restart(
+#[test_case(&[30, 31, 28], 0, 76, true; "89_equal_hosts")]
+#[test_case(&[100, 100, 100], 0, 64, false; "300_equal_hosts")]
+fn idle_connections_leave_room_for_a_restart(
     near: &[usize],
     strong: usize,
     limit: u32,
     all_nearby_keep_one: bool,
 ) {
     let fleet = fleet(near, strong);
-    let kept = |homes: &Homes| Division::among_all_hosts(*homes, 218.0).idle_share(limit);
-    // Those nearby one server.
+    let idle = |homes: &Homes| Division::among_all_hosts(*homes, 218.0).idle_share(limit);
+    // The homes in the data centre of one server.
     let nearby = fleet.iter().take(near[0]);
-    let together: f64 = nearby.clone().map(kept).sum();
+    let together: f64 = nearby.clone().map(idle).sum();
     assert!(together <= f64::from(limit) * 0.5, "{together}");
     let keepers = nearby.filter(|homes| homes.role != Role::Weak);
-    assert_eq!(keepers.map(kept).all(|one| one >= 1.0), all_nearby_keep_one);
+    assert_eq!(
+        keepers.map(idle).all(|share| share >= 1.0),
+        all_nearby_keep_one
+    );
 }
--- a/crates/decision/tests/mirror.rs
+++ b/crates/decision/tests/mirror.rs
@@ -1,9 +1,8 @@
-//! What hosts have taken in, whoever they had it from: everything up to their position, and nothing else.
+//! Tests that each host has exactly the store's contents at the host's position, whatever the source of the changes.
 //!
-//! A store, hosts that read it and hosts that ask those, with every message late, lost, doubled or out of order,
-//! readers that restart under their address, wake late or read anew, and a store that forgets its history or comes
-//! back from an older copy, several times. Seeded walks of many steps; after each step every host is held against the
-//! store as it was at the host's position. Faults put in on purpose are found by the same walks.
+//! Seeded random walks over a store, hosts that read it and hosts that poll those readers. Messages are delayed, lost,
+//! duplicated and reordered; hosts restart; the store compacts its history or is restored from an older backup. After
+//! each step every host is compared with the store at its position. The walks must also detect deliberate faults.
 
 use monsoonring_decision::gateway::mirror::{
     Answer, Batch, DeclineReason, Era, Log, Position, is_new,
@@ -19,17 +18,17 @@
 
 const KEYS: u8 = 3;
 const READERS: usize = 2;
-const ASKERS: usize = 3;
+const POLLERS: usize = 3;
 const STEPS: usize = 400;
 const WALKS: u64 = 300;
 
-/// Far longer than a walk takes: when a reader falls silent is not looked at here.
-const SURE: Duration = Duration::from_secs(1_000_000);
+/// Longer than any walk, so that readers never count as stale.
+const FRESHNESS: Duration = Duration::from_secs(1_000_000);
 
-/// What is in the store under each key; a key that is gone is not there.
+/// The keys that exist in the store, with the revision of their last write.
 type Contents = BTreeMap<u8, Revision>;
 
-/// One change: the key, and whether it was written or deleted.
+/// One write or deletion of a key.
 #[derive(Clone, Copy, Debug)]
 struct Change {
     key: u8,
@@ -37,33 +36,33 @@
     deleted: bool,
 }
 
-/// Something that is wrong on purpose.
+/// A deliberate fault that the random walks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// A reader tells its last answer, whatever who asks knows.
-    TellsTheLast,
-    /// Who is told takes everything in, and for its revision what the answer says.
-    TakesAll,
-    /// All lives of the store count as one.
+    /// A reader returns its last batch, whatever the position of the poller.
+    ReturnsLastBatch,
+    /// A poller applies every change of a reply and adopts the position of the reply.
+    AppliesAll,
+    /// Positions of different eras of the store are compared.
     IgnoresEras,
-    /// A reader that finds a later life of the store keeps what it had read before, and goes on from there.
-    GoesOn,
+    /// A reader that sees a later era keeps its contents and continues its watch.
+    ContinuesWatch,
 }
 
 struct Store {
-    /// All that was ever changed, in each life of the store.
-    lives: Vec<Vec<Change>>,
+    /// The history of changes, by era.
+    eras: Vec<Vec<Change>>,
     forgotten: Revision,
 }
 
 impl Store {
     fn era(&self) -> Era {
-        self.lives.len() as Era - 1
+        self.eras.len() as Era - 1
     }
 
     fn changes(&self) -> &[Change] {
-        &self.lives[self.lives.len() - 1]
+        &self.eras[self.eras.len() - 1]
     }
 
     fn position(&self) -> Position {
@@ -75,21 +74,21 @@
 
     fn contents(&self, at: Position) -> Contents {
         let mut contents = Contents::new();
-        for change in &self.lives[at.era as usize][..at.revision as usize] {
+        for change in &self.eras[at.era as usize][..at.revision as usize] {
             apply(&mut contents, *change);
         }
         contents
     }
 
-    /// Comes back from a copy that lacks the last changes.
-    fn go_back(&mut self, lost: usize) {
+    /// Restores the store from a backup that lacks the last changes. This starts a new era.
+    fn restore(&mut self, lost: usize) {
         let kept = self.changes().len().saturating_sub(lost);
         let copy = self.changes()[..kept].to_vec();
-        self.lives.push(copy);
+        self.eras.push(copy);
         self.forgotten = self.forgotten.min(kept as Revision);
     }
 
-    /// Answers a watch, as the store does: it knows nothing of the life that the revision is from.
+    /// Answers a watch from a revision. As in the real store, the era of that revision is unknown.
     fn since(&self, after: Revision) -> Option<Batch> {
         let Position { era, revision: to } = self.position();
         let body: Arc<[u8]> = Arc::from([era as u8]);
@@ -102,10 +101,10 @@
         })
     }
 
-    /// Returns the changes that an answer holds.
+    /// Returns the changes in a batch.
     fn decode(&self, batch: &Batch) -> Vec<Change> {
-        let life = &self.lives[usize::from(batch.body[0])];
-        life[batch.after.revision as usize..batch.to.revision as usize].to_vec()
+        let changes = &self.eras[usize::from(batch.body[0])];
+        changes[batch.after.revision as usize..batch.to.revision as usize].to_vec()
     }
 }
 
@@ -116,31 +115,31 @@
     };
 }
 
-/// What a host knows.
+/// The position and the contents that a host has.
 #[derive(Clone, Default)]
 struct Host {
     known: Option<(Position, Contents)>,
 }
 
 impl Host {
-    fn read(&mut self, at: Position, contents: Contents) {
+    fn load(&mut self, at: Position, contents: Contents) {
         let is_newer = self.known.as_ref().is_none_or(|(known, _)| *known <= at);
         if is_newer {
             self.known = Some((at, contents));
         }
     }
 
-    /// Takes in an answer to a question that was asked from an earlier revision, or from this one.
-    fn take_in(&mut self, batch: &Batch, changes: &[Change], mutant: Mutant) {
+    /// Applies a reply to a poll from this or an earlier position.
+    fn apply_batch(&mut self, batch: &Batch, changes: &[Change], mutant: Mutant) {
         let Some((known, contents)) = &mut self.known else {
             return;
         };
-        let takes_all = mutant == Mutant::TakesAll;
-        if batch.to <= *known && !takes_all {
+        let applies_all = mutant == Mutant::AppliesAll;
+        if batch.to <= *known && !applies_all {
             return;
         }
         for change in changes {
-            if takes_all || is_new(change.revision, known.revision) {
+            if applies_all || is_new(change.revision, known.revision) {
                 apply(contents, *change);
             }
         }
@@ -148,19 +147,19 @@
     }
 }
 
-/// A message that has not arrived.
+/// A message in transit.
 #[derive(Clone)]
 enum Message {
-    /// The store's answer to a reader's watch.
-    Watched(usize, u64, Batch),
-    /// A reader's answer to a host of this life.
-    Told(usize, u64, Batch),
+    /// The store's reply to a watch: the reader, its incarnation and the batch.
+    WatchReply(usize, u64, Batch),
+    /// A reader's reply to a poll: the poller, its incarnation and the batch.
+    PollReply(usize, u64, Batch),
 }
 
 struct World {
     store: Store,
     readers: Vec<(Log, Host, u64)>,
-    askers: Vec<(Host, u64)>,
+    pollers: Vec<(Host, u64)>,
     messages: Vec<Message>,
     mutant: Mutant,
     rng: ChaCha8Rng,
@@ -170,13 +169,13 @@
     fn new(seed: u64, mutant: Mutant) -> Self {
         Self {
             store: Store {
-                lives: vec![Vec::new()],
+                eras: vec![Vec::new()],
                 forgotten: 0,
             },
             readers: (0..READERS)
-                .map(|_| (Log::new(SURE), Host::default(), 0))
+                .map(|_| (Log::new(FRESHNESS), Host::default(), 0))
                 .collect(),
-            askers: vec![(Host::default(), 0); ASKERS],
+            pollers: vec![(Host::default(), 0); POLLERS],
             messages: Vec::new(),
             mutant,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -187,13 +186,13 @@
         match self.rng.random_range(0..100) {
             0..20 => self.write(),
             20..21 => self.store.forgotten = self.store.position().revision,
-            21..22 => self.go_back(),
+            21..22 => self.restore_store(),
             22..40 => self.watch(),
-            40..45 => self.read(),
-            45..70 => self.ask(),
+            40..45 => self.load_any_reader(),
+            45..70 => self.poll(),
             70..72 => self.restart_reader(),
-            72..74 => self.restart_asker(),
-            74..78 => self.ask_store(),
+            72..74 => self.restart_poller(),
+            74..78 => self.load_any_poller(),
             _ => self.deliver(),
         }
     }
@@ -204,149 +203,151 @@
             revision: self.store.position().revision + 1,
             deleted: self.rng.random_bool(0.3),
         };
-        let last = self.store.lives.len() - 1;
-        self.store.lives[last].push(change);
+        let last = self.store.eras.len() - 1;
+        self.store.eras[last].push(change);
     }
 
-    fn go_back(&mut self) {
+    fn restore_store(&mut self) {
         let lost = self.rng.random_range(0..6);
-        self.store.go_back(lost);
+        self.store.restore(lost);
     }
 
-    /// Returns a position as the host sees it.
-    fn seen(&self, position: Position) -> Position {
+    /// Returns a position as hosts see it, which depends on the mutant.
+    fn visible(&self, position: Position) -> Position {
         match self.mutant {
             Mutant::IgnoresEras => Position { era: 0, ..position },
             _ => position,
         }
     }
 
-    fn seen_batch(&self, batch: &Batch) -> Batch {
+    fn visible_batch(&self, batch: &Batch) -> Batch {
         Batch {
-            after: self.seen(batch.after),
-            to: self.seen(batch.to),
+            after: self.visible(batch.after),
+            to: self.visible(batch.to),
             body: batch.body.clone(),
         }
     }
 
     fn watch(&mut self) {
         let index = self.rng.random_range(0..READERS);
-        let (_, host, life) = &self.readers[index];
+        let (_, host, incarnation) = &self.readers[index];
         let after = host.known.as_ref().map(|(known, _)| known.revision);
         match after.map(|after| self.store.since(after)) {
             Some(Some(batch)) => {
-                let batch = self.seen_batch(&batch);
-                self.messages.push(Message::Watched(index, *life, batch));
+                let batch = self.visible_batch(&batch);
+                self.messages
+                    .push(Message::WatchReply(index, *incarnation, batch));
             }
-            Some(None) => self.read_at(index),
+            Some(None) => self.load_reader(index),
             None => {}
         }
     }
 
-    fn read(&mut self) {
+    fn load_any_reader(&mut self) {
         let index = self.rng.random_range(0..READERS);
-        self.read_at(index);
+        self.load_reader(index);
     }
 
-    /// Reads everything at once, as a reader does that starts or whose history is gone.
-    fn read_at(&mut self, index: usize) {
+    /// Loads the full state, as a reader does at its start or when the store's history is compacted.
+    fn load_reader(&mut self, index: usize) {
         let at = self.store.position();
         let contents = self.store.contents(at);
-        let at = self.seen(at);
+        let at = self.visible(at);
         let (log, host, _) = &mut self.readers[index];
-        host.read(at, contents);
+        host.load(at, contents);
         log.reset(at, Duration::ZERO);
     }
 
-    fn ask(&mut self) {
-        let asker = self.rng.random_range(0..ASKERS);
+    fn poll(&mut self) {
+        let poller = self.rng.random_range(0..POLLERS);
         let reader = self.rng.random_range(0..READERS);
-        let (host, life) = &self.askers[asker];
+        let (host, incarnation) = &self.pollers[poller];
         let Some((after, _)) = host.known else {
-            return self.ask_store();
+            return self.load_any_poller();
         };
         let log = &self.readers[reader].0;
         let answer = match self.mutant {
-            Mutant::TellsTheLast => last(log, self.store.position()),
+            Mutant::ReturnsLastBatch => last_batch(log, self.store.position()),
             _ => log.answer(after, Duration::ZERO),
         };
         if let Answer::Batch(batch) = answer {
-            self.messages.push(Message::Told(asker, *life, batch));
+            self.messages
+                .push(Message::PollReply(poller, *incarnation, batch));
         }
     }
 
-    fn ask_store(&mut self) {
-        let asker = self.rng.random_range(0..ASKERS);
+    fn load_any_poller(&mut self) {
+        let poller = self.rng.random_range(0..POLLERS);
         let at = self.store.position();
         let contents = self.store.contents(at);
-        let at = self.seen(at);
-        self.askers[asker].0.read(at, contents);
+        let at = self.visible(at);
+        self.pollers[poller].0.load(at, contents);
     }
 
     fn restart_reader(&mut self) {
         let index = self.rng.random_range(0..READERS);
-        let life = self.readers[index].2 + 1;
-        self.readers[index] = (Log::new(SURE), Host::default(), life);
+        let incarnation = self.readers[index].2 + 1;
+        self.readers[index] = (Log::new(FRESHNESS), Host::default(), incarnation);
     }
 
-    fn restart_asker(&mut self) {
-        let index = self.rng.random_range(0..ASKERS);
-        let life = self.askers[index].1 + 1;
-        self.askers[index] = (Host::default(), life);
+    fn restart_poller(&mut self) {
+        let index = self.rng.random_range(0..POLLERS);
+        let incarnation = self.pollers[index].1 + 1;
+        self.pollers[index] = (Host::default(), incarnation);
     }
 
-    /// Delivers some message, loses it, or delivers it and keeps it to be delivered again.
+    /// Delivers a random message. Some are kept and delivered again; outdated ones are dropped.
     fn deliver(&mut self) {
         let Some(message) = self.messages.choose(&mut self.rng).cloned() else {
             return;
         };
         match &message {
-            Message::Watched(index, life, batch) => {
-                let (log, host, now) = &mut self.readers[*index];
+            Message::WatchReply(index, incarnation, batch) => {
+                let (log, host, current) = &mut self.readers[*index];
                 let known = host.known.as_ref().map(|(known, _)| *known);
-                // One question is open at a time: an answer to an earlier one finds its connection closed.
-                let is_awaited = now == life;
+                // One watch is open at a time; the reply to an earlier one finds its connection closed.
+                let is_awaited = current == incarnation;
                 if is_awaited && known == Some(batch.after) {
-                    host.take_in(batch, &self.store.decode(batch), Mutant::None);
+                    host.apply_batch(batch, &self.store.decode(batch), Mutant::None);
                     log.append(batch.clone(), Duration::ZERO);
                 } else if is_awaited && known.is_some_and(|known| known.era < batch.to.era) {
                     match self.mutant {
-                        Mutant::GoesOn => {
-                            host.take_in(batch, &self.store.decode(batch), Mutant::None);
+                        Mutant::ContinuesWatch => {
+                            host.apply_batch(batch, &self.store.decode(batch), Mutant::None);
                             log.append(batch.clone(), Duration::ZERO);
                         }
-                        _ => self.read_at(*index),
+                        _ => self.load_reader(*index),
                     }
                 }
             }
-            Message::Told(index, life, batch) => {
+            Message::PollReply(index, incarnation, batch) => {
                 let changes = self.store.decode(batch);
-                let (host, now) = &mut self.askers[*index];
-                if now == life {
-                    host.take_in(batch, &changes, self.mutant);
+                let (host, current) = &mut self.pollers[*index];
+                if current == incarnation {
+                    host.apply_batch(batch, &changes, self.mutant);
                 }
             }
         }
         if self.rng.random_bool(0.8) {
-            let is_it = |other: &Message| same(other, &message);
-            self.messages.retain(|other| !is_it(other));
+            let is_delivered = |other: &Message| is_same(other, &message);
+            self.messages.retain(|other| !is_delivered(other));
         }
     }
 
-    /// Returns what is wrong, if anything is.
+    /// Returns a description of the first violated invariant, if any.
     fn fault(&self, before: &[(Host, u64)]) -> Option<String> {
-        for (index, (host, life)) in self.askers.iter().enumerate() {
+        for (index, (host, incarnation)) in self.pollers.iter().enumerate() {
             let Some((known, contents)) = &host.known else {
                 continue;
             };
             if *contents != self.store.contents(*known) {
                 return Some(format!("host {index} at {known} has {contents:?}"));
             }
-            let (earlier, earlier_life) = &before[index];
+            let (earlier, earlier_incarnation) = &before[index];
             let earlier = earlier.known.as_ref().map(|(known, _)| *known);
             let earlier = earlier.unwrap_or_default();
-            if life == earlier_life && *known < earlier {
-                return Some(format!("host {index} went from {earlier} to {known}"));
+            if incarnation == earlier_incarnation && *known < earlier {
+                return Some(format!("host {index} moved back from {earlier} to {known}"));
             }
         }
         let readers = self.readers.iter().map(|(_, host, _)| host);
@@ -354,12 +355,12 @@
         let mut wrong = known.filter(|(known, contents)| *contents != self.store.contents(*known));
         wrong
             .next()
-            .map(|(known, contents)| format!("a reader at {known} has {contents:?}"))
+            .map(|(known, contents)| format!("reader at {known} has {contents:?}"))
     }
 }
 
-/// Returns the last answer that a reader keeps.
-fn last(log: &Log, newest: Position) -> Answer {
+/// Returns the last batch in a reader's log.
+fn last_batch(log: &Log, newest: Position) -> Answer {
     let revisions = (0..newest.revision).rev();
     let positions = revisions.map(|revision| Position { revision, ..newest });
     let answers = positions.map(|after| log.answer(after, Duration::ZERO));
@@ -367,19 +368,19 @@
     batches.next().unwrap_or(Answer::UpToDate)
 }
 
-fn same(one: &Message, other: &Message) -> bool {
-    match (one, other) {
-        (Message::Watched(a, b, c), Message::Watched(d, e, f))
-        | (Message::Told(a, b, c), Message::Told(d, e, f)) => (a, b, c) == (d, e, f),
+fn is_same(left: &Message, right: &Message) -> bool {
+    match (left, right) {
+        (Message::WatchReply(a, b, c), Message::WatchReply(d, e, f))
+        | (Message::PollReply(a, b, c), Message::PollReply(d, e, f)) => (a, b, c) == (d, e, f),
         _ => false,
     }
 }
 
-/// Walks with a seed. Returns what went wrong.
+/// Runs a random walk. Returns a description of the first violated invariant, if any.
 fn walk(seed: u64, mutant: Mutant) -> Option<String> {
     let mut world = World::new(seed, mutant);
     for step in 0..STEPS {
-        let before = world.askers.clone();
+        let before = world.pollers.clone();
         world.step();
         if let Some(fault) = world.fault(&before) {
             return Some(format!("seed {seed}, step {step}: {fault}"));
@@ -389,19 +390,22 @@
 }
 
 #[test]
-fn walk_without_mutant_finds_nothing_wrong() {
+fn walk_without_mutant_finds_no_fault() {
     for seed in 0..WALKS {
         assert_eq!(walk(seed, Mutant::None), None);
     }
 }
 
-#[test_case(Mutant::TellsTheLast; "reader_tells_the_last")]
-#[test_case(Mutant::TakesAll; "asker_takes_all")]
-#[test_case(Mutant::IgnoresEras; "lives_of_the_store_count_as_one")]
-#[test_case(Mutant::GoesOn; "reader_goes_on_in_a_later_life")]
-fn walk_with_mutant_finds_it(mutant: Mutant) {
+#[test_case(Mutant::ReturnsLastBatch; "reader_returns_last_batch")]
+#[test_case(Mutant::AppliesAll; "poller_applies_all")]
+#[test_case(Mutant::IgnoresEras; "ignores_eras")]
+#[test_case(Mutant::ContinuesWatch; "reader_continues_in_a_later_era")]
+fn walk_with_mutant_finds_the_fault(mutant: Mutant) {
     let found = (0..WALKS).find_map(|seed| walk(seed, mutant));
-    assert!(found.is_some(), "{mutant:?} was not found in {WALKS} walks");
+    assert!(
+        found.is_some(),
+        "{mutant:?} was not detected in {WALKS} walks"
+    );
 }
 
 fn at(revision: Revision) -> Position {
@@ -417,7 +421,7 @@
 }
 
 #[test]
-fn answer_is_what_leads_on_from_the_asker() {
+fn answer_continues_from_the_position_of_the_poller() {
     let now = Duration::ZERO;
     let mut log = Log::new(Duration::from_secs(3));
     assert_eq!(
@@ -435,7 +439,7 @@
     assert_eq!(
         log.answer(at(7), now),
         Answer::Batch(batch(5, 8)),
-        "it stands within it"
+        "the position is within the batch"
     );
     assert_eq!(log.answer(at(8), now), Answer::Batch(batch(8, 9)));
     assert_eq!(log.answer(at(9), now), Answer::UpToDate);
@@ -445,16 +449,14 @@
     );
 }
 
-// Symptom: hosts go on with an old configuration although they reach the store.
-// Events:  the way from their reader to the store goes silent, and the reader answers them that nothing is new.
-// Cause:   a reader that does not know whether it is up to date spoke as if it did.
+// Guards against a reader that lost its connection to the store telling other hosts that nothing changed.
 #[test]
-fn answer_of_a_reader_that_is_not_sure_is_none() {
-    let sure = Duration::from_secs(3);
-    let mut log = Log::new(sure);
+fn answer_of_a_stale_reader_is_declined() {
+    let freshness = Duration::from_secs(3);
+    let mut log = Log::new(freshness);
     log.reset(at(5), Duration::ZERO);
-    assert_eq!(log.answer(at(5), sure), Answer::UpToDate);
-    let later = sure + Duration::from_millis(1);
+    assert_eq!(log.answer(at(5), freshness), Answer::UpToDate);
+    let later = freshness + Duration::from_millis(1);
     assert_eq!(
         log.answer(at(5), later),
         Answer::Declined(DeclineReason::Stale)
@@ -464,11 +466,11 @@
 }
 
 #[test]
-fn outage_is_told_with_its_end() {
+fn outage_has_count_and_end() {
     let mut log = Log::new(Duration::from_secs(3));
     log.reset(at(5), Duration::ZERO);
     assert_eq!(
-        (log.outage(SURE).count, log.outage(SURE).ended_ago),
+        (log.outage(FRESHNESS).count, log.outage(FRESHNESS).ended_ago),
         (0, None)
     );
     log.store_failed();
@@ -486,9 +488,9 @@
 }
 
 #[test]
-fn watched_more_than_is_kept_forgets_the_oldest() {
+fn append_beyond_the_limit_drops_the_oldest() {
     let now = Duration::ZERO;
-    let mut log = Log::new(SURE);
+    let mut log = Log::new(FRESHNESS);
     log.reset(at(0), now);
     let large: Arc<[u8]> = vec![0; 1_000_000].into();
     for after in 0..5 {
@@ -510,8 +512,8 @@
 }
 
 #[test]
-fn retire_a_host_that_asks_others_is_no_reader() {
-    let mut log = Log::new(SURE);
+fn clear_makes_the_host_no_reader() {
+    let mut log = Log::new(FRESHNESS);
     log.reset(at(5), Duration::ZERO);
     log.clear();
     assert_eq!(
@@ -520,12 +522,9 @@
     );
 }
 
-// Symptom: a host serves on with what the store had before it came back from a copy, and takes changes for it that
-//          were written since, or the other way round.
-// Events:  the store goes back; its revisions are given out again; one host has read it anew and the other has not.
-// Cause:   revisions of two lives of the store were compared.
+// Guards against comparing revisions of two eras: a restored store assigns the same revisions again.
 #[test]
-fn answer_to_a_host_of_another_life_of_the_store_is_none() {
+fn answer_to_a_host_of_another_era_is_declined() {
     let now = Duration::ZERO;
     let mut log = Log::new(Duration::from_secs(3));
     let later = |revision| Position { era: 1, revision };
--- a/crates/decision/tests/registered/mod.rs
+++ b/crates/decision/tests/registered/mod.rs
@@ -1,21 +1,21 @@
-//! Registries for the tests of this crate, and what can be used of them.
+//! Builds registries of backend servers for the tests of this crate.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use monsoonring_decision::Time;
 use monsoonring_decision::gateway::registry::{Entry, Event, Registry};
 
-/// Returns a registry that has read these entries.
+/// Returns a registry that has listed these entries.
 pub(crate) fn listed(entries: &[Entry]) -> Registry {
     let mut registry = Registry::default();
     registry.handle(Event::Listed(entries.to_vec()), Time::ZERO);
     registry
 }
 
-/// Returns the names of the starts that may be given new work.
+/// Returns the names of the instances that accept new requests.
 pub(crate) fn usable(registry: &Registry) -> Vec<String> {
     let usable = registry.usable();
     usable
         .values()
-        .map(|one| one.instance.to_string())
+        .map(|entry| entry.instance.to_string())
         .collect()
 }
--- a/crates/decision/tests/support/mod.rs
+++ b/crates/decision/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Routes and servers for the tests of this crate.
+//! Builds routes, servers and reports for the tests of this crate.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -43,7 +43,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Returns a report with a start number only.
+/// Returns a report that contains only an incarnation.
 pub(crate) fn started(start: Incarnation) -> Report {
     Report {
         start: Some(start),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns a report of `busy` requests at work and nothing else.
+/// Returns a report that contains only the load, with `busy` requests in progress.
 pub(crate) fn loaded(busy: u32) -> Report {
     let load = Load {
         busy,
