--- a/crates/decision/tests/delivery.rs
+++ b/crates/decision/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Partial answers that reach their callers in time.
+//! Tests that partial answers reach their callers within the objective.
 
 mod session;
 
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Shards of a search, of which one may be missing.
+/// Shards of the search. The minimum coverage allows one to be missing.
 const SHARDS: usize = 10;
 
 fn search(objective: Duration) -> Route {
@@ -37,18 +37,24 @@
     }
 }
 
-/// Plays a search of which one shard never answers. Returns when its caller has the answer, counted from the caller's
-/// first step, where the way takes `path` and the host `work` at the answer's ends.
-fn answered(objective: Duration, on_the_way: Duration, path: Duration, work: Duration) -> Duration {
+/// Simulates a search in which one shard never answers. Returns the caller's latency, including the connection setup.
+///
+/// `path` is the one-way network delay, `work` the processing time of the host, and `margin` the delivery margin.
+fn caller_latency(
+    objective: Duration,
+    margin: Duration,
+    path: Duration,
+    work: Duration,
+) -> Duration {
     let mut without_hedges = route(SHARDS, 1);
     without_hedges.hedge.budget_percent = 0.0;
     let mut session = Session::everyone(without_hedges, 9);
-    // Two round trips less the last way, and half of the host's work.
+    // Connection setup and request take two round trips without the final reply, and half of the host's work.
     let arrived = path * 3 + work / 2;
     session.pass(arrived);
     let asked = request(1, session.now);
     let asked = Request {
-        params: Some(search(objective).terms(on_the_way)),
+        params: Some(search(objective).terms(margin)),
         ..asked
     };
     session.on(Event::Request(asked));
@@ -62,42 +68,42 @@
     session.now + work / 2 + path
 }
 
-// Symptom: the median of a window of searches is 120.0 ms at an objective of 120, and more than half are late.
-// Events:  servers turn away or are slow, so that a part is missing; the answer leaves without it when its time is
-//          nearly over.
-// Cause:   6 ms were left for two round trips and the work of a host of an eighth of a core. Before, the answers of
-//          the first three cases came 14, 6 and 2 ms late; after, within their objective.
+// Guards against partial answers that leave too late: weak hosts need more than 6 ms for the round trips and their own
+// work.
 #[test_case(12, 120, 3, 8; "eighth_of_a_core_three_milliseconds_away")]
 #[test_case(12, 80, 1, 8; "eighth_of_a_core_one_millisecond_away")]
 #[test_case(25, 120, 1, 4; "quarter_of_a_core")]
-#[test_case(0, 40, 3, 8; "host_that_does_not_say")]
-fn answer_without_a_part_reaches_its_caller_in_time(
+#[test_case(0, 40, 3, 8; "host_of_unknown_strength")]
+fn answer_without_a_shard_arrives_within_the_objective(
     strength: Centicores,
     objective: u64,
     path: u64,
     work: u64,
 ) {
     let (objective, path, work) = (ms(objective), ms(path), ms(work));
-    let took = answered(objective, delivery::margin(strength), path, work);
-    assert!(took <= objective, "{took:?} of {objective:?}");
-    let before = answered(objective, ms(6), path, work);
-    assert!(before > objective, "{before:?} with 6 ms");
+    let latency = caller_latency(objective, delivery::margin(strength), path, work);
+    assert!(latency <= objective, "{latency:?} of {objective:?}");
+    let with_6_ms = caller_latency(objective, ms(6), path, work);
+    assert!(with_6_ms > objective, "{with_6_ms:?} with a margin of 6 ms");
 }
 
-// Most of an objective is the servers', whoever asks.
+// Servers get at least half of the objective.
 #[test_case(12, 40; "weak_host_short_objective")]
 #[test_case(100, 40; "whole_core")]
 #[test_case(1, 1_000; "hundredth_of_a_core")]
-fn leaves_after_leaves_half_at_least(strength: Centicores, objective: u64) {
+fn cutoff_is_at_least_half_of_the_objective(strength: Centicores, objective: u64) {
     let objective = ms(objective);
-    let left = delivery::cutoff(objective, delivery::margin(strength));
-    assert!(left >= objective / 2, "{left:?}");
-    assert!(left < objective);
+    let cutoff = delivery::cutoff(objective, delivery::margin(strength));
+    assert!(cutoff >= objective / 2, "{cutoff:?}");
+    assert!(cutoff < objective);
 }
 
 #[test]
-fn time_of_stronger_hosts_is_shorter() {
-    let times = [12, 25, 50, 100].map(delivery::margin);
-    assert!(times.is_sorted_by(|one, other| one > other), "{times:?}");
-    assert!(times[0] <= ms(21) && times[3] >= ms(6), "{times:?}");
+fn margin_of_stronger_hosts_is_shorter() {
+    let margins = [12, 25, 50, 100].map(delivery::margin);
+    assert!(
+        margins.is_sorted_by(|left, right| left > right),
+        "{margins:?}"
+    );
+    assert!(margins[0] <= ms(21) && margins[3] >= ms(6), "{margins:?}");
 }
--- a/crates/decision/tests/restart.rs
+++ b/crates/decision/tests/restart.rs
@@ -1,11 +1,13 @@
-//! Backend servers that start again under the name that they had, and entries that other writers leave.
+//! Tests backend servers that restart under the same name, and registry entries that arrive late or are unreadable.
 
 mod session;
 
 use monsoonring_configuration::Range;
 use monsoonring_decision::Time;
 use monsoonring_decision::attempt::Failure;
-use monsoonring_decision::gateway::registry::{Entry, Event as Seen, Order, Registry, State};
+use monsoonring_decision::gateway::registry::{
+    Entry, Event as RegistryEvent, Order, Registry, State,
+};
 use monsoonring_decision::gateway::shards::{self, Expected};
 use monsoonring_decision::home::Event;
 use session::{Session, ms, report, route, server};
@@ -15,7 +17,7 @@
 
 const HOSTS: usize = 9;
 
-/// Returns what a server says that was born then, for the so-many-th time.
+/// Returns an entry of a server that started at `started_at`, with the sequence number of its heartbeat.
 fn entry(started_at: u64, sequence: u64, revision: u64, state: State) -> Entry {
     Entry {
         instance: "a".into(),
@@ -38,18 +40,16 @@
 }
 
 fn write(registry: &mut Registry, entry: Entry) {
-    registry.handle(Seen::Written(entry), Time::ZERO);
+    registry.handle(RegistryEvent::Written(entry), Time::ZERO);
 }
 
-// Symptom: a server that has come back gets no work, or one that leaves gets some.
-// Events:  a server drains, crashes and starts again under its name, counting anew; a heartbeat of its
-//          earlier start, or an earlier one of the same, is written after the later one.
-// Cause:   what was written last was taken for what was said last.
-#[test_case((7, 9, State::Draining), (8, 1, State::Ready), true; "a_later_start_is_not_draining")]
-#[test_case((8, 1, State::Ready), (7, 9, State::Draining), true; "an_earlier_start_comes_late")]
-#[test_case((7, 9, State::Draining), (7, 8, State::Ready), false; "an_earlier_heartbeat_comes_late")]
-#[test_case((7, 9, State::Ready), (7, 10, State::Draining), false; "the_same_start_drains")]
-fn written_what_the_server_said_last_holds(
+// Guards against treating the entry written last as the latest one: heartbeats of an earlier start, or earlier ones of
+// the same start, may be written late.
+#[test_case((7, 9, State::Draining), (8, 1, State::Ready), true; "later_start_is_not_draining")]
+#[test_case((8, 1, State::Ready), (7, 9, State::Draining), true; "earlier_start_arrives_late")]
+#[test_case((7, 9, State::Draining), (7, 8, State::Ready), false; "earlier_heartbeat_arrives_late")]
+#[test_case((7, 9, State::Ready), (7, 10, State::Draining), false; "same_start_drains")]
+fn written_out_of_order_keeps_the_latest_entry(
     first: (u64, u64, State),
     then: (u64, u64, State),
     usable: bool,
@@ -60,51 +60,53 @@
     assert_eq!(is_usable(&registry), usable);
 }
 
-// Symptom: requests reach a server whose entry was taken out because it leaves.
-// Events:  the entry is removed; a heartbeat sent before that is written after it.
-// Cause:   nothing remembered what the server had said last.
+// Guards against a late heartbeat restoring an entry that was removed because the server leaves.
 #[test]
-fn written_heartbeat_from_before_the_removal_brings_nothing_back() {
+fn written_heartbeat_from_before_the_removal_is_ignored() {
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 1, State::Ready));
-    registry.handle(Seen::Deleted("a".into()), ms(100));
-    registry.handle(Seen::Written(entry(7, 4, 3, State::Ready)), ms(200));
+    registry.handle(RegistryEvent::Deleted("a".into()), ms(100));
+    registry.handle(
+        RegistryEvent::Written(entry(7, 4, 3, State::Ready)),
+        ms(200),
+    );
     assert!(!is_usable(&registry));
-    registry.handle(Seen::Written(entry(7, 6, 4, State::Ready)), ms(300));
-    assert!(is_usable(&registry), "it lives");
+    registry.handle(
+        RegistryEvent::Written(entry(7, 6, 4, State::Ready)),
+        ms(300),
+    );
+    assert!(is_usable(&registry), "a later heartbeat counts");
 }
 
 #[test]
-fn written_nothing_is_remembered_for_good() {
+fn written_long_after_the_removal_is_accepted() {
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 1, State::Ready));
-    registry.handle(Seen::Deleted("a".into()), ms(100));
+    registry.handle(RegistryEvent::Deleted("a".into()), ms(100));
     let later = ms(100_000);
-    registry.handle(Seen::Written(entry(7, 4, 3, State::Ready)), later);
+    registry.handle(RegistryEvent::Written(entry(7, 4, 3, State::Ready)), later);
     assert!(is_usable(&registry));
 }
 
-// Symptom: requests go to a server whose entry somebody else has written over.
-// Events:  a good entry; then one under its key that can't be read; then the server's next heartbeat.
-// Cause:   what can't be read was passed over, and the entry before it stayed.
+// Guards against keeping the earlier entry when it is overwritten by an unreadable one.
 #[test]
-fn unreadable_in_the_place_of_a_good_one_names_no_server() {
+fn unreadable_replaces_the_entry() {
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 4, State::Ready));
-    let overtaken = Seen::Unreadable("a".into(), 3);
-    assert!(!registry.handle(overtaken, ms(1)), "it was written before");
-    assert!(registry.handle(Seen::Unreadable("a".into(), 5), ms(1)));
+    let outdated = RegistryEvent::Unreadable("a".into(), 3);
+    assert!(!registry.handle(outdated, ms(1)), "its revision is older");
+    assert!(registry.handle(RegistryEvent::Unreadable("a".into(), 5), ms(1)));
     assert!(!is_usable(&registry));
-    registry.handle(Seen::Written(entry(7, 6, 6, State::Ready)), ms(2));
+    registry.handle(RegistryEvent::Written(entry(7, 6, 6, State::Ready)), ms(2));
     assert!(is_usable(&registry));
 }
 
 #[test]
-fn written_the_same_again_changes_nothing_for_requests() {
+fn written_with_only_a_new_sequence_changes_nothing() {
     let mut registry = Registry::default();
     write(&mut registry, entry(7, 5, 1, State::Ready));
-    let again = Seen::Written(entry(7, 6, 2, State::Ready));
-    assert!(!registry.handle(again, ms(1)));
+    let renewed = RegistryEvent::Written(entry(7, 6, 2, State::Ready));
+    assert!(!registry.handle(renewed, ms(1)));
 }
 
 fn expected(instance: &str, started_at: u64) -> Expected {
@@ -115,13 +117,13 @@
     }
 }
 
-#[test_case(("a", 7), ("a", 7), false; "the_same_start")]
-#[test_case(("a", 7), ("a", 8), true; "the_same_name_again")]
-#[test_case(("a", 7), ("b", 7), true; "another_name")]
-fn replaced_tells_other_starts(before: (&str, u64), now: (&str, u64), is_other: bool) {
+#[test_case(("a", 7), ("a", 7), false; "same_start")]
+#[test_case(("a", 7), ("a", 8), true; "restarted")]
+#[test_case(("a", 7), ("b", 7), true; "other_instance")]
+fn replaced_detects_other_starts(before: (&str, u64), now: (&str, u64), is_replaced: bool) {
     let at = |start: (&str, u64)| BTreeMap::from([(server(0, 0), expected(start.0, start.1))]);
     let replaced = shards::replaced(&at(before), &at(now));
-    assert_eq!(!replaced.is_empty(), is_other);
+    assert_eq!(!replaced.is_empty(), is_replaced);
     assert!(shards::replaced(&BTreeMap::new(), &at(now)).is_empty());
 }
 
@@ -131,12 +133,9 @@
     route
 }
 
-// Symptom: a server that has started again is passed over for seconds, or asked over connections that
-//          its earlier start had.
-// Events:  attempts at it fail one after the other; it crashes and starts again under its name.
-// Cause:   failures, latencies and idle connections of the earlier start were taken for the later one's.
+// Guards against applying failures, latencies and idle connections of a server's earlier start to its new start.
 #[test]
-fn replaced_server_is_as_good_as_new() {
+fn replaced_server_starts_with_a_clean_record() {
     let mut session = Session::everyone(without_hedges(), HOSTS);
     let (bad, good) = (server(0, 0), server(0, 1));
     for id in 1..=40 {
@@ -162,30 +161,31 @@
     session.answer_from(from);
     let (opens, closes) = (session.opens.len(), session.closes.len());
     session.on(Event::Replaced([bad].into()));
-    assert!(session.closes.len() > closes, "its connections are closed");
+    assert!(
+        session.closes.len() > closes,
+        "connections to the server are closed"
+    );
     assert!(session.opens[opens..].iter().any(|(_, at)| *at == bad));
-    let mut asked = 0;
+    let mut sent = 0;
     for id in 101..=140 {
         let from = session.sends.len();
         session.ask(id);
-        asked += usize::from(session.sends[from].backend_server == bad);
+        sent += usize::from(session.sends[from].backend_server == bad);
         session.answer_from(from);
     }
-    assert!(asked > 5, "{asked} of 40 requests went to it");
+    assert!(sent > 5, "{sent} of 40 requests went to the server");
 }
 
-// Symptom: a server that has just started is passed over for what its earlier start did.
-// Events:  an attempt is at a server; that is replaced; the attempt fails.
-// Cause:   the failure was counted as the later start's, and its connection used again.
+// Guards against counting a late result of an attempt for the server's new start, or reusing its connection.
 #[test]
-fn replaced_server_is_not_blamed_for_an_earlier_attempt() {
+fn replaced_server_does_not_count_an_earlier_attempt() {
     let mut session = Session::everyone(without_hedges(), HOSTS);
     session.ask(1);
     let send = session.sends[0].clone();
     let before = session.closes.len();
     session.on(Event::Replaced([send.backend_server].into()));
     session.answer(&send);
-    assert!(session.is_finished(1), "its answer still counts");
+    assert!(session.is_finished(1), "the answer is still used");
     let closed = &session.closes[before..];
     assert!(closed.contains(&send.connection), "{}", session.transcript);
     assert_eq!(session.home.fleet().outstanding(), 0);
--- a/crates/decision/tests/store_restored.rs
+++ b/crates/decision/tests/store_restored.rs
@@ -1,4 +1,4 @@
-//! Registered backend servers after the store came back from an older copy.
+//! Tests the registry of backend servers after the store was restored from an older backup.
 
 mod registered;
 
@@ -12,7 +12,7 @@
     Time::from_millis(time)
 }
 
-/// An entry of the only start of a server.
+/// Returns an entry of a server that never restarted.
 fn entry(instance: &str, number: u8, sequence: u64, revision: u64) -> Entry {
     Entry {
         instance: instance.into(),
@@ -30,33 +30,31 @@
     }
 }
 
-fn go_back_to(registry: &mut Registry, copy: &[Entry], now: Time) {
+fn restore(registry: &mut Registry, backup: &[Entry], now: Time) {
     registry.handle(Event::StoreRestored, now);
-    registry.handle(Event::Listed(copy.to_vec()), now);
+    registry.handle(Event::Listed(backup.to_vec()), now);
 }
 
-// Symptom: a shard whose servers are well has none for seconds.
-// Events:  servers register; the store comes back from a copy that is older than that.
-// Cause:   what the copy lacks was taken as gone.
+// Guards against a shard losing healthy servers because the backup is older than their registration.
 #[test]
-fn server_that_the_copy_lacks_stays_until_it_had_time_to_register() {
+fn restored_without_a_server_keeps_it_until_it_could_register() {
     let mut registry = listed(&[entry("a", 1, 4, 90), entry("b", 2, 4, 91)]);
-    go_back_to(&mut registry, &[], ms(1_000));
+    restore(&mut registry, &[], ms(1_000));
     assert_eq!(usable(&registry), ["a", "b"]);
     registry.handle(Event::Written(entry("a", 1, 6, 70)), ms(2_000));
-    let wake = registry.next_wake().expect("the other is doubted");
+    let wake = registry
+        .next_wake()
+        .expect("the missing server has a deadline");
     assert!(wake >= ms(3_000) && wake <= ms(3_500), "{wake:?}");
     assert!(registry.handle(Event::Tick, wake));
     assert_eq!(usable(&registry), ["a"]);
 }
 
-// Symptom: what a server says is not heard for as long as the store has had changes before.
-// Events:  the store goes back by a thousand revisions; a server leaves.
-// Cause:   revisions of before and after were compared.
+// Guards against ignoring changes after a restore, when revisions start lower than before.
 #[test]
-fn server_that_leaves_after_it_is_heard_under_a_lower_revision() {
+fn restored_store_applies_changes_with_lower_revisions() {
     let mut registry = listed(&[entry("a", 1, 4, 1_000)]);
-    go_back_to(&mut registry, &[entry("a", 1, 4, 20)], ms(1_000));
+    restore(&mut registry, &[entry("a", 1, 4, 20)], ms(1_000));
     let leaving = Entry {
         state: State::Draining,
         ..entry("a", 1, 4, 30)
@@ -67,69 +65,69 @@
     assert!(registry.handle(unreadable, ms(1_600)));
 }
 
-// Symptom: a server that said seconds ago that it is leaving gets new work.
-// Events:  the copy holds what the server had said before that.
-// Cause:   what was read last was taken for what the server said last.
+// Guards against giving new requests to a leaving server because the backup holds its earlier entry.
 #[test]
-fn server_that_is_leaving_is_not_ready_again_by_the_copy() {
+fn restored_older_entry_does_not_make_a_leaving_server_ready() {
     let leaving = Entry {
         state: State::Draining,
         ..entry("a", 1, 9, 90)
     };
     let mut registry = listed(&[leaving]);
-    go_back_to(&mut registry, &[entry("a", 1, 8, 50)], ms(1_000));
+    restore(&mut registry, &[entry("a", 1, 8, 50)], ms(1_000));
     assert!(usable(&registry).is_empty());
 }
 
-// Symptom: requests go to a server that has ended, and whose address may be another's.
-// Events:  a server that never says that it is leaving is taken away; the store comes back from a copy that still
-//          has its entry, word for word.
-// Cause:   the copy was taken for the server, which would have come back.
+// Guards against sending requests to a stopped server, whose address may be reused, because the backup still has its
+// entry.
 #[test]
-fn server_that_was_gone_is_not_brought_back_by_the_copy() {
+fn restored_entry_of_a_removed_server_is_not_usable() {
     let mut registry = listed(&[entry("a", 1, 4, 90), entry("b", 2, 4, 91)]);
     registry.handle(Event::Deleted("a".into()), ms(500));
-    let copy = [entry("a", 1, 4, 40), entry("b", 2, 4, 41)];
-    go_back_to(&mut registry, &copy, ms(1_000));
+    let backup = [entry("a", 1, 4, 40), entry("b", 2, 4, 41)];
+    restore(&mut registry, &backup, ms(1_000));
     assert_eq!(usable(&registry), ["b"]);
-    // It lapses, as nobody renews it.
+    // The entry expires, as the server no longer renews it.
     registry.handle(Event::Deleted("a".into()), ms(4_600));
     registry.handle(Event::Tick, ms(60_000));
     assert_eq!(usable(&registry), ["b"]);
 }
 
-// Symptom: a living server gets no work although its entry is there.
-// Events:  its entry lapsed for a moment; the store comes back from a copy that has it; the server only renews it,
-//          which tells nobody anything.
-// Cause:   what the copy says of a server that was gone was passed over for good.
+// Guards against ignoring a running server for good: its entry had expired, is back in the backup, and the server only
+// renews it, which causes no event.
 #[test]
-fn server_that_was_gone_and_lives_is_believed_once_its_entry_would_have_lapsed() {
+fn restored_entry_of_a_removed_server_is_usable_if_it_does_not_expire() {
     let mut registry = listed(&[entry("a", 1, 4, 90)]);
     registry.handle(Event::Deleted("a".into()), ms(500));
-    go_back_to(&mut registry, &[entry("a", 1, 4, 40)], ms(1_000));
+    restore(&mut registry, &[entry("a", 1, 4, 40)], ms(1_000));
     assert!(usable(&registry).is_empty());
-    let wake = registry.next_wake().expect("it is looked at again");
+    let wake = registry
+        .next_wake()
+        .expect("the restored entry has a deadline");
     assert!(wake >= ms(1_000 + 3 * 1_200), "three heartbeats: {wake:?}");
     assert!(registry.handle(Event::Tick, wake));
     assert_eq!(usable(&registry), ["a"]);
 }
 
 #[test]
-fn server_that_was_gone_and_speaks_again_is_back_at_once() {
+fn restored_entry_written_again_is_usable_immediately() {
     let mut registry = listed(&[entry("a", 1, 4, 90)]);
     registry.handle(Event::Deleted("a".into()), ms(500));
-    go_back_to(&mut registry, &[entry("a", 1, 4, 40)], ms(1_000));
+    restore(&mut registry, &[entry("a", 1, 4, 40)], ms(1_000));
     registry.handle(Event::Written(entry("a", 1, 5, 44)), ms(2_000));
     assert_eq!(usable(&registry), ["a"]);
 }
 
 #[test]
-fn going_back_twice_in_a_row_keeps_what_is_known() {
+fn restored_twice_keeps_known_servers() {
     let mut registry = listed(&[entry("a", 1, 4, 90)]);
-    go_back_to(&mut registry, &[], ms(1_000));
-    go_back_to(&mut registry, &[], ms(2_500));
+    restore(&mut registry, &[], ms(1_000));
+    restore(&mut registry, &[], ms(2_500));
     registry.handle(Event::Tick, ms(3_300));
-    assert_eq!(usable(&registry), ["a"], "it has as long again");
+    assert_eq!(
+        usable(&registry),
+        ["a"],
+        "the second restore extends the deadline"
+    );
     registry.handle(Event::Written(entry("a", 1, 6, 20)), ms(4_000));
     registry.handle(Event::Tick, ms(60_000));
     assert_eq!(usable(&registry), ["a"]);
