--- a/crates/decision/examples/membership.rs
+++ b/crates/decision/examples/membership.rs
@@ -34,7 +34,7 @@
 
 fn measure(count: usize, loss: f64) {
     let mut network = Network::joined(count);
-    network.lose(loss);
+    network.set_loss(loss);
     network.run(QUIET);
     reset(&mut network);
     network.run(QUIET);
--- a/crates/decision/tests/member.rs
+++ b/crates/decision/tests/member.rs
@@ -1,19 +1,17 @@
-//! Failures of members, and what is believed of them.
+//! Tests the member table against failures, restarts and pauses of members.
 
 mod network;
 
 use monsoonring_decision::Time;
 use monsoonring_decision::member::{Action, Event, Seed, Settings, State};
-use network::{Network, SECOND, STEP, all_see, bury, change, feed, id, state, table};
+use network::{Network, SECOND, TICK, all_see, change, declare_dead, feed, id, state, table};
 use test_case::test_case;
 
 #[test_case(2)]
 #[test_case(8)]
 #[test_case(64)]
-fn tick_stopped_process_is_dead_everywhere(count: usize) {
-    // Symptom: queries are passed on to a home that is gone.
-    // Events: a process dies without a word.
-    // Cause: only missing answers tell of it, and only to those who happen to probe it.
+fn tick_stopped_process_is_declared_dead_everywhere(count: usize) {
+    // Guards against forwarding queries to a home that is gone.
     let mut network = Network::joined(count);
     network.running[0] = false;
     network.run(SECOND * 20);
@@ -22,10 +20,8 @@
 }
 
 #[test]
-fn heard_false_suspicion_is_refuted() {
-    // Symptom: a healthy daemon loses its routes.
-    // Events: one member suspects another; the suspicion spreads; the suspect hears of it.
-    // Cause: probes were lost, the process is well.
+fn handle_false_suspicion_is_refuted() {
+    // Guards against a healthy daemon losing its routes because probes were lost.
     let mut network = Network::joined(8);
     let suspicion = change(0, 1, 0, State::Suspect);
     feed(&mut network.tables[1], &[suspicion], network.now);
@@ -37,9 +33,7 @@
 
 #[test]
 fn declare_replacement_outranks_old_refutations() {
-    // Symptom: a replaced host is never used.
-    // Events: a process refutes 9 times and dies; a new one starts on its address.
-    // Cause: counted together, the old refutations would outrank the new process.
+    // Guards against ignoring a replacement because the old process had a higher refutation count.
     let mut table = table(1, 1, Time::ZERO);
     feed(&mut table, &[change(0, 5, 9, State::Dead)], Time::ZERO);
     feed(&mut table, &[change(0, 6, 0, State::Alive)], Time::ZERO);
@@ -50,9 +44,7 @@
 
 #[test]
 fn declare_newer_start_supersedes_own_process() {
-    // Symptom: two processes answer for one address.
-    // Events: a host is replaced under the same address while the old process is paused.
-    // Cause: the old process wakes up and believes that it still holds the address.
+    // Guards against a replaced process that wakes up and still claims its address.
     let mut network = Network::joined(3);
     feed(
         &mut network.tables[0],
@@ -65,15 +57,13 @@
     assert_eq!(
         refutation,
         Some(1),
-        "the old process must not take the new start number"
+        "the old process must not adopt the new start number"
     );
 }
 
 #[test]
 fn tick_paused_process_is_not_current_until_refreshed() {
-    // Symptom: a daemon takes queries on facts that are minutes old.
-    // Events: a process is paused; meanwhile a member dies; the process wakes up.
-    // Cause: nothing in the process's state tells it that time has passed.
+    // Guards against a process that serves from outdated membership after a long pause.
     let mut network = Network::joined(8);
     network.running[0] = false;
     network.run(SECOND * 20);
@@ -92,15 +82,13 @@
     assert_eq!(state(&network, 0, 1), Some(State::Dead));
     assert!(
         all_see(&network, 0, State::Alive),
-        "its own death must be refuted"
+        "the woken process must refute its death"
     );
 }
 
 #[test]
-fn tick_paused_process_buries_nobody() {
-    // Symptom: after a pause a daemon declares healthy members dead.
-    // Events: a member is suspected; the process is paused for longer than the suspicion.
-    // Cause: the refutation waits unread while the suspicion's time is counted as over.
+fn tick_paused_process_declares_nobody_dead() {
+    // Guards against a process that declares healthy members dead after a pause: their refutations are still unread.
     let mut table = Network::joined(3).tables.swap_remove(0);
     let mut now = SECOND * 50;
     table.handle(Event::Tick, now);
@@ -113,9 +101,7 @@
 #[test_case(State::Alive, 0)]
 #[test_case(State::Suspect, 0)]
 fn declare_late_gossip_does_not_revive_dead(late: State, refutation: u32) {
-    // Symptom: a dead member is served to again, dies again, and so on.
-    // Events: a member dies; a daemon that was cut off passes on what it knew before.
-    // Cause: a dead member that is simply forgotten looks like a new one.
+    // Guards against reviving a dead member by outdated gossip.
     let mut network = Network::joined(3);
     network.running[0] = false;
     network.run(SECOND * 3600);
@@ -129,10 +115,10 @@
 }
 
 #[test]
-fn tick_tombstone_is_forgotten_after_its_life() {
+fn tick_removes_expired_tombstone() {
     let mut table = Network::joined(3).tables.swap_remove(0);
     let mut now = SECOND * 50;
-    bury(&mut table, 1, now);
+    declare_dead(&mut table, 1, now);
     let end = now + Settings::default().tombstone_life;
     while now <= end + SECOND {
         now += SECOND * 2;
@@ -142,25 +128,21 @@
 }
 
 #[test]
-fn probed_sender_learns_what_it_has_wrong() {
-    // Symptom: a daemon goes on using a dead member although its peers know better.
-    // Events: the news of the death was passed on and is passed on no more; a daemon that missed
-    // it probes one that knows.
-    // Cause: changes are sent a bounded number of times.
+fn probed_reply_corrects_the_sender() {
+    // Guards against a daemon that missed a change keeping a dead member, as changes are sent a limited number of times.
     let mut network = Network::joined(4);
-    let dead = bury(&mut network.tables[0], 3, network.now);
+    let dead = declare_dead(&mut network.tables[0], 3, network.now);
     let mut message = network.tables[1].message(id(0));
     message.changes = vec![change(3, 1, 0, State::Alive)];
     let actions = network.tables[0].handle(Event::Probed(message), network.now);
-    let corrected = |a: &Action| matches!(a, Action::Reply(m) if m.changes.first() == Some(&dead));
-    assert!(actions.iter().any(corrected));
+    let has_correction =
+        |a: &Action| matches!(a, Action::Reply(m) if m.changes.first() == Some(&dead));
+    assert!(actions.iter().any(has_correction));
 }
 
 #[test]
-fn declare_told_death_is_a_suspicion_first() {
-    // Symptom: a member that answers every probe is dead everywhere for seconds.
-    // Events: one member misses a refutation, buries the suspect and tells the others.
-    // Cause: they believe the death at once, so that the refutation comes too late.
+fn declare_reported_death_is_suspicion_first() {
+    // Guards against accepting a reported death that the member can still refute.
     let mut network = Network::joined(8);
     feed(
         &mut network.tables[1],
@@ -176,10 +158,8 @@
 #[test_case(State::Alive; "alive")]
 #[test_case(State::Suspect; "suspect")]
 #[test_case(State::Dead; "dead")]
-fn declare_left_member_stays_left(later: State) {
-    // Symptom: a member that stopped gracefully is treated as crashed, its successor is not asked.
-    // Events: it leaves and stops answering; others suspect it, under whatever refutation.
-    // Cause: a death looks newer than the leave.
+fn declare_after_leave_is_ignored(later: State) {
+    // Guards against treating a member that left as crashed, which would skip its successor.
     let mut table = table(1, 1, Time::ZERO);
     let successor = Some(id(5));
     let left = change(0, 1, 0, State::Left { successor });
@@ -192,7 +172,7 @@
 }
 
 #[test]
-fn listed_leaving_host_is_told_and_not_placed_on() {
+fn listed_leaving_host_is_notified_and_excluded_from_placement() {
     let mut network = Network::joined(3);
     let seeds = [0, 1, 2].map(|n| Seed {
         id: id(n),
@@ -205,25 +185,25 @@
     assert_eq!(
         state(&network, 1, 0),
         Some(State::Alive),
-        "it still finishes its work"
+        "the member still runs"
     );
 }
 
 #[test]
-fn tick_start_without_peers_goes_on_alone() {
+fn tick_without_peers_becomes_current_after_the_timeout() {
     let mut table = table(0, 1, Time::ZERO);
     let mut now = Time::ZERO;
     table.handle(Event::Tick, now);
     assert!(!table.is_current());
     while now < Settings::default().refresh_timeout {
-        now += STEP;
+        now += TICK;
         table.handle(Event::Tick, now);
     }
     assert!(table.is_current());
 }
 
 #[test]
-fn listed_newcomer_finds_all_from_one_seed() {
+fn listed_newcomer_finds_all_members_from_one_seed() {
     let mut network = Network::joined(8);
     network.tables[0] = table(0, 2, network.now);
     network.feed(
--- a/crates/decision/tests/member_laws.rs
+++ b/crates/decision/tests/member_laws.rs
@@ -1,10 +1,10 @@
-//! What holds of members whatever is said, lost or repeated, and how large messages are.
+//! Property tests of the member table: order, repetition and loss of messages, and the size of messages.
 
 mod network;
 
 use monsoonring_decision::Time;
 use monsoonring_decision::member::{BucketRange, Change, Event, Settings, State, Table};
-use network::{Network, SECOND, change, feed, id, listed, table};
+use network::{Network, SECOND, change, feed, id, list_seeds, table};
 use proptest::prelude::*;
 
 #[test]
@@ -18,9 +18,9 @@
     feed(&mut table, &many, Time::ZERO);
     for _ in 0..20 {
         let message = table.message(id(3));
-        let carried: usize = message.changes.iter().map(Change::size).sum();
-        assert!(carried <= Settings::default().message_bytes);
-        // The attachment is empty: one tag and one length.
+        let bytes: usize = message.changes.iter().map(Change::size).sum();
+        assert!(bytes <= Settings::default().message_bytes);
+        // The empty attachment takes a tag of 1 byte and a length of 8 bytes.
         let encoded = bincode::serialize(&message).expect("a message encodes");
         assert!(
             encoded.len() <= message.size() + 1 + 8,
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn declare_any_order_ends_the_same(
+    fn declare_in_any_order_converges(
         changes in prop::collection::vec(any_change(), 1..20),
         again in prop::collection::vec(0..20usize, 0..20),
         keys in prop::collection::vec(any::<u32>(), 40),
@@ -68,16 +68,16 @@
         let mut order: Vec<usize> = (0..shuffled.len()).collect();
         order.sort_by_key(|n| keys[*n]);
         let shuffled: Vec<Change> = order.iter().map(|n| shuffled[*n].clone()).collect();
-        let (mut one, mut other) = (table(0, 1, Time::ZERO), table(0, 1, Time::ZERO));
-        feed(&mut one, &changes, Time::ZERO);
-        feed(&mut other, &shuffled, Time::ZERO);
+        let (mut left, mut right) = (table(0, 1, Time::ZERO), table(0, 1, Time::ZERO));
+        feed(&mut left, &changes, Time::ZERO);
+        feed(&mut right, &shuffled, Time::ZERO);
         for of in 1..4 {
-            prop_assert_eq!(one.get(id(of)), other.get(id(of)));
+            prop_assert_eq!(left.get(id(of)), right.get(id(of)));
         }
-        prop_assert_eq!(one.serving(), other.serving());
+        prop_assert_eq!(left.serving(), right.serving());
         for bucket in 0..64 {
-            let span = BucketRange { first: bucket, last: bucket };
-            prop_assert_eq!(one.page(span), other.page(span));
+            let range = BucketRange { first: bucket, last: bucket };
+            prop_assert_eq!(left.page(range), right.page(range));
         }
     }
 }
@@ -89,10 +89,10 @@
     #[test]
     fn tick_lossy_network_converges(loss in 0.0..0.5f64, count in 2..12usize) {
         let mut network = Network::joined(count);
-        listed(&mut network);
-        network.lose(loss);
+        list_seeds(&mut network);
+        network.set_loss(loss);
         network.run(SECOND * 60);
-        network.cut = Box::new(|_, _| false);
+        network.is_dropped = Box::new(|_, _| false);
         network.run(SECOND * 120);
         let serving: Vec<usize> = network.tables.iter().map(Table::serving).collect();
         prop_assert_eq!(serving, vec![count; count]);
--- a/crates/decision/tests/members.rs
+++ b/crates/decision/tests/members.rs
@@ -69,7 +69,7 @@
     hosts: Vec<Option<Members>>,
     now: Time,
     in_transit: VecDeque<(usize, usize, Datagram)>,
-    cut: Box<dyn FnMut(usize, usize) -> bool>,
+    is_dropped: Box<dyn FnMut(usize, usize) -> bool>,
     learned: Vec<(usize, fact::Entry)>,
     /// The readers of the store as each host sees them.
     readers: Vec<Readers>,
@@ -86,7 +86,7 @@
                 .collect(),
             now: Time::ZERO,
             in_transit: VecDeque::new(),
-            cut: Box::new(|_, _| false),
+            is_dropped: Box::new(|_, _| false),
             learned: Vec::new(),
             readers: vec![Readers::default(); count],
             remote: vec![BTreeMap::new(); count],
@@ -128,7 +128,7 @@
         let bytes = bincode::serialized_size(&datagram).expect("a datagram encodes");
         self.bytes[from] += usize::try_from(bytes).expect("a datagram is small");
         let to = (0..self.hosts.len()).find(|number| id(*number) == to);
-        if let Some(to) = to.filter(|to| !(self.cut)(from, *to)) {
+        if let Some(to) = to.filter(|to| !(self.is_dropped)(from, *to)) {
             self.in_transit.push_back((from, to, datagram));
         }
     }
@@ -195,7 +195,7 @@
 fn partition_keeps_the_shares() {
     let mut hosts = Hosts::start(20);
     hosts.run(SECOND * 8);
-    hosts.cut = Box::new(|from, to| (from < 10) != (to < 10));
+    hosts.is_dropped = Box::new(|from, to| (from < 10) != (to < 10));
     hosts.run(SECOND * 30);
     let alone = hosts.hosts[0].as_ref().map(Members::serving);
     assert_eq!(alone, Some(10), "each side considers the other dead");
@@ -221,7 +221,7 @@
 fn start_with_lost_datagrams_finds_all_hosts() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut hosts = Hosts::start(30);
-    hosts.cut = Box::new(move |_, _| rng.random_bool(0.2));
+    hosts.is_dropped = Box::new(move |_, _| rng.random_bool(0.2));
     hosts.run(SECOND * 20);
     assert_eq!(hosts.known_counts(), vec![30; 30]);
 }
@@ -301,7 +301,7 @@
 fn start_of_two_sizes_assigns_roles(count: usize) {
     let mut hosts = Hosts::start(count);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    hosts.cut = Box::new(move |_, _| rng.random_bool(0.05));
+    hosts.is_dropped = Box::new(move |_, _| rng.random_bool(0.05));
     hosts.run(SECOND * 20);
     let homes = hosts.hosts.iter().flatten().map(Members::hosts);
     let homes: Vec<Homes> = homes.collect();
@@ -435,7 +435,7 @@
 fn remote_strong_hosts_are_found(count: usize) {
     let mut hosts = Hosts::start(count);
     let mut rng = ChaCha8Rng::seed_from_u64(11);
-    hosts.cut = Box::new(move |_, _| rng.random_bool(0.05));
+    hosts.is_dropped = Box::new(move |_, _| rng.random_bool(0.05));
     hosts.run(SECOND * 20);
     let searchers = find_remote(&mut hosts);
     hosts.run(SECOND * 2);
--- a/crates/decision/tests/network/mod.rs
+++ b/crates/decision/tests/network/mod.rs
@@ -1,6 +1,8 @@
-//! Runs member tables in one thread: each tick, every action of every table is carried out at once,
-//! apart from the messages that a test drops. It knows no latency and no load.
-#![allow(dead_code, reason = "no test file uses all of it")]
+//! Simulates a network of member tables in one thread.
+//!
+//! Each tick executes every action of every table immediately, except for messages that a test drops. Latency and load
+//! are not simulated.
+#![allow(dead_code, reason = "each test file uses a part")]
 
 use monsoonring_decision::member::{
     Action, Change, Event, Incarnation, MemberId, Message, Page, Seed, Settings, State, Table,
@@ -11,25 +13,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between two ticks.
-pub(crate) const STEP: Duration = Duration::from_millis(250);
+/// Interval of ticks.
+pub(crate) const TICK: Duration = Duration::from_millis(250);
 
-/// Time after which everybody has copied a table and announced itself.
-const JOINING: Duration = Duration::from_secs(40);
+/// Time in which every member pulls a table and announces itself.
+const JOIN_TIME: Duration = Duration::from_secs(40);
 
-/// Decides whether a message from one member to another is lost.
-pub(crate) type Cut = Box<dyn FnMut(usize, usize) -> bool>;
+/// Returns whether a message is lost, given its sender and receiver.
+pub(crate) type DropRule = Box<dyn FnMut(usize, usize) -> bool>;
 
-/// Tables, by number, and what they have said so far.
+/// The tables of all members, by number, and the actions that they returned.
 pub(crate) struct Network {
     pub(crate) tables: Vec<Table>,
-    /// Whether the process runs; one that does not neither ticks nor answers.
+    /// Whether each process runs. A stopped process neither ticks nor replies.
     pub(crate) running: Vec<bool>,
     pub(crate) now: Time,
-    pub(crate) cut: Cut,
+    pub(crate) is_dropped: DropRule,
     /// Bytes sent and received by each member.
     pub(crate) bytes: Vec<usize>,
-    /// Actions other than messages, with the number of the table that returned them.
+    /// Actions other than messages, with the number of the member that returned them.
     pub(crate) log: Vec<(usize, Action)>,
 }
 
@@ -51,40 +53,40 @@
 }
 
 impl Network {
-    /// Makes tables that all know each other and are current.
+    /// Returns a network whose members all know each other and are current.
     pub(crate) fn joined(count: usize) -> Self {
         let tables: Vec<Table> = (0..count).map(|n| table(n, 1, Time::ZERO)).collect();
-        let span = monsoonring_decision::member::BucketRange { first: 0, last: 63 };
-        let all = tables.iter().flat_map(|table| table.page(span).changes);
+        let range = monsoonring_decision::member::BucketRange { first: 0, last: 63 };
+        let all = tables.iter().flat_map(|table| table.page(range).changes);
         let changes: Vec<_> = all.collect();
         let mut network = Self {
             running: vec![true; count],
             bytes: vec![0; count],
             tables,
             now: Time::ZERO,
-            cut: Box::new(|_, _| false),
+            is_dropped: Box::new(|_, _| false),
             log: Vec::new(),
         };
         for table in &mut network.tables {
             let (changes, rest) = (changes.clone(), None);
             table.handle(Event::Pulled(id(count), Page { changes, rest }), Time::ZERO);
         }
-        network.run(JOINING);
+        network.run(JOIN_TIME);
         network.log.clear();
         network
     }
 
-    /// Adds a running table, whose number is that of its address.
+    /// Adds a running member. The number in its address must be the next one.
     pub(crate) fn add(&mut self, table: Table) {
         self.tables.push(table);
         self.running.push(true);
         self.bytes.push(0);
     }
 
-    /// Loses each message with this chance.
-    pub(crate) fn lose(&mut self, chance: f64) {
+    /// Drops each message with this probability.
+    pub(crate) fn set_loss(&mut self, probability: f64) {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        self.cut = Box::new(move |_, _| rng.random_bool(chance));
+        self.is_dropped = Box::new(move |_, _| rng.random_bool(probability));
     }
 
     pub(crate) fn run(&mut self, time: Duration) {
@@ -95,7 +97,7 @@
     }
 
     pub(crate) fn step(&mut self) {
-        self.now += STEP;
+        self.now += TICK;
         for number in 0..self.tables.len() {
             if self.running[number] {
                 self.feed(number, Event::Tick);
@@ -103,17 +105,17 @@
         }
     }
 
-    /// Feeds an event and carries out everything that follows from it.
+    /// Feeds an event to a member and executes all resulting actions.
     pub(crate) fn feed(&mut self, number: usize, event: Event) {
         let mut events = VecDeque::from([(number, event)]);
         while let Some((number, event)) = events.pop_front() {
             for action in self.tables[number].handle(event, self.now) {
-                self.carry_out(number, action, &mut events);
+                self.execute(number, action, &mut events);
             }
         }
     }
 
-    fn carry_out(&mut self, own: usize, action: Action, events: &mut VecDeque<(usize, Event)>) {
+    fn execute(&mut self, own: usize, action: Action, events: &mut VecDeque<(usize, Event)>) {
         match action {
             Action::Probe {
                 probe, to, message, ..
@@ -138,13 +140,13 @@
                     reply.map_or(Event::Failed(probe), |m| Event::Acked(probe, m)),
                 ));
             }
-            Action::Pull(from, span) => {
-                let reached = self.number(from).filter(|peer| self.reaches(own, *peer));
+            Action::Pull(from, range) => {
+                let reachable = self.number(from).filter(|peer| self.reaches(own, *peer));
                 events.push_back((
                     own,
-                    match reached {
+                    match reachable {
                         Some(peer) => {
-                            let page = self.tables[peer].page(span);
+                            let page = self.tables[peer].page(range);
                             self.bytes[own] += page.size();
                             self.bytes[peer] += page.size();
                             Event::Pulled(from, page)
@@ -189,19 +191,19 @@
         let mut reply = None;
         for action in self.tables[peer].handle(Event::Probed(message), self.now) {
             match action {
-                Action::Reply(answer) => reply = Some(answer),
-                other => self.carry_out(peer, other, events),
+                Action::Reply(message) => reply = Some(message),
+                other => self.execute(peer, other, events),
             }
         }
         let size = reply.as_ref().map_or(0, Message::size);
         self.bytes[peer] += size;
-        let back = self.reaches(peer, own);
-        self.bytes[own] += if back { size } else { 0 };
-        reply.filter(|_| back)
+        let is_received = self.reaches(peer, own);
+        self.bytes[own] += if is_received { size } else { 0 };
+        reply.filter(|_| is_received)
     }
 
     fn reaches(&mut self, from: usize, to: usize) -> bool {
-        self.running[to] && !(self.cut)(from, to)
+        self.running[to] && !(self.is_dropped)(from, to)
     }
 
     fn number(&self, id: MemberId) -> Option<usize> {
@@ -239,24 +241,25 @@
     table.handle(Event::Pulled(id(9_999), Page { changes, rest }), now)
 }
 
-/// Tells a table that a later process of the member, of which it had not heard, is dead: this is
-/// believed at once, since there is nobody to refute it.
-pub(crate) fn bury(table: &mut Table, of: usize, now: Time) -> Change {
+/// Feeds the death of an unknown, later incarnation of a member. The table accepts it immediately, as nothing could
+/// refute it.
+pub(crate) fn declare_dead(table: &mut Table, of: usize, now: Time) -> Change {
     let dead = change(of, 2, 0, State::Dead);
     feed(table, std::slice::from_ref(&dead), now);
     dead
 }
 
-pub(crate) fn logged(network: &Network, own: usize, what: &str) -> bool {
-    let of_own = network.log.iter().filter(|(number, _)| *number == own);
-    of_own.into_iter().any(|(_, action)| is_line(action, what))
+pub(crate) fn has_logged(network: &Network, own: usize, label: &str) -> bool {
+    let actions = network.log.iter().filter(|(number, _)| *number == own);
+    actions.into_iter().any(|(_, action)| is_log(action, label))
 }
 
-pub(crate) fn is_line(action: &Action, what: &str) -> bool {
-    matches!(action, Action::Log(line) if line.what == what)
+pub(crate) fn is_log(action: &Action, label: &str) -> bool {
+    matches!(action, Action::Log(line) if line.what == label)
 }
 
-pub(crate) fn listed(network: &mut Network) {
+/// Lists all members as seeds to each of them.
+pub(crate) fn list_seeds(network: &mut Network) {
     let seeds: Vec<Seed> = (0..network.tables.len())
         .map(|n| Seed {
             id: id(n),
--- a/crates/decision/tests/placement.rs
+++ b/crates/decision/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Homes of routes: their number, their spread, and the connection limit when views differ.
+//! Tests the number and choice of a route's homes, and the connection limit while membership views differ.
 
 use monsoonring_configuration::document::Capacity;
 use monsoonring_decision::member::MemberId;
@@ -53,26 +53,22 @@
 }
 
 #[test]
-fn share_holds_for_both_sides_of_a_partition() {
-    // Symptom: backend servers refuse connections on both sides of a partition.
-    // Events: the fleet is parted; each side makes its own homes for the same backend servers.
-    // Cause: each side divides the whole limit among the homes that it sees.
+fn share_in_a_partition_stays_within_the_limit() {
+    // Guards against exceeding a server's connection limit when both sides of a partition place homes.
     let capacity = capacity(3, 30);
-    let sum = |side: Vec<Member>| {
+    let connections = |side: Vec<Member>| {
         let count = homes(&capacity, 10, side.len());
         let chosen = select("dispatch-map", &side, count);
         (share(capacity.connections, count) + CONTROL_CONNECTIONS)
             * u32::try_from(chosen.len()).expect("few homes")
     };
-    let total = sum(members(0..4, 4)) + sum(members(4..8, 4));
+    let total = connections(members(0..4, 4)) + connections(members(4..8, 4));
     assert!(total <= capacity.connections, "{total} connections");
 }
 
 #[test]
-fn select_lost_data_centre_leaves_a_home() {
-    // Symptom: a route is unavailable although most daemons are well.
-    // Events: a data centre fails.
-    // Cause: all homes of the route were in that data centre.
+fn select_spreads_homes_over_data_centres() {
+    // Guards against losing all homes of a route with one data centre.
     for route in 0..200 {
         let chosen = select(&format!("route-{route}"), &members(0..84, 4), 5);
         let mut by_data_centre: BTreeMap<usize, usize> = BTreeMap::new();
@@ -85,54 +81,52 @@
 }
 
 #[test]
-fn select_uneven_data_centres_still_gives_enough() {
-    // One data centre has a single member, the other all the rest.
-    let mut few = members(0..1, 1);
-    few.extend((1..9).map(|n| Member {
+fn select_in_uneven_data_centres_fills_the_count() {
+    // One data centre has one member, the other has eight.
+    let mut uneven = members(0..1, 1);
+    uneven.extend((1..9).map(|n| Member {
         id: id(n),
         data_centre: "other".into(),
     }));
-    assert_eq!(select("route", &few, 6).len(), 6);
+    assert_eq!(select("route", &uneven, 6).len(), 6);
 }
 
 #[test]
-fn choose_own_home_first() {
-    let standing = |n, outstanding| HomeLoad {
+fn choose_prefers_the_own_home() {
+    let load = |n, outstanding| HomeLoad {
         id: id(n),
         near: true,
         suspect: false,
         outstanding,
     };
-    let all = [standing(1, 0), standing(2, 90)];
+    let all = [load(1, 0), load(2, 90)];
     assert_eq!(choose(id(2), 7, &all), Some(id(2)));
     assert_eq!(choose(id(3), 7, &[]), None);
 }
 
 #[test_case(0, 0, false => 1; "near_at_equal_load")]
-#[test_case(9, 0, false => 2; "far_when_near_is_busy")]
-#[test_case(0, 9, true => 2; "never_a_suspect_while_there_is_another")]
-fn choose_between(near_load: u32, far_load: u32, near_suspect: bool) -> usize {
+#[test_case(9, 0, false => 2; "remote_when_near_is_busy")]
+#[test_case(0, 9, true => 2; "suspect_only_as_last_resort")]
+fn choose_between(near_load: u32, remote_load: u32, near_suspect: bool) -> usize {
     let near = HomeLoad {
         id: id(1),
         near: true,
         suspect: near_suspect,
         outstanding: near_load,
     };
-    let far = HomeLoad {
+    let remote = HomeLoad {
         id: id(2),
         near: false,
         suspect: false,
-        outstanding: far_load,
+        outstanding: remote_load,
     };
-    let chosen = choose(id(3), 7, &[near, far]);
+    let chosen = choose(id(3), 7, &[near, remote]);
     if chosen == Some(id(1)) { 1 } else { 2 }
 }
 
 #[test]
-fn choose_idle_homes_are_shared() {
-    // Symptom: one home of an idle route gets every query.
-    // Events: many daemons pass a query on at the same time, none has any outstanding.
-    // Cause: all break the tie in the same order.
+fn choose_spreads_over_idle_homes() {
+    // Guards against one home of an idle route receiving every query.
     let homes: Vec<HomeLoad> = (0..5)
         .map(|n| HomeLoad {
             id: id(n),
@@ -153,8 +147,8 @@
     );
 }
 
-/// Connections that the homes of one view hold to one backend server, by home.
-fn held(
+/// Returns the connections to one backend server by home, as one view places them.
+fn connections_by_home(
     route: &str,
     view: &[Member],
     capacity: &Capacity,
@@ -169,24 +163,24 @@
 }
 
 proptest! {
-    /// Whatever two views differ by: each home holds what its own view gives it, at worst the more.
+    /// Under any two views, each home opens at most the larger of its two shares.
     #[test]
     fn share_any_two_views_stay_within_the_limit(
-        one in prop::collection::btree_set(0..60usize, 1..40),
-        other in prop::collection::btree_set(0..60usize, 1..40),
+        first in prop::collection::btree_set(0..60usize, 1..40),
+        second in prop::collection::btree_set(0..60usize, 1..40),
         slots in 1..6u32, connections in 4..130u32, groups in 1..200usize, data_centres in 1..8usize,
     ) {
         let capacity = capacity(slots, connections);
-        let mut all = held("route", &members(one, data_centres), &capacity, groups);
-        for (home, each) in held("route", &members(other, data_centres), &capacity, groups) {
-            let most = all.entry(home).or_insert(0);
-            *most = each.max(*most);
+        let mut all = connections_by_home("route", &members(first, data_centres), &capacity, groups);
+        for (home, each) in connections_by_home("route", &members(second, data_centres), &capacity, groups) {
+            let largest = all.entry(home).or_insert(0);
+            *largest = each.max(*largest);
         }
         let sum: u32 = all.values().sum();
         prop_assert!(sum <= connections, "{} connections of {}", sum, connections);
     }
 
-    /// Many views at once stay within the limit while they moved no more homes than there are.
+    /// Several views that each miss one member stay within the limit together.
     #[test]
     fn share_many_close_views_stay_within_the_limit(
         missing in prop::collection::vec(0..40usize, 1..5), connections in 20..130u32,
@@ -195,7 +189,7 @@
         let mut all: BTreeMap<MemberId, u32> = BTreeMap::new();
         for gone in missing {
             let view = members((0..40).filter(|n| *n != gone), 4);
-            all.extend(held("route", &view, &capacity, 10));
+            all.extend(connections_by_home("route", &view, &capacity, 10));
         }
         let sum: u32 = all.values().sum();
         prop_assert!(sum <= connections, "{} connections of {}", sum, connections);
@@ -212,7 +206,7 @@
         let old: BTreeSet<_> = select(&route, &members(before.clone(), 3), count).into_iter().collect();
         let new: BTreeSet<_> = select(&route, &members(after, 3), count).into_iter().collect();
         let kept = old.iter().filter(|home| **home != id(gone)).count();
-        // The cap of a data centre can hand one more place to another data centre.
+        // The limit per data centre can move one more home to another data centre.
         prop_assert!(old.intersection(&new).count() + 1 >= kept);
         if !old.contains(&id(gone)) {
             prop_assert_eq!(old, new);
@@ -220,33 +214,31 @@
     }
 
     #[test]
-    fn select_order_of_members_does_not_matter(count in 1..12usize, turn in 0..50usize) {
-        let straight = members(0..50, 4);
-        let mut turned = straight.clone();
-        turned.rotate_left(turn);
-        prop_assert_eq!(select("route", &straight, count), select("route", &turned, count));
+    fn select_ignores_the_order_of_members(count in 1..12usize, rotation in 0..50usize) {
+        let ordered = members(0..50, 4);
+        let mut rotated = ordered.clone();
+        rotated.rotate_left(rotation);
+        prop_assert_eq!(select("route", &ordered, count), select("route", &rotated, count));
     }
 }
 
-/// Data centres that are large enough for [`Difference`] to tell by the changed members alone.
-const ROOMY: usize = 40;
+/// Size of a data centre for which [`Difference`] needs to consider only the changed members.
+const LARGE: usize = 40;
 
 proptest! {
-    // Symptom: two daemons send a route's queries to different homes for good.
-    // Events: a member came or went; one of them did not choose the route's homes anew.
-    // Cause: a change was taken for one that does not concern the route.
+    // Guards against daemons that disagree on a route's homes because one of them skipped a change that affects it.
     #[test]
-    fn concerns_no_means_the_same_homes(
+    fn may_affect_false_means_the_same_homes(
         data_centres in 1..4_usize,
-        gone in prop::collection::vec(0..3 * ROOMY, 0..3),
-        come in prop::collection::vec(0..400_usize, 0..3),
+        gone in prop::collection::vec(0..3 * LARGE, 0..3),
+        added in prop::collection::vec(0..400_usize, 0..3),
         count in 1..=32_usize,
     ) {
-        let all = members(0..data_centres * ROOMY, data_centres);
+        let all = members(0..data_centres * LARGE, data_centres);
         let mut new = all.clone();
         new.retain(|member| gone.iter().all(|number| member.id != id(*number)));
-        let first = data_centres * ROOMY;
-        new.extend(members(come.iter().map(|number| first + number).collect::<BTreeSet<_>>(), data_centres));
+        let first = data_centres * LARGE;
+        new.extend(members(added.iter().map(|number| first + number).collect::<BTreeSet<_>>(), data_centres));
         let difference = Difference::between(&all, &new);
         for route in 0..20 {
             let route = format!("route-{route}");
@@ -259,25 +251,24 @@
 }
 
 #[test]
-fn concerns_few_routes_of_a_large_fleet() {
+fn may_affect_few_routes_of_a_large_fleet() {
     let all = members(0..3_800, 21);
     let difference = Difference::between(&all, &all[1..]);
-    let concerned = (0..271).map(|route| format!("route-{route}"));
-    let concerned =
-        concerned.filter(|route| difference.may_affect(route, &select(route, &all, 10)));
+    let affected = (0..271).map(|route| format!("route-{route}"));
+    let affected = affected.filter(|route| difference.may_affect(route, &select(route, &all, 10)));
     let is_home = |route: &String| select(route, &all, 10).contains(&all[0].id);
-    let concerned: Vec<String> = concerned.collect();
-    assert!(concerned.iter().all(is_home), "{concerned:?}");
-    assert!(concerned.len() < 27, "{concerned:?}");
+    let affected: Vec<String> = affected.collect();
+    assert!(affected.iter().all(is_home), "{affected:?}");
+    assert!(affected.len() < 27, "{affected:?}");
 }
 
 #[test_case(3, 0..39, 1; "small_data_centre")]
 #[test_case(3, 0..200, 2; "lost_data_centre")]
-fn concerns_all_routes(data_centres: usize, left: std::ops::Range<usize>, every: usize) {
+fn may_affect_all_routes(data_centres: usize, remaining: std::ops::Range<usize>, every: usize) {
     let all = members(0..200, data_centres);
-    let left: Vec<Member> = members(left, data_centres);
-    let lost = |member: &Member| every == 1 || &*member.data_centre != "dc1";
-    let left: Vec<Member> = left.into_iter().filter(lost).collect();
-    let difference = Difference::between(&all, &left);
+    let remaining: Vec<Member> = members(remaining, data_centres);
+    let is_kept = |member: &Member| every == 1 || &*member.data_centre != "dc1";
+    let remaining: Vec<Member> = remaining.into_iter().filter(is_kept).collect();
+    let difference = Difference::between(&all, &remaining);
     assert!(difference.may_affect("any", &[]));
 }
