--- a/crates/decision/tests/configuration.rs
+++ b/crates/decision/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Services that are stale, flap or are down, operators who race, and peers that know more.
+//! Tests the configuration holder against stale or failing services, racing operators and peers with newer versions.
 
 use monsoonring_decision::Time;
 use monsoonring_decision::configuration::{
@@ -31,10 +31,10 @@
     Event::Served(version(revision, digest), vec![])
 }
 
-fn logged(actions: &[Action], what: &str) -> bool {
+fn has_logged(actions: &[Action], label: &str) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Log(line) if line.what == what))
+        .any(|a| matches!(a, Action::Log(line) if line.what == label))
 }
 
 fn calls(actions: &[Action]) -> usize {
@@ -42,7 +42,7 @@
     actions.iter().filter(is_call).count()
 }
 
-/// Word that a peer reached the service a second ago.
+/// Returns the report that a peer reached the service a second ago.
 fn contact(number: u8) -> Contact {
     Contact {
         by: peer(number),
@@ -50,7 +50,7 @@
     }
 }
 
-/// One that is no reader, has adopted revision 9 and is current.
+/// Returns a holder that is no reader, has adopted revision 9 and is current.
 fn follower_at_9() -> Holder {
     let mut holder = holder();
     let members = Event::Members {
@@ -64,7 +64,7 @@
     holder
 }
 
-/// A reader that has adopted revision 9 and is current.
+/// Returns a reader that has adopted revision 9 and is current.
 fn reader_at_9() -> Holder {
     let mut holder = holder();
     holder.handle(
@@ -82,12 +82,10 @@
 
 #[test]
 fn served_older_revision_is_not_adopted() {
-    // Symptom: accepted changes are undone.
-    // Events: the service is restored from a copy of yesterday, or reads flap between two servers.
-    // Cause: the daemon takes the service's word for the newest.
+    // Guards against reverting to an older revision when the service is restored or its servers differ.
     let mut holder = reader_at_9();
     let actions = holder.handle(served(7, 99), NOW);
-    assert!(logged(&actions, "stale"));
+    assert!(has_logged(&actions, "stale"));
     assert!(!actions.iter().any(|a| matches!(a, Action::Adopt(..))));
     assert_eq!(holder.in_force(), Some(version(9, 50)));
     holder.handle(served(10, 1), NOW);
@@ -99,9 +97,7 @@
 #[test_case(60, 50 => (60, 1); "greater_first")]
 #[test_case(50, 50 => (50, 0); "same")]
 fn served_same_revision(first: u128, second: u128) -> (u128, u64) {
-    // Symptom: two halves of the fleet serve different configurations.
-    // Events: two operators publish at once, and the service gives both the same revision.
-    // Cause: each daemon keeps the one it saw first.
+    // Guards against daemons that disagree when two operators publish under the same revision.
     let mut holder = holder();
     holder.handle(served(9, first), NOW);
     holder.handle(served(9, second), NOW);
@@ -111,71 +107,65 @@
 }
 
 #[test]
-fn peer_same_revision_other_digest_is_fetched_if_greater() {
+fn peer_with_same_revision_is_fetched_if_its_digest_is_greater() {
     let mut holder = reader_at_9();
     let actions = holder.handle(Event::Peer(peer(2), Some(version(9, 40))), NOW);
-    assert!(logged(&actions, "conflict"));
+    assert!(has_logged(&actions, "conflict"));
     assert!(!actions.iter().any(|a| matches!(a, Action::Fetch(..))));
     let actions = holder.handle(Event::Peer(peer(2), Some(version(9, 60))), NOW);
     assert!(actions.contains(&Action::Fetch(peer(2), version(9, 60))));
 }
 
 #[test]
-fn served_faulty_document_is_rejected_whole() {
-    // Symptom: routes vanish, or the service is read thousands of times a second.
-    // Events: a faulty document gets into the service and stays there.
-    // Cause: the daemon takes the part that it understands, and asks again at once for the rest.
+fn served_faulty_document_is_rejected() {
+    // Guards against adopting parts of a faulty document, and against reading it again without a pause.
     let mut holder = reader_at_9();
     let faulty = Event::Served(version(10, 1), vec!["routes[3].groups: gap".into()]);
     let actions = holder.handle(faulty.clone(), NOW);
-    assert!(logged(&actions, "rejected"));
+    assert!(has_logged(&actions, "rejected"));
     assert_eq!(holder.in_force(), Some(version(9, 50)));
-    assert_eq!(calls(&actions), 0, "the next call has to wait");
+    assert_eq!(calls(&actions), 0, "the next call is delayed");
     let actions = holder.handle(Event::Tick, NOW + SECOND);
     let wait = Duration::from_secs(3);
     assert!(actions.contains(&Action::Watch { after: 10, wait }));
     let actions = holder.handle(Event::Peer(peer(2), Some(version(10, 1))), NOW);
     assert!(
         !actions.iter().any(|a| matches!(a, Action::Fetch(..))),
-        "it is known to be faulty"
+        "the version is known to be faulty"
     );
     holder.handle(served(11, 1), NOW + SECOND);
     assert_eq!(holder.in_force(), Some(version(11, 1)));
 }
 
 #[test]
-fn service_failed_calls_are_bounded() {
-    // Symptom: the service can't recover under the readers' calls.
-    // Events: the service fails each call at once, for an hour.
-    // Cause: each failure is followed by the next call.
+fn service_failed_limits_the_call_rate() {
+    // Guards against overloading a failing service with calls.
     let mut holder = reader_at_9();
-    let mut made = 0;
+    let mut count = 0;
     for second in 0..3_600 {
         let now = NOW + SECOND * second;
         let mut actions = holder.handle(Event::Tick, now);
-        made += calls(&actions);
-        while calls(&actions) > 0 && made < 10_000 {
+        count += calls(&actions);
+        while calls(&actions) > 0 && count < 10_000 {
             actions = holder.handle(Event::ServiceFailed, now);
-            made += calls(&actions);
+            count += calls(&actions);
         }
     }
-    assert!((100..300).contains(&made), "{made} calls in an hour");
+    assert!((100..300).contains(&count), "{count} calls in an hour");
 }
 
 #[test]
-fn service_lost_call_is_given_up() {
+fn tick_lost_call_times_out() {
     let mut holder = reader_at_9();
-    let made: usize = (1..200)
+    let count: usize = (1..200)
         .map(|s| calls(&holder.handle(Event::Tick, NOW + SECOND * s)))
         .sum();
-    assert!(made >= 2, "a call without an answer must not be the last");
+    assert!(count >= 2, "a call without a reply must not be the last");
 }
 
 #[test]
-fn members_reader_takes_over() {
-    // Symptom: no change comes into force in a data centre.
-    // Events: all its readers die.
-    // Cause: the other daemons go on relying on them.
+fn members_new_reader_calls_the_service() {
+    // Guards against no daemon reading the service after all readers of a data centre die.
     let mut holder = holder();
     holder.handle(
         Event::Members {
@@ -186,15 +176,15 @@
     );
     holder.handle(Event::Peer(peer(1), Some(version(9, 50))), NOW);
     holder.handle(Event::Fetched(peer(1), version(9, 50), vec![]), NOW);
-    let quiet: usize = (0..100)
+    let non_reader_calls: usize = (0..100)
         .map(|s| {
             holder.handle(Event::Contacted(contact(2), false), NOW + SECOND * s);
             calls(&holder.handle(Event::Tick, NOW + SECOND * s))
         })
         .sum();
     assert_eq!(
-        quiet, 0,
-        "a daemon that is no reader does not call the service"
+        non_reader_calls, 0,
+        "a daemon that is no reader must not call the service"
     );
     let actions = holder.handle(
         Event::Members {
@@ -207,30 +197,30 @@
 }
 
 #[test]
-fn tick_readers_cut_off_another_calls() {
-    // Symptom: an accepted change is in force nowhere, although daemons reach the service.
-    // Events: all readers, chosen by rank, are cut off from the service.
-    // Cause: the others rely on them without hearing whether they reach it.
+fn tick_without_contact_of_readers_calls_the_service() {
+    // Guards against changes not being adopted while all readers are cut off from the service.
     let mut holder = follower_at_9();
     let called = (0..30).find(|s| calls(&holder.handle(Event::Tick, NOW + SECOND * *s)) > 0);
     assert!(called.is_some_and(|seconds| seconds > 6), "{called:?}");
     let at = NOW + SECOND * 30;
     let actions = holder.handle(Event::Unchanged, at);
-    assert_eq!(calls(&actions), 1, "it goes on in the readers' place");
+    assert_eq!(
+        calls(&actions),
+        1,
+        "the daemon continues in place of the readers"
+    );
     assert_eq!(holder.contact(at), Some((None, Duration::ZERO)));
 }
 
-#[test_case(true, 0; "higher_rank_ends_it")]
-#[test_case(false, 1; "lower_rank_does_not")]
-fn contacted_acting(outranks: bool, expected: usize) {
-    // Symptom: the calls to the service grow with the daemons.
-    // Events: readers reach the service again, or several daemons act in their place.
-    // Cause: who has begun to call never ends.
+#[test_case(true, 0; "higher_rank_ends_the_calls")]
+#[test_case(false, 1; "lower_rank_does_not_end_them")]
+fn contacted_while_acting_as_reader(outranks: bool, expected: usize) {
+    // Guards against daemons that act as readers and never stop.
     let mut holder = follower_at_9();
     let mut at = NOW;
     while calls(&holder.handle(Event::Tick, at)) == 0 {
         at += SECOND;
-        assert!(at < NOW + SECOND * 30, "it begins to call");
+        assert!(at < NOW + SECOND * 30, "the daemon must begin to call");
     }
     assert_eq!(calls(&holder.handle(Event::Unchanged, at)), 1);
     holder.handle(Event::Contacted(contact(2), outranks), at);
@@ -241,9 +231,7 @@
 
 #[test]
 fn peer_newer_version_is_adopted_while_service_is_down() {
-    // Symptom: a daemon that starts during an outage serves nothing, or yesterday's configuration.
-    // Events: the service is down, or lags; peers have a newer version.
-    // Cause: only the service is asked.
+    // Guards against a daemon that starts without a configuration, or with an old one, while the service is down.
     let mut holder = holder();
     holder.handle(
         Event::Members {
@@ -262,10 +250,8 @@
 }
 
 #[test]
-fn served_first_is_not_current_before_a_peer_is_heard() {
-    // Symptom: a new daemon routes by yesterday's configuration for some seconds.
-    // Events: it starts while the service lags; it reads before it hears its peers.
-    // Cause: the first document is taken for the newest.
+fn served_is_not_current_before_a_peer_reports_its_version() {
+    // Guards against serving an old configuration after a start, when the service lags behind the peers.
     let mut holder = holder();
     holder.handle(served(7, 1), NOW);
     assert!(!holder.is_current());
@@ -283,7 +269,7 @@
 }
 
 #[test]
-fn tick_nobody_to_ask_goes_on_after_a_while() {
+fn tick_without_a_peer_version_reads_the_service_after_a_timeout() {
     let mut holder = holder();
     holder.handle(
         Event::Members {
@@ -296,16 +282,14 @@
         let actions = holder.handle(Event::Tick, NOW + SECOND * s);
         actions.contains(&Action::Read)
     });
-    assert!(read, "peers that know nothing can't be waited for");
+    assert!(read, "the wait for peers must end");
     holder.handle(served(7, 1), NOW + SECOND * 20);
     assert!(holder.is_current());
 }
 
 #[test]
-fn paused_holder_is_not_current_until_it_hears() {
-    // Symptom: a daemon that was paused serves by a configuration that has been replaced.
-    // Events: the process is paused for minutes; a change comes into force; it wakes up.
-    // Cause: its version was the newest when it went to sleep.
+fn paused_holder_is_not_current_until_it_adopts_a_peer_version() {
+    // Guards against serving a replaced configuration after the process was paused.
     let mut holder = reader_at_9();
     holder.handle(Event::Paused, NOW + SECOND);
     assert!(!holder.is_current());
@@ -319,32 +303,27 @@
 }
 
 #[test]
-fn fetch_failed_another_peer_is_asked() {
-    // Symptom: a change does not come into force at one daemon.
-    // Events: the peer that offered it dies, or never answers.
-    // Cause: the daemon waits for that peer.
+fn fetch_failed_is_retried_at_another_peer() {
+    // Guards against a fetch that waits for a peer that died.
     let mut holder = reader_at_9();
     holder.handle(Event::Peer(peer(1), Some(version(10, 1))), NOW);
     holder.handle(Event::Peer(peer(2), Some(version(10, 1))), NOW);
-    let asked = |actions: &[Action], n| actions.contains(&Action::Fetch(peer(n), version(10, 1)));
+    let fetches = |actions: &[Action], n| actions.contains(&Action::Fetch(peer(n), version(10, 1)));
     let actions = holder.handle(Event::Tick, NOW + SECOND * 10);
-    let next = if asked(&actions, 1) { 1 } else { 2 };
-    assert!(
-        asked(&actions, next),
-        "a fetch without an answer is given up"
-    );
+    let next = if fetches(&actions, 1) { 1 } else { 2 };
+    assert!(fetches(&actions, next), "a fetch without a reply times out");
     let actions = holder.handle(Event::FetchFailed(peer(next)), NOW + SECOND * 10);
-    assert!(!asked(&actions, next));
+    assert!(!fetches(&actions, next));
     let actions = holder.handle(
         Event::Peer(peer(3), Some(version(10, 1))),
         NOW + SECOND * 11,
     );
-    assert!(asked(&actions, 3));
+    assert!(fetches(&actions, 3));
 }
 
-#[test_case(8, 4; "today")]
-#[test_case(3_800, 21; "design_size")]
-fn is_reader_few_in_each_data_centre(count: u16, data_centres: u16) {
+#[test_case(8, 4; "8_members")]
+#[test_case(3_800, 21; "3800_members")]
+fn is_reader_selects_a_few_per_data_centre(count: u16, data_centres: u16) {
     let member = |n: u16| Member {
         id: MemberId::from(([10, 0, 0, 1], n)),
         data_centre: format!("dc{}", n % data_centres).into(),
@@ -372,7 +351,7 @@
 
 fn any_event() -> impl Strategy<Value = Event> {
     let version = (0..5u64, 0..3u128).prop_map(|(revision, digest)| version(revision, digest));
-    // Whether a document is faulty depends on the document alone.
+    // The same document is always faulty or always valid.
     let faults = |v: Version| {
         if v.digest == 1 {
             vec!["fault".to_owned()]
@@ -405,30 +384,30 @@
             let before = holder.in_force();
             let actions = holder.handle(event, now);
             prop_assert!(holder.in_force() >= before);
-            prop_assert!(holder.in_force().is_none_or(|v| v.digest != 1), "a faulty document");
+            prop_assert!(holder.in_force().is_none_or(|v| v.digest != 1), "a faulty document is in force");
             let adopted = actions.iter().any(|a| matches!(a, Action::Adopt(..)));
             prop_assert_eq!(adopted, holder.in_force() != before);
             prop_assert!(calls(&actions) <= 1);
         }
     }
 
-    /// Holders that heard the same documents, in whatever order, have the same one in force.
+    /// Holders that receive the same documents in any order have the same one in force.
     #[test]
-    fn served_any_order_ends_the_same(
-        versions in prop::collection::vec((0..5u64, 0..4u128), 1..12), turn in 0..12usize,
+    fn served_in_any_order_converges(
+        versions in prop::collection::vec((0..5u64, 0..4u128), 1..12), rotation in 0..12usize,
     ) {
-        let (mut one, mut other) = (holder(), holder());
-        let mut turned = versions.clone();
-        turned.rotate_left(turn % versions.len());
-        turned.extend(versions.iter().rev());
+        let (mut left, mut right) = (holder(), holder());
+        let mut rotated = versions.clone();
+        rotated.rotate_left(rotation % versions.len());
+        rotated.extend(versions.iter().rev());
         let feed = |holder: &mut Holder, versions: Vec<(u64, u128)>| {
             for (revision, digest) in versions {
                 let faults = if digest == 1 { vec!["fault".to_owned()] } else { vec![] };
                 holder.handle(Event::Served(version(revision, digest), faults), NOW);
             }
         };
-        feed(&mut one, versions);
-        feed(&mut other, turned);
-        prop_assert_eq!(one.in_force(), other.in_force());
+        feed(&mut left, versions);
+        feed(&mut right, rotated);
+        prop_assert_eq!(left.in_force(), right.in_force());
     }
 }
--- a/crates/decision/tests/fact.rs
+++ b/crates/decision/tests/fact.rs
@@ -1,4 +1,4 @@
-//! Facts that are late, lost, repeated or too many.
+//! Tests the fact table against late, lost and repeated facts, and its limits.
 
 use monsoonring_configuration::id::BackendServerId;
 use monsoonring_decision::Time;
@@ -27,10 +27,8 @@
 }
 
 #[test]
-fn receive_expired_fact_is_not_brought_back() {
-    // Symptom: harmless requests are refused again long after the suspicion ended.
-    // Events: a fact expires; a daemon that was cut off passes it on with life left.
-    // Cause: a table that has forgotten the fact takes it for a new one.
+fn receive_expired_fact_is_ignored() {
+    // Guards against reviving an expired fact that a daemon sends late.
     let mut table = Table::default();
     let suspect = Entry {
         key: Key::Suspect(7),
@@ -49,10 +47,8 @@
 }
 
 #[test]
-fn receive_superseded_fact_is_refused() {
-    // Symptom: a backend server that came back gets no work.
-    // Events: start 5 leaves, start 6 leaves later; a late daemon says that start 5 leaves.
-    // Cause: the older fact overwrites the newer.
+fn receive_superseded_fact_is_ignored() {
+    // Guards against an older fact replacing a newer one, which would mark a restarted server as leaving.
     let mut table = Table::default();
     table.receive(vec![leaving(6, LIFE)], Time::ZERO);
     assert_eq!(table.receive(vec![leaving(5, LIFE)], Time::ZERO), vec![]);
@@ -61,42 +57,40 @@
 }
 
 #[test]
-fn receive_echo_does_not_lengthen_life() {
-    // Symptom: facts never die.
-    // Events: two daemons tell each other the same fact; each message takes 100 ms on its way.
-    // Cause: the time on the way isn't taken off the remaining life.
-    let (mut one, mut other) = (Table::default(), Table::default());
-    one.learn(Key::Suspect(7), 0, LIFE, Time::ZERO);
-    let way = Duration::from_millis(100);
+fn receive_echo_does_not_extend_life() {
+    // Guards against extending a fact's life by sending it back and forth.
+    let (mut left, mut right) = (Table::default(), Table::default());
+    left.learn(Key::Suspect(7), 0, LIFE, Time::ZERO);
+    let delay = Duration::from_millis(100);
     let mut now = Time::ZERO;
     while now < LIFE {
-        let entries: Vec<Entry> = one.iter(now).collect();
-        other.receive(entries, now + way);
-        let entries: Vec<Entry> = other.iter(now + way).collect();
-        one.receive(entries, now + way + way);
+        let entries: Vec<Entry> = left.iter(now).collect();
+        right.receive(entries, now + delay);
+        let entries: Vec<Entry> = right.iter(now + delay).collect();
+        left.receive(entries, now + delay + delay);
         now += SECOND;
     }
-    assert_eq!(one.get(&Key::Suspect(7), LIFE), None);
-    assert_eq!(other.get(&Key::Suspect(7), LIFE + way), None);
+    assert_eq!(left.get(&Key::Suspect(7), LIFE), None);
+    assert_eq!(right.get(&Key::Suspect(7), LIFE + delay), None);
 }
 
 #[test]
-fn learn_direct_evidence_renews_under_a_higher_stamp() {
+fn learn_again_renews_with_a_higher_stamp() {
     let mut table = Table::default();
     let key = Key::Suspect(7);
     assert!(table.learn(key.clone(), 0, LIFE, Time::ZERO).is_some());
     assert_eq!(
         table.learn(key.clone(), 0, LIFE, SECOND),
         None,
-        "no flood of renewals"
+        "renewals are rate-limited"
     );
     let renewed = table.learn(key.clone(), 0, LIFE, LIFE / 2);
     assert_eq!(renewed.map(|entry| entry.stamp.renewal), Some(1));
     assert!(table.get(&key, LIFE + SECOND).is_some());
 }
 
-#[test_case(Duration::ZERO => 0; "no_life_left")]
-#[test_case(MAX_LIFE * 100 => 1; "too_long_is_cut")]
+#[test_case(Duration::ZERO => 0; "expired")]
+#[test_case(MAX_LIFE * 100 => 1; "longer_than_the_maximum")]
 fn receive_life(life: Duration) -> usize {
     let mut table = Table::default();
     let new = table.receive(vec![leaving(1, life)], Time::ZERO);
@@ -106,10 +100,8 @@
 }
 
 #[test]
-fn hold_more_than_capacity_drops_the_shortest_lived() {
-    // Symptom: a daemon's memory grows without bound.
-    // Events: a rack of backend servers leaves while a crashing request is sent in many forms.
-    // Cause: every fact is kept.
+fn learn_beyond_capacity_drops_the_shortest_lived() {
+    // Guards against unbounded memory use.
     let mut table = Table::new(10);
     for number in 0..100 {
         table.learn(
@@ -124,7 +116,7 @@
 }
 
 #[test]
-fn pick_is_bounded_and_each_fact_has_its_turn() {
+fn pick_is_bounded_and_covers_all_facts() {
     let mut table = Table::default();
     table.set_members(3_800);
     for number in 0..500 {
@@ -136,17 +128,18 @@
         let bytes: usize = picked.iter().map(Entry::size).sum();
         assert!(bytes <= 1_000);
         let encoded = bincode::serialize(&picked).expect("facts encode");
-        assert!(encoded.len() <= bytes + 8, "the size covers the encoding");
+        assert!(
+            encoded.len() <= bytes + 8,
+            "the size must cover the encoding"
+        );
         seen.extend(picked.into_iter().map(|entry| entry.key));
     }
     assert_eq!(seen.len(), 500);
 }
 
 #[test]
-fn pick_passed_on_fact_is_still_repeated_slowly() {
-    // Symptom: a daemon that was cut off for a while never learns that a server is leaving.
-    // Events: the fact was passed on as often as it ever is while the daemon was unreachable.
-    // Cause: nobody sends it any more.
+fn pick_repeats_facts_at_a_low_rate() {
+    // Guards against never repeating a fact to a daemon that was unreachable while it was sent.
     let mut table = Table::default();
     table.set_members(8);
     table.learn(Key::Suspect(7), 0, LIFE, Time::ZERO);
@@ -154,8 +147,8 @@
     for _ in 0..100 {
         table.pick(1_000, Time::ZERO);
     }
-    let seen = (0..2).any(|_| !table.pick(1_000, later).is_empty());
-    assert!(seen);
+    let is_repeated = (0..2).any(|_| !table.pick(1_000, later).is_empty());
+    assert!(is_repeated);
 }
 
 fn any_entry() -> impl Strategy<Value = Entry> {
@@ -167,13 +160,13 @@
 }
 
 proptest! {
-    /// A stamp never goes back, and a stamp once expired never holds again, while it is guarded
-    /// against: the whole case lasts less than `TOMBSTONE_LIFE`.
+    /// Stamps never decrease, and an expired stamp never becomes valid again. Each case takes less than
+    /// `TOMBSTONE_LIFE`.
     #[test]
     fn receive_never_reverts(entries in prop::collection::vec((any_entry(), 0..15u32), 1..40)) {
         let mut table = Table::default();
         let mut now = Time::ZERO;
-        let mut ended: Vec<Entry> = Vec::new();
+        let mut expired: Vec<Entry> = Vec::new();
         let mut highest = [None; 3];
         for (entry, wait) in entries {
             now += SECOND * wait;
@@ -185,36 +178,36 @@
                 let index = usize::try_from(key).expect("small");
                 if let Some(held) = held {
                     prop_assert!(stamp >= highest[index]);
-                    let same = |old: &Entry| old.key == held.key && old.stamp == held.stamp;
-                    prop_assert!(!ended.iter().any(same));
+                    let is_same = |old: &Entry| old.key == held.key && old.stamp == held.stamp;
+                    prop_assert!(!expired.iter().any(is_same));
                     highest[index] = stamp;
-                    ended.retain(|old| !same(old));
+                    expired.retain(|old| !is_same(old));
                 } else if let Some(stamp) = highest[index] {
                     let key = Key::Suspect(key);
-                    ended.push(Entry { key, stamp, life: Duration::ZERO });
+                    expired.push(Entry { key, stamp, life: Duration::ZERO });
                 }
             }
         }
     }
 
-    /// Tables that got the same entries, in whatever order and however often, know the same stamps.
+    /// Tables that receive the same entries in any order, repeated or not, hold the same stamps.
     #[test]
-    fn receive_any_order_ends_the_same(
-        entries in prop::collection::vec(any_entry(), 1..20), turn in 0..20usize,
+    fn receive_in_any_order_converges(
+        entries in prop::collection::vec(any_entry(), 1..20), rotation in 0..20usize,
     ) {
-        let mut turned = entries.clone();
-        turned.rotate_left(turn % entries.len());
-        turned.extend(entries.iter().rev().cloned());
-        let (mut one, mut other) = (Table::default(), Table::default());
-        one.receive(entries, Time::ZERO);
-        other.receive(turned, Time::ZERO);
+        let mut rotated = entries.clone();
+        rotated.rotate_left(rotation % entries.len());
+        rotated.extend(entries.iter().rev().cloned());
+        let (mut left, mut right) = (Table::default(), Table::default());
+        left.receive(entries, Time::ZERO);
+        right.receive(rotated, Time::ZERO);
         let known = |table: &Table| table.iter(Time::ZERO).collect::<Vec<_>>();
-        prop_assert_eq!(known(&one), known(&other));
+        prop_assert_eq!(known(&left), known(&right));
     }
 
-    /// With half of the messages lost, every daemon learns every fact.
+    /// Every table receives every fact when half of the messages are lost.
     #[test]
-    fn pick_lossy_exchange_reaches_all(seed in any::<u64>(), count in 2..12usize) {
+    fn pick_with_lost_messages_reaches_all(seed in any::<u64>(), count in 2..12usize) {
         use rand::{Rng, SeedableRng};
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut tables: Vec<Table> = (0..count).map(|_| Table::default()).collect();
@@ -222,7 +215,7 @@
         for (key, table) in (0..).zip(&mut tables) {
             table.learn(Key::Suspect(key), 0, MAX_LIFE, Time::ZERO);
         }
-        // A fact passed on no more is in one message of four; 200 rounds leave no room for chance.
+        // Exhausted facts are still in one message of four, so 200 rounds suffice.
         for round in 1..200 {
             for from in 0..count {
                 let to = rng.random_range(0..count);
