--- a/crates/decision/tests/idempotency.rs
+++ b/crates/decision/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Keys, their time and their bounds, where one ledger is enough to see them.
+//! Tests keys, their expiry and the ledger's limits with one or a few ledgers.
 
 use monsoonring_decision::Time;
 use monsoonring_decision::attempt::Failure;
@@ -36,7 +36,7 @@
 
 fn mint(ledger: &mut Ledger, now: Time) -> Key {
     let key = ledger.mint(&"dispatch".into(), &"tickets".into(), now);
-    key.expect("there is room")
+    key.expect("the ledger has room")
 }
 
 fn request(id: u128) -> Request {
@@ -60,9 +60,9 @@
 
 fn execute(ledger: &mut Ledger, key: &Key, value: &str, now: Time) {
     let permit = permit(ledger.begin(key, &request(1), now));
-    let sent = permit.mark_sent(now).expect("in time");
-    let ended = ledger.finish(sent, SentOutcome::Executed(value.into()), now);
-    assert_eq!(ended.outcome, Outcome::Executed(value.into()));
+    let sent = permit.mark_sent(now).expect("the deadline has not passed");
+    let completion = ledger.finish(sent, SentOutcome::Executed(value.into()), now);
+    assert_eq!(completion.outcome, Outcome::Executed(value.into()));
 }
 
 fn unknown() -> Outcome {
@@ -72,7 +72,7 @@
 
 proptest! {
     #[test]
-    fn parse_printed_key_is_the_key(ip: std::net::IpAddr, port: u16, start: u64, seconds in 0..9u64) {
+    fn parse_inverts_to_string(ip: std::net::IpAddr, port: u16, start: u64, seconds in 0..9u64) {
         let member = (ip, port).into();
         let mut ledger = Ledger::new(Fence { member, start }, [1; 32].into(), LIMITS);
         let key = mint(&mut ledger, at(seconds));
@@ -82,7 +82,7 @@
     }
 
     #[test]
-    fn begin_altered_key_never_runs(position: prop::sample::Index, byte in b'0'..=b'z') {
+    fn begin_with_altered_key_never_runs(position: prop::sample::Index, byte in b'0'..=b'z') {
         let mut ledger = ledger(1);
         let mut text = mint(&mut ledger, at(0)).to_string().into_bytes();
         let position = position.index(text.len());
@@ -100,23 +100,23 @@
 #[test_case("a b" => Err(Error::Text); "space")]
 #[test_case("m1.10.0.0.1~7000.8.5" => Err(Error::Fenced); "truncated")]
 #[test_case("ticket-17" => Ok(Key::Own("ticket-17".into())); "own")]
-fn parse_text_is(text: &str) -> Result<Key, Error> {
+fn parse_result(text: &str) -> Result<Key, Error> {
     text.parse()
 }
 
-#[test_case("dispatch", "tickets" => false; "issued for it")]
-#[test_case("inspector", "tickets" => true; "another caller")]
-#[test_case("dispatch", "credits" => true; "another route")]
-fn begin_key_for_another_scope_is_refused(caller: &str, route: &str) -> bool {
+#[test_case("dispatch", "tickets" => false; "same scope")]
+#[test_case("inspector", "tickets" => true; "other caller")]
+#[test_case("dispatch", "credits" => true; "other route")]
+fn begin_with_key_of_another_scope_is_refused(caller: &str, route: &str) -> bool {
     let mut ledger = ledger(1);
     let key = mint(&mut ledger, at(0));
     let (caller, route): (Arc<str>, Arc<str>) = (caller.into(), route.into());
-    let asked = Request {
+    let scoped = Request {
         caller,
         route,
         ..request(1)
     };
-    let decision = ledger.begin(&key, &asked, at(0));
+    let decision = ledger.begin(&key, &scoped, at(0));
     decision == Decision::Refuse(Refusal::Forged)
 }
 
@@ -125,18 +125,16 @@
     let mut ledger = ledger(1);
     let key = mint(&mut ledger, at(0));
     execute(&mut ledger, &key, "1", at(0));
-    let other = Request {
+    let altered = Request {
         fingerprint: 2,
         ..request(2)
     };
-    let decision = ledger.begin(&key, &other, at(0));
+    let decision = ledger.begin(&key, &altered, at(0));
     assert_eq!(decision, Decision::Refuse(Refusal::Mismatch));
 }
 
-// Symptom: a ticket is doubled after a long pause.
-// Events: the key runs, the process sleeps past the key's expiry, the record is dropped, and a
-// task that read the clock before the pause asks with its old time.
-// Cause: the key would be in time by that clock, and without a record.
+// Guards against running a key twice after a pause: its record is dropped, and a task still uses an earlier clock
+// reading by which the key has not expired.
 #[test]
 fn begin_with_an_older_time_after_expiry_is_refused() {
     let mut ledger = ledger(1);
@@ -151,7 +149,7 @@
 }
 
 #[test]
-fn mint_beyond_the_limit_is_refused_until_a_place_is_free() {
+fn mint_beyond_the_limit_is_refused_until_a_key_expires() {
     let mut ledger = ledger(1);
     mint(&mut ledger, at(0));
     mint(&mut ledger, at(3));
@@ -162,7 +160,7 @@
 }
 
 #[test]
-fn finish_beyond_the_bytes_is_replayed_as_unknown() {
+fn finish_beyond_the_byte_limit_is_replayed_as_unknown() {
     let mut ledger = ledger(1);
     let key = mint(&mut ledger, at(0));
     execute(&mut ledger, &key, "too large a value", at(0));
@@ -170,11 +168,9 @@
     assert_eq!(decision, Decision::Replay(unknown()));
 }
 
-// Symptom: work runs at a backend server that nobody waits for.
-// Events: the process is paused between taking a request and sending it.
-// Cause: it wakes up believing the time at which it fell asleep.
+// Guards against sending work to a server after the deadline, when the process pauses before it sends.
 #[test]
-fn sent_after_the_deadline_gives_the_permit_back() {
+fn mark_sent_after_the_deadline_returns_the_permit() {
     let mut ledger = ledger(1);
     let key = mint(&mut ledger, at(0));
     let permit = permit(ledger.begin(&key, &request(1), at(0)));
@@ -182,122 +178,127 @@
     let late = permit
         .mark_sent(at(100))
         .expect_err("the deadline has passed");
-    let ended = ledger.release(late, Reason::Deadline, None, at(100));
-    assert!(matches!(ended.outcome, Outcome::NotRun { .. }));
-    assert_eq!(ended.joined, [2]);
+    let completion = ledger.release(late, Reason::Deadline, None, at(100));
+    assert!(matches!(completion.outcome, Outcome::NotRun { .. }));
+    assert_eq!(completion.joined, [2]);
 }
 
 #[test_case(&Failure::NotSent => true; "not sent")]
 #[test_case(&Failure::Lost => false; "lost")]
 #[test_case(&Failure::Mismatched => false; "mismatched")]
-fn retract_needs_a_proof(failure: &Failure) -> bool {
+fn retract_requires_proof_of_not_run(failure: &Failure) -> bool {
     let mut ledger = ledger(1);
     let key = mint(&mut ledger, at(0));
     let permit = permit(ledger.begin(&key, &request(1), at(0)));
-    let sent = permit.mark_sent(at(0)).expect("in time");
+    let sent = permit
+        .mark_sent(at(0))
+        .expect("the deadline has not passed");
     sent.retract(failure).is_ok()
 }
 
 #[test_case(None, false => Decision::Refuse(Refusal::Unmarked); "no number")]
 #[test_case(Some(0), false => Decision::Refuse(Refusal::Unmarked); "zero")]
 #[test_case(Some(2), false => Decision::LookUp; "later send")]
-#[test_case(Some(2), true => Decision::Refuse(Refusal::Gone); "later send passed on")]
+#[test_case(Some(2), true => Decision::Refuse(Refusal::Gone); "later send forwarded")]
 fn begin_own_key_without_record(send: Option<u32>, passed_on: bool) -> Decision {
     let key = "ticket-17".parse().expect("a key");
-    let asked = Request {
+    let numbered = Request {
         send,
         passed_on,
         ..request(1)
     };
-    ledger(1).begin(&key, &asked, at(0))
+    ledger(1).begin(&key, &numbered, at(0))
 }
 
-// Symptom: a ticket is doubled after a rolling replacement.
-// Events: three incarnations stop in turn, each leaves its ledger to the next; the last one gets
-// a send of a key that the first ran, and of one that it only issued.
-// Cause: the chain loses a record, or a clock, on its way.
+// Guards against losing a record or a clock when a ledger is handed over several times in a row.
 #[test]
 fn inherit_over_a_chain_keeps_records_and_clocks() {
     let mut holder = ledger(1);
-    let (run, unused) = (mint(&mut holder, at(0)), mint(&mut holder, at(6)));
-    execute(&mut holder, &run, "1", at(6));
+    let (used, unused) = (mint(&mut holder, at(0)), mint(&mut holder, at(6)));
+    execute(&mut holder, &used, "1", at(6));
     for start in 2..5 {
-        let handover = holder.hand_over(fence(start), at(7)).expect("the first");
-        let text = serde_json::to_string(&handover).expect("it can be written");
-        let handover: Handover = serde_json::from_str(&text).expect("and read");
+        let handover = holder
+            .hand_over(fence(start), at(7))
+            .expect("the first handover");
+        let text = serde_json::to_string(&handover).expect("a handover can be serialized");
+        let handover: Handover =
+            serde_json::from_str(&text).expect("a handover can be deserialized");
         holder = ledger(start);
-        holder.inherit(handover, at(7)).expect("there is room");
+        holder
+            .inherit(handover, at(7))
+            .expect("the successor has room");
     }
-    let again = holder.begin(&run, &request(2), at(8));
-    assert_eq!(again, Decision::Replay(Outcome::Executed("1".into())));
+    let repeated = holder.begin(&used, &request(2), at(8));
+    assert_eq!(repeated, Decision::Replay(Outcome::Executed("1".into())));
     let mut later = holder.clone();
     let expired = later.begin(&unused, &request(3), at(16));
     assert_eq!(expired, Decision::Refuse(Refusal::Expired));
     let first = permit(holder.begin(&unused, &request(3), at(15)));
-    let _late = first.mark_sent(at(15)).expect("in time");
+    let _late = first
+        .mark_sent(at(15))
+        .expect("the deadline has not passed");
 }
 
-// Symptom: a ticket is doubled long after a stop.
-// Events: the successor takes a handover and runs a key that it holds no record of; the key expires
-// and the fence is dropped; a copy of the handover arrives, then another send of the key.
-// Cause: the copy sets the fence's clock back to when it was made, and has no record of the run.
+// Guards against running a key twice because a late copy of a handover resets the clock of an expired fence.
 #[test]
-fn inherit_late_copy_after_expiry_changes_nothing() {
+fn inherit_copy_after_expiry_is_ignored() {
     let mut old = ledger(1);
     let key = mint(&mut old, at(0));
-    let handover = old.hand_over(fence(2), at(0)).expect("the first");
-    let mut heir = ledger(2);
-    let receipt = heir
+    let handover = old.hand_over(fence(2), at(0)).expect("the first handover");
+    let mut successor = ledger(2);
+    let receipt = successor
         .inherit(handover.clone(), at(0))
-        .expect("there is room");
-    execute(&mut heir, &key, "1", at(1));
-    heir.tick(at(40));
-    assert_eq!(heir.inherit(handover, at(40)), Ok(receipt));
-    let decision = heir.begin(&key, &request(2), at(41));
+        .expect("the successor has room");
+    execute(&mut successor, &key, "1", at(1));
+    successor.tick(at(40));
+    assert_eq!(successor.inherit(handover, at(40)), Ok(receipt));
+    let decision = successor.begin(&key, &request(2), at(41));
     assert_eq!(decision, Decision::ForwardTo(fence(1)));
 }
 
 #[test]
 fn inherit_for_another_incarnation_is_refused() {
-    let handover = ledger(1).hand_over(fence(2), at(0)).expect("the first");
-    let refused = ledger(3).inherit(handover, at(0)).expect_err("not for it");
+    let handover = ledger(1)
+        .hand_over(fence(2), at(0))
+        .expect("the first handover");
+    let refused = ledger(3)
+        .inherit(handover, at(0))
+        .expect_err("the handover names another successor");
     insta::assert_snapshot!(refused, @"take over from 127.0.0.1:7000/1: the successor is 127.0.0.1:7000/2");
 }
 
 #[test]
 fn inherit_beyond_the_limit_is_refused() {
-    let mut heir = ledger(9);
-    for (start, taken) in [(1, true), (2, false)] {
+    let mut successor = ledger(9);
+    for (start, is_accepted) in [(1, true), (2, false)] {
         let mut old = ledger(start);
         mint(&mut old, at(0));
         mint(&mut old, at(0));
-        let handover = old.hand_over(fence(9), at(0)).expect("the first");
-        assert_eq!(heir.inherit(handover, at(0)).is_ok(), taken);
+        let handover = old.hand_over(fence(9), at(0)).expect("the first handover");
+        assert_eq!(successor.inherit(handover, at(0)).is_ok(), is_accepted);
     }
 }
 
-// Symptom: a daemon ends with "overflow when adding durations".
-// Events: a handover arrives whose times are beyond all bounds; its sender holds the key between daemons.
-// Cause: times of another daemon were added without looking at them.
+// Guards against a panic on overflow when a handover contains extreme durations.
 #[test]
-fn inherit_endless_times_is_survived() {
+fn inherit_with_unbounded_times_does_not_overflow() {
     let mut old = ledger(1);
     let key = mint(&mut old, at(0));
     let _running = permit(old.begin(&key, &request(1), at(0)));
-    let handover = old.hand_over(fence(2), at(0)).expect("the first");
-    let mut text = serde_json::to_value(&handover).expect("a handover is plain data");
-    lengthen(&mut text);
-    let handover: Handover = serde_json::from_value(text).expect("the same shape");
+    let handover = old.hand_over(fence(2), at(0)).expect("the first handover");
+    let mut value = serde_json::to_value(&handover).expect("a handover can be serialized");
+    maximize(&mut value);
+    let handover: Handover = serde_json::from_value(value).expect("a handover can be deserialized");
     let mut successor = ledger(2);
-    let taken = successor.inherit(handover, at(1));
-    assert!(taken.is_ok(), "{taken:?}");
+    let receipt = successor.inherit(handover, at(1));
+    assert!(receipt.is_ok(), "{receipt:?}");
     successor.tick(at(2));
     let decision = successor.begin(&key, &request(2), at(3));
     assert!(!matches!(decision, Decision::Run(_)), "{decision:?}");
 }
 
-/// Sets every duration to the longest.
-fn lengthen(value: &mut serde_json::Value) {
+/// Sets every duration to the maximum.
+fn maximize(value: &mut serde_json::Value) {
     if let Some(seconds) = value.get_mut("secs") {
         *seconds = u64::MAX.into();
     }
@@ -306,5 +307,5 @@
         serde_json::Value::Array(values) => values.iter_mut().collect(),
         _ => Vec::new(),
     };
-    values.into_iter().for_each(lengthen);
+    values.into_iter().for_each(maximize);
 }
--- a/crates/decision/tests/idempotency_model.rs
+++ b/crates/decision/tests/idempotency_model.rs
@@ -1,4 +1,4 @@
-//! At most once, explored: every order of a bounded number of events, and longer random ones.
+//! Model checks at-most-once execution: explores every order of a few events, and longer random sequences.
 
 mod model;
 
@@ -10,7 +10,7 @@
 
 const OWN: Option<&str> = Some("ticket-17");
 
-const NOTHING: Budget = Budget {
+const MINIMAL: Budget = Budget {
     sends: 2,
     copies: 0,
     kills: 0,
@@ -20,60 +20,61 @@
     attempts: 1,
 };
 
-/// Sends and copies of them, refusals and lost replies, over the expiry of the key.
-const CALM: Budget = Budget {
+/// Sends and copies of them, refusals and lost replies, past the expiry of the key.
+const RETRY: Budget = Budget {
     sends: 3,
     copies: 1,
     steps: 1,
     attempts: 2,
-    ..NOTHING
+    ..MINIMAL
 };
 
-/// A graceful stop, over the expiry of the key if there are two steps.
+/// A graceful stop.
 const STOP: Budget = Budget {
     copies: 1,
     drains: 1,
     steps: 1,
-    ..NOTHING
+    ..MINIMAL
 };
 
+/// A graceful stop with enough clock steps for the key to expire.
 const LONG_STOP: Budget = Budget { steps: 2, ..STOP };
 
-/// A graceful stop and nothing else.
+/// Only a graceful stop.
 const HANDOVER: Budget = Budget {
     drains: 1,
-    ..NOTHING
+    ..MINIMAL
 };
 
-/// Two graceful stops, the second by the successor of the first or at the same time.
+/// Two graceful stops, of a daemon and its successor or at the same time.
 const CHAIN: Budget = Budget {
     drains: 2,
-    ..NOTHING
+    ..MINIMAL
 };
 
 const COPIED_CHAIN: Budget = Budget { copies: 1, ..CHAIN };
 
-/// A daemon that vanishes and is started anew.
-const FAIL: Budget = Budget {
+/// A daemon that crashes and restarts.
+const CRASH: Budget = Budget {
     copies: 1,
     kills: 1,
     starts: 1,
     steps: 1,
-    ..NOTHING
+    ..MINIMAL
 };
 
-/// A daemon that vanishes while it or another one stops.
-const STOP_AND_FAIL: Budget = Budget {
+/// A daemon that crashes while it or another one stops.
+const STOP_AND_CRASH: Budget = Budget {
     kills: 1,
     starts: 1,
     drains: 1,
-    ..NOTHING
+    ..MINIMAL
 };
 
-/// Set to anything, this variable makes the exploration wider; it then takes minutes.
+/// Environment variable that enables a wider exploration, which takes minutes.
 const WIDE: &str = "MONSOONRING_EXPLORE_WIDE";
 
-/// A world with the least number of actions that leads to it.
+/// A world with the minimum number of actions that leads to it.
 #[derive(Clone, Debug)]
 struct Node {
     world: World,
@@ -102,12 +103,12 @@
     }
 }
 
-#[test_case("calm", 2, None, CALM, CALM)]
+#[test_case("retry", 2, None, RETRY, RETRY)]
 #[test_case("stop", 2, None, STOP, LONG_STOP)]
 #[test_case("chain", 3, None, CHAIN, COPIED_CHAIN)]
-#[test_case("fail", 2, None, FAIL, FAIL)]
-#[test_case("stop and fail", 2, None, STOP_AND_FAIL, STOP_AND_FAIL)]
-#[test_case("own, calm", 2, OWN, CALM, CALM)]
+#[test_case("crash", 2, None, CRASH, CRASH)]
+#[test_case("stop and crash", 2, None, STOP_AND_CRASH, STOP_AND_CRASH)]
+#[test_case("own, retry", 2, OWN, RETRY, RETRY)]
 #[test_case("own, stop", 2, OWN, STOP, LONG_STOP)]
 fn explore_without_mutant_finds_no_violation(
     name: &str,
@@ -118,27 +119,47 @@
 ) {
     let budget = std::env::var_os(WIDE).map_or(budget, |_| wide);
     let world = World::new(daemons, own, budget, None);
-    let (mut states, mut deepest, mut ran) = (0, 0, 0);
+    let (mut states, mut max_depth, mut after_run) = (0, 0, 0);
     for node in bfs_reach(Node { world, depth: 0 }, Node::next) {
         assert_eq!(node.world.violation(), None, "{:#?}", node.world);
         states += 1;
-        deepest = node.depth;
-        ran += usize::from(node.world.runs == 1);
+        max_depth = node.depth;
+        after_run += usize::from(node.world.runs == 1);
     }
-    println!("{name}: {states} states, {ran} of them after a run, depth {deepest}, all explored");
-    assert!(ran > 0, "the world is so small that nothing ran");
+    println!(
+        "{name}: {states} states, {after_run} of them after a run, depth {max_depth}, all explored"
+    );
+    assert!(after_run > 0, "no explored world ran the request");
 }
 
-#[test_case(Mutant::UnknownIsRunAgain, 2, None, FAIL, "ran twice")]
-#[test_case(Mutant::LostIsRetried, 2, None, CALM, "ran twice")]
-#[test_case(Mutant::LostIsNotRun, 2, None, CALM, "told not run, and ran")]
-#[test_case(Mutant::ReusableAfterNotRun, 2, None, CALM, "told not run, and ran")]
-#[test_case(Mutant::RefusalWithoutRecord, 2, None, STOP, "told not run, and ran")]
-#[test_case(Mutant::HandoverTakenTwice, 2, None, STOP, "ran twice")]
+#[test_case(Mutant::UnknownRunsAgain, 2, None, CRASH, "ran twice")]
+#[test_case(Mutant::LostRetried, 2, None, RETRY, "ran twice")]
+#[test_case(
+    Mutant::LostReportedNotRun,
+    2,
+    None,
+    RETRY,
+    "reported as not run, but ran"
+)]
+#[test_case(
+    Mutant::ReusableAfterNotRun,
+    2,
+    None,
+    RETRY,
+    "reported as not run, but ran"
+)]
+#[test_case(
+    Mutant::RefusalWithoutRecord,
+    2,
+    None,
+    STOP,
+    "reported as not run, but ran"
+)]
+#[test_case(Mutant::HandoverAppliedTwice, 2, None, STOP, "ran twice")]
 #[test_case(Mutant::RunsAfterHandover, 2, None, HANDOVER, "ran twice")]
 #[test_case(Mutant::TwoSuccessors, 3, None, HANDOVER, "ran twice")]
-#[test_case(Mutant::FirstSendRepeated, 2, OWN, CALM, "ran twice")]
-fn explore_with_mutant_finds_its_violation(
+#[test_case(Mutant::FirstSendRepeated, 2, OWN, RETRY, "ran twice")]
+fn explore_with_mutant_finds_the_violation(
     mutant: Mutant,
     daemons: usize,
     own: Option<&str>,
@@ -148,8 +169,9 @@
     let attempts = 2;
     let budget = Budget { attempts, ..budget };
     let world = World::new(daemons, own, budget, Some(mutant));
-    let found = |world: &World| world.violation() == Some(violation);
-    let path = bfs(&world, World::next, found).expect("the exploration finds the fault");
+    let is_violated = |world: &World| world.violation() == Some(violation);
+    let path =
+        bfs(&world, World::next, is_violated).expect("the exploration must find the violation");
     println!("{mutant:?}: {violation} after {} actions", path.len() - 1);
 }
 
@@ -161,7 +183,7 @@
     })]
 
     #[test]
-    fn act_at_random_finds_no_violation(
+    fn random_actions_find_no_violation(
         own in any::<bool>(),
         choices in prop::collection::vec(any::<prop::sample::Index>(), 20..120),
     ) {
--- a/crates/decision/tests/model/daemon.rs
+++ b/crates/decision/tests/model/daemon.rs
@@ -1,6 +1,6 @@
-//! The driver around a ledger, as far as at most once depends on it.
+//! The part of the driver around a ledger that at-most-once execution depends on.
 
-use super::{Arrival, Budget, Message, Mutant, Place, World, fence, limits, secret};
+use super::{Arrival, Budget, Message, Mutant, Slot, World, fence, limits, secret};
 use monsoonring_decision::attempt::{Failure, Refusal as BackendRefusal};
 use monsoonring_decision::idempotency::lookup::Resolution;
 use monsoonring_decision::idempotency::{
@@ -14,31 +14,31 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Daemon {
-    pub(crate) place: Place,
+    pub(crate) slot: Slot,
     pub(crate) start: u64,
     started: Time,
     pub(crate) ledger: Ledger,
-    /// The ledger as it was, for mutants that forget something.
+    /// An earlier state of the ledger, for mutants that revert to it.
     before: Option<Box<Ledger>>,
-    run: Option<AnyPermit>,
-    /// Sends that have been taken and not answered.
+    permit: Option<AnyPermit>,
+    /// Accepted sends without an outcome.
     waiting: BTreeSet<RequestId>,
     pub(crate) draining: bool,
-    left_to: BTreeSet<Place>,
+    successors: BTreeSet<Slot>,
 }
 
 impl Daemon {
-    pub(crate) fn new(place: Place, start: u64, started: Time) -> Self {
+    pub(crate) fn new(slot: Slot, start: u64, started: Time) -> Self {
         Self {
-            place,
+            slot,
             start,
             started,
-            ledger: Ledger::new(fence(place, start), secret(start), limits()),
+            ledger: Ledger::new(fence(slot, start), secret(start), limits()),
             before: None,
-            run: None,
+            permit: None,
             waiting: BTreeSet::new(),
             draining: false,
-            left_to: BTreeSet::new(),
+            successors: BTreeSet::new(),
         }
     }
 
@@ -47,16 +47,16 @@
     }
 
     pub(crate) fn can_send(&self) -> bool {
-        matches!(self.run, Some(AnyPermit::Unsent(_)))
+        matches!(self.permit, Some(AnyPermit::Unsent(_)))
     }
 
     pub(crate) fn has_sent(&self) -> bool {
-        matches!(self.run, Some(AnyPermit::Sent(_)))
+        matches!(self.permit, Some(AnyPermit::Sent(_)))
     }
 
-    /// Any other member may be named, so that it is the ledger that refuses a second one.
-    pub(crate) fn may_hand_over(&self, to: Place, budget: Budget) -> bool {
-        self.draining && (budget.copies > 0 || !self.left_to.contains(&to))
+    /// Allows any other member as the successor, as the ledger must refuse a second one.
+    pub(crate) fn can_hand_over(&self, to: Slot, budget: Budget) -> bool {
+        self.draining && (budget.copies > 0 || !self.successors.contains(&to))
     }
 
     pub(crate) fn request(&mut self, arrival: &Arrival, world: &mut World) {
@@ -66,25 +66,25 @@
         let decision = self.ledger.begin(&world.key, &request, now);
         match decision {
             Decision::Run(permit) => {
-                self.run = Some(AnyPermit::Unsent(permit));
+                self.permit = Some(AnyPermit::Unsent(permit));
                 self.waiting.insert(request.id);
                 self.remember(Mutant::ReusableAfterNotRun, before, world);
             }
             Decision::Join => {
                 self.waiting.insert(request.id);
             }
-            Decision::Replay(outcome) => world.tell(&outcome),
+            Decision::Replay(outcome) => world.report(&outcome),
             Decision::Refuse(Refusal::Moved(to)) if arrival.via.is_none() => {
-                self.pass(to, arrival, world);
+                self.forward(to, arrival, world);
             }
             Decision::Refuse(refusal) => {
                 if world.mutant == Some(Mutant::RefusalWithoutRecord) {
                     self.ledger = *before;
                 }
-                world.tell(&refusal.outcome());
+                world.report(&refusal.outcome());
             }
-            Decision::ForwardTo(to) => self.pass(to, arrival, world),
-            Decision::LookUp => self.ask(arrival, world),
+            Decision::ForwardTo(to) => self.forward(to, arrival, world),
+            Decision::LookUp => self.look_up(arrival, world),
         }
     }
 
@@ -94,60 +94,60 @@
         }
     }
 
-    fn pass(&mut self, to: Fence, arrival: &Arrival, world: &mut World) {
-        let place = usize::from(to.member.port() - 7000);
-        let known = world.daemons[place].as_ref();
+    fn forward(&mut self, to: Fence, arrival: &Arrival, world: &mut World) {
+        let slot = usize::from(to.member.port() - 7000);
+        let known = world.daemons[slot].as_ref();
         if known.is_some_and(|daemon| daemon.start == to.start) {
-            self.pass_to(place, arrival, world);
+            self.forward_to(slot, arrival, world);
             return;
         }
-        let conclusion = self.poll(&Lookup::Fence(to), world);
-        self.follow(conclusion, arrival, world);
+        let resolution = self.poll(&Lookup::Fence(to), world);
+        self.apply(resolution, arrival, world);
     }
 
-    fn ask(&mut self, arrival: &Arrival, world: &mut World) {
+    fn look_up(&mut self, arrival: &Arrival, world: &mut World) {
         let Key::Own(text) = &world.key else {
             return;
         };
-        let question = Lookup::Own {
+        let lookup = Lookup::Own {
             caller: super::caller(),
             key: text.clone(),
             fingerprint: 7,
         };
-        let conclusion = self.poll(&question, world);
-        self.follow(conclusion, arrival, world);
+        let resolution = self.poll(&lookup, world);
+        self.apply(resolution, arrival, world);
     }
 
-    // Members that are alive answer at once. One that can't be reached would only turn a positive
-    // answer into "unknown", which changes nothing in the world.
-    fn poll(&self, question: &Lookup, world: &World) -> Resolution {
-        let others = (0..world.daemons.len()).filter(|place| *place != self.place);
-        let address = |place| fence(place, 0).member;
+    // Live members reply immediately. An unreachable one could only turn a positive reply into "unknown", which changes
+    // nothing in the world.
+    fn poll(&self, lookup: &Lookup, world: &World) -> Resolution {
+        let others = (0..world.daemons.len()).filter(|slot| *slot != self.slot);
+        let address = |slot| fence(slot, 0).member;
         let mut poll = Poll::new(others.clone().map(address));
-        for place in others {
-            let daemon = world.daemons[place].as_ref();
-            let answer = daemon.map(|daemon| daemon.ledger.answer(question));
-            if let Some(conclusion) = poll.record_reply(address(place), answer) {
-                return conclusion;
+        for slot in others {
+            let daemon = world.daemons[slot].as_ref();
+            let reply = daemon.map(|daemon| daemon.ledger.answer(lookup));
+            if let Some(resolution) = poll.record_reply(address(slot), reply) {
+                return resolution;
             }
         }
         Resolution::Unknown
     }
 
-    fn follow(&mut self, conclusion: Resolution, arrival: &Arrival, world: &mut World) {
-        match conclusion {
+    fn apply(&mut self, resolution: Resolution, arrival: &Arrival, world: &mut World) {
+        match resolution {
             Resolution::ForwardTo(member) => {
-                self.pass_to(usize::from(member.port() - 7000), arrival, world);
+                self.forward_to(usize::from(member.port() - 7000), arrival, world);
             }
-            Resolution::Replay(outcome) => world.tell(&outcome),
+            Resolution::Replay(outcome) => world.report(&outcome),
             Resolution::Mismatch => world.unanswered = true,
-            Resolution::Unknown => self.unknown(arrival, world),
+            Resolution::Unknown => self.on_unknown(arrival, world),
         }
     }
 
-    fn unknown(&mut self, arrival: &Arrival, world: &mut World) {
-        if world.mutant != Some(Mutant::UnknownIsRunAgain) {
-            world.tell(&Refusal::Gone.outcome());
+    fn on_unknown(&mut self, arrival: &Arrival, world: &mut World) {
+        if world.mutant != Some(Mutant::UnknownRunsAgain) {
+            world.report(&Refusal::Gone.outcome());
             return;
         }
         let mut request = world.request_of(arrival, self.started);
@@ -155,44 +155,53 @@
         let key = Key::Own("again".into());
         let now = self.clock(world.now);
         if let Decision::Run(permit) = self.ledger.begin(&key, &request, now) {
-            self.run = Some(AnyPermit::Unsent(permit));
+            self.permit = Some(AnyPermit::Unsent(permit));
             self.waiting.insert(request.id);
         }
     }
 
-    fn pass_to(&mut self, place: Place, arrival: &Arrival, world: &mut World) {
-        let mut passed = arrival.clone();
-        passed.via = Some((self.place, self.start));
-        world.net.push(Message::Request(place, passed));
+    fn forward_to(&mut self, slot: Slot, arrival: &Arrival, world: &mut World) {
+        let mut forwarded = arrival.clone();
+        forwarded.via = Some((self.slot, self.start));
+        world.net.push(Message::Request(slot, forwarded));
     }
 
     pub(crate) fn send_work(&mut self, world: &mut World) {
-        let Some(run) = self.run.take() else {
+        let Some(permit) = self.permit.take() else {
             return;
         };
-        let (run, may) = run.mark_sent(self.clock(world.now));
-        self.run = Some(run);
-        if may {
+        let (permit, is_in_time) = permit.mark_sent(self.clock(world.now));
+        self.permit = Some(permit);
+        if is_in_time {
             world.budget.attempts -= 1;
-            world.net.push(Message::Work(self.place, self.start));
+            world.net.push(Message::Work(self.slot, self.start));
             return;
         }
         self.end(not_run(Reason::Deadline), world);
     }
 
-    /// The connection is lost; the work may be done all the same, before or after.
+    /// Loses the connection. The backend server may execute the work before or after.
     pub(crate) fn lose_work(&mut self, world: &mut World) {
         match world.mutant {
-            Some(Mutant::LostIsNotRun) => {
-                self.run = self.run.take().map(|run| run.on_failure(&Failure::NotSent));
+            Some(Mutant::LostReportedNotRun) => {
+                self.permit = self
+                    .permit
+                    .take()
+                    .map(|permit| permit.on_failure(&Failure::NotSent));
                 self.end(not_run(Reason::Lost), world);
             }
-            Some(Mutant::LostIsRetried) => {
-                self.run = self.run.take().map(|run| run.on_failure(&Failure::NotSent));
+            Some(Mutant::LostRetried) => {
+                self.permit = self
+                    .permit
+                    .take()
+                    .map(|permit| permit.on_failure(&Failure::NotSent));
             }
             _ => {
-                self.run = self.run.take().map(|run| run.on_failure(&Failure::Lost));
-                // A driver that calls it "not run" by mistake is corrected by the ledger.
+                self.permit = self
+                    .permit
+                    .take()
+                    .map(|permit| permit.on_failure(&Failure::Lost));
+                // The ledger corrects a driver that reports a lost attempt as not run.
                 self.end(not_run(Reason::Lost), world);
             }
         }
@@ -218,23 +227,23 @@
             retry_after,
             report,
         };
-        self.run = self.run.take().map(|run| run.on_failure(&failure));
+        self.permit = self.permit.take().map(|permit| permit.on_failure(&failure));
     }
 
     fn end(&mut self, outcome: outcome::Outcome, world: &mut World) {
-        let Some(run) = self.run.take() else {
+        let Some(permit) = self.permit.take() else {
             return;
         };
         let now = self.clock(world.now);
-        let ended = self.ledger.conclude(run, outcome, now);
-        for joined in &ended.joined {
+        let completion = self.ledger.conclude(permit, outcome, now);
+        for joined in &completion.joined {
             self.waiting.remove(joined);
         }
-        // The send that ran it is the one left, unless a copy of it joined as well.
+        // Only the send that ran the request may remain, or none if a copy of it joined.
         world.unanswered |= self.waiting.len() > 1;
         self.waiting.clear();
-        world.tell(&ended.outcome);
-        let not_run = matches!(ended.outcome, Outcome::NotRun { .. });
+        world.report(&completion.outcome);
+        let not_run = matches!(completion.outcome, Outcome::NotRun { .. });
         if let Some(before) = self.before.take().filter(|_| not_run) {
             self.ledger = *before;
         }
@@ -247,7 +256,7 @@
         self.draining = true;
     }
 
-    pub(crate) fn hand_over(&mut self, to: Place, start: u64, world: &mut World) {
+    pub(crate) fn hand_over(&mut self, to: Slot, start: u64, world: &mut World) {
         let now = self.clock(world.now);
         let mut ledger = self.ledger.clone();
         if let (Some(Mutant::TwoSuccessors), Some(before)) = (world.mutant, &self.before) {
@@ -261,7 +270,7 @@
         if world.mutant != Some(Mutant::RunsAfterHandover) {
             self.ledger = ledger;
         }
-        if !self.left_to.insert(to) {
+        if !self.successors.insert(to) {
             world.budget.copies -= 1;
         }
         world.net.push(Message::Handover(to, Rc::new(handover)));
@@ -269,8 +278,8 @@
 
     pub(crate) fn inherit(&mut self, handover: Handover, world: &mut World) {
         let now = self.clock(world.now);
-        if world.mutant == Some(Mutant::HandoverTakenTwice) {
-            self.ledger = Ledger::new(fence(self.place, self.start), secret(self.start), limits());
+        if world.mutant == Some(Mutant::HandoverAppliedTwice) {
+            self.ledger = Ledger::new(fence(self.slot, self.start), secret(self.start), limits());
         }
         let from = usize::from(handover.from.member.port() - 7000);
         if let Ok(receipt) = self.ledger.inherit(handover, now) {
--- a/crates/decision/tests/model/mod.rs
+++ b/crates/decision/tests/model/mod.rs
@@ -1,8 +1,8 @@
-//! A world of a few daemons around the real ledger, small enough to be explored whole.
+//! A model of a few daemons with the real ledger, small enough for exhaustive exploration.
 //!
-//! Messages are delivered in any order, at any time or never, which covers loss, delay and
-//! partitions; each step of a daemon is an action of its own, between which anything else may
-//! happen, which covers pauses. Requests and handovers may also be delivered twice.
+//! Messages are delivered in any order, at any time or never, which covers loss, delay and partitions. Each step of a
+//! daemon is a separate action with any others in between, which covers pauses. Requests and handovers may also be
+//! delivered twice.
 
 mod daemon;
 
@@ -16,37 +16,37 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time by which the clock moves in one action.
-pub(crate) const STEP: Duration = Duration::from_secs(6);
+/// Time by which [`Action::AdvanceClock`] advances the clock.
+pub(crate) const CLOCK_STEP: Duration = Duration::from_secs(6);
 
 const LIFETIME: Duration = Duration::from_secs(10);
-const SLACK: Duration = Duration::from_secs(2);
-const PATIENCE: Duration = Duration::from_secs(4);
+const RETENTION: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A fault put into the driver or around the ledger, which the exploration has to find.
+/// A deliberate fault in the driver or around the ledger that the exploration must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Mutant {
-    /// Where the holder isn't found, the request is run here.
-    UnknownIsRunAgain,
-    /// The old incarnation names another successor when no acknowledgement came.
+    /// A daemon runs the request itself if it can't find the holder.
+    UnknownRunsAgain,
+    /// The old incarnation names a second successor if the first one did not acknowledge.
     TwoSuccessors,
-    /// A key that was refused as not run can be run again.
+    /// A key can run again after it was reported as not run.
     ReusableAfterNotRun,
-    /// A late copy of a handover replaces what the successor knows.
-    HandoverTakenTwice,
-    /// The old incarnation goes on as if it had not handed over.
+    /// A late copy of a handover replaces the successor's ledger.
+    HandoverAppliedTwice,
+    /// The old incarnation continues to run requests after its handover.
     RunsAfterHandover,
-    /// A stopping daemon refuses as not run without a record.
+    /// A refused request leaves no record.
     RefusalWithoutRecord,
-    /// A lost reply is told as not run.
-    LostIsNotRun,
-    /// An attempt that was lost is sent again.
-    LostIsRetried,
-    /// The balancer repeats an own key's first send.
+    /// A lost reply is reported as not run.
+    LostReportedNotRun,
+    /// A lost attempt is sent again.
+    LostRetried,
+    /// The load balancer repeats the first send of a caller's own key.
     FirstSendRepeated,
 }
 
-/// How often each thing that is not bounded by itself may happen.
+/// How often each kind of action may happen, to keep the exploration finite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub(crate) sends: u8,
@@ -58,11 +58,11 @@
     pub(crate) attempts: u8,
 }
 
-/// Place of a daemon in the world; it stands for its address.
-pub(crate) type Place = usize;
+/// Index of a daemon, which stands for its address. A restarted daemon keeps its slot.
+pub(crate) type Slot = usize;
 
-/// A daemon that passed a request on, and its start number.
-pub(crate) type Via = Option<(Place, u64)>;
+/// The daemon that forwarded a request, with its start number.
+pub(crate) type Via = Option<(Slot, u64)>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Arrival {
@@ -73,33 +73,33 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Message {
-    Request(Place, Arrival),
-    Handover(Place, Rc<Handover>),
-    Receipt(Place, Receipt),
-    /// At the backend server, from this incarnation.
-    Work(Place, u64),
-    /// The backend server's reply: whether it ran.
-    Reply(Place, u64, bool),
+    Request(Slot, Arrival),
+    Handover(Slot, Rc<Handover>),
+    Receipt(Slot, Receipt),
+    /// Work in transit to a backend server, from this incarnation.
+    Work(Slot, u64),
+    /// Reply of a backend server to this incarnation: whether it executed the work.
+    Reply(Slot, u64, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    Send(Place),
+    Send(Slot),
     Deliver(usize),
     Copy(usize),
-    /// Deliver work that the backend server refuses.
+    /// Delivers work that the backend server refuses.
     RefuseWork(usize),
-    SendWork(Place),
-    LoseWork(Place),
-    GiveUp(Place),
-    Drain(Place),
-    HandOver(Place, Place),
-    Kill(Place),
-    Start(Place),
-    Step,
+    SendWork(Slot),
+    LoseWork(Slot),
+    GiveUp(Slot),
+    Drain(Slot),
+    HandOver(Slot, Slot),
+    Kill(Slot),
+    Start(Slot),
+    AdvanceClock,
 }
 
-/// Daemons and handovers are shared between the worlds, as an action changes few of them.
+/// State of the model. Worlds share daemons and handovers, as an action changes few of them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct World {
     pub(crate) daemons: Vec<Option<Rc<Daemon>>>,
@@ -110,12 +110,13 @@
     pub(crate) mutant: Option<Mutant>,
     starts: u64,
     sends: u8,
-    /// How often the backend servers ran the request.
+    /// How often backend servers executed the request.
     pub(crate) runs: u8,
-    /// Whether a caller was told that it ran, or that it did not.
-    pub(crate) told_executed: bool,
-    pub(crate) told_not_run: bool,
-    /// Whether a run ended without anyone to tell, or a send was left without an answer.
+    /// Whether a caller received the outcome "executed".
+    pub(crate) reported_executed: bool,
+    /// Whether a caller received the outcome "not run".
+    pub(crate) reported_not_run: bool,
+    /// Whether a send was left without an outcome.
     pub(crate) unanswered: bool,
 }
 
@@ -127,8 +128,8 @@
     "tickets".into()
 }
 
-pub(crate) fn fence(place: Place, start: u64) -> Fence {
-    let port = 7000 + u16::try_from(place).expect("few daemons");
+pub(crate) fn fence(slot: Slot, start: u64) -> Fence {
+    let port = 7000 + u16::try_from(slot).expect("few daemons");
     let member = ([127, 0, 0, 1], port).into();
     Fence { member, start }
 }
@@ -136,24 +137,24 @@
 pub(crate) fn limits() -> Limits {
     Limits {
         lifetime: LIFETIME,
-        retention: SLACK,
+        retention: RETENTION,
         ..Limits::default()
     }
 }
 
 impl World {
-    /// A world of that many daemons; without an own key, the first one has issued a key.
+    /// Returns a world of `daemons` daemons. Without an own key, the first one issues the key.
     pub(crate) fn new(
         daemons: usize,
         own: Option<&str>,
         budget: Budget,
         mutant: Option<Mutant>,
     ) -> Self {
-        let new = |place| Daemon::new(place, 1, Time::ZERO);
+        let new = |slot| Daemon::new(slot, 1, Time::ZERO);
         let mut first = new(0);
-        let mut issued = || first.ledger.mint(&caller(), &route(), Time::ZERO);
+        let mut mint = || first.ledger.mint(&caller(), &route(), Time::ZERO);
         let key = own.map_or_else(
-            || issued().expect("an empty ledger has room"),
+            || mint().expect("an empty ledger has room"),
             |text| text.parse().expect("a valid key"),
         );
         Self {
@@ -170,27 +171,27 @@
             starts: 1,
             sends: 0,
             runs: 0,
-            told_executed: false,
-            told_not_run: false,
+            reported_executed: false,
+            reported_not_run: false,
             unanswered: false,
         }
     }
 
-    /// What is wrong with the world, if anything is.
+    /// Returns the violated invariant, if any.
     pub(crate) fn violation(&self) -> Option<&'static str> {
         if self.runs > 1 {
             return Some("ran twice");
         }
-        if self.told_not_run && self.runs > 0 {
-            return Some("told not run, and ran");
+        if self.reported_not_run && self.runs > 0 {
+            return Some("reported as not run, but ran");
         }
-        if self.told_executed && self.runs == 0 {
-            return Some("told executed, and did not run");
+        if self.reported_executed && self.runs == 0 {
+            return Some("reported as executed, but did not run");
         }
         self.unanswered.then_some("a send has no outcome")
     }
 
-    /// Every world that is one action away.
+    /// Returns every world that one action leads to.
     pub(crate) fn next(&self) -> Vec<World> {
         let actions = self.actions();
         actions.into_iter().map(|a| self.after(a)).collect()
@@ -199,7 +200,7 @@
     pub(crate) fn after(&self, action: Action) -> World {
         let mut world = self.clone();
         world.act(action);
-        // Messages are a bag: worlds that differ only in their order are the same.
+        // Worlds that differ only in the order of messages are equal.
         world.net.sort_by_cached_key(hash);
         world
     }
@@ -216,49 +217,49 @@
                 _ => {}
             }
         }
-        for (place, daemon) in self.daemons.iter().enumerate() {
+        for (slot, daemon) in self.daemons.iter().enumerate() {
             match daemon {
-                Some(daemon) => self.daemon_actions(place, daemon, &mut actions),
-                None if self.budget.starts > 0 => actions.push(Action::Start(place)),
+                Some(daemon) => self.daemon_actions(slot, daemon, &mut actions),
+                None if self.budget.starts > 0 => actions.push(Action::Start(slot)),
                 None => {}
             }
         }
         if self.budget.steps > 0 {
-            actions.push(Action::Step);
+            actions.push(Action::AdvanceClock);
         }
         actions
     }
 
-    fn daemon_actions(&self, place: Place, daemon: &Daemon, actions: &mut Vec<Action>) {
+    fn daemon_actions(&self, slot: Slot, daemon: &Daemon, actions: &mut Vec<Action>) {
         if self.budget.sends > 0 {
-            actions.push(Action::Send(place));
+            actions.push(Action::Send(slot));
         }
         if self.budget.kills > 0 {
-            actions.push(Action::Kill(place));
+            actions.push(Action::Kill(slot));
         }
         if daemon.can_send() && self.budget.attempts > 0 {
-            actions.push(Action::SendWork(place));
+            actions.push(Action::SendWork(slot));
         }
         if daemon.can_send() {
-            actions.push(Action::GiveUp(place));
+            actions.push(Action::GiveUp(slot));
         }
         if daemon.has_sent() {
-            actions.push(Action::LoseWork(place));
+            actions.push(Action::LoseWork(slot));
         }
         if self.budget.drains > 0 && !daemon.draining {
-            actions.push(Action::Drain(place));
+            actions.push(Action::Drain(slot));
         }
-        let others = (0..self.daemons.len()).filter(|to| *to != place);
-        for to in others.filter(|to| daemon.may_hand_over(*to, self.budget)) {
+        let others = (0..self.daemons.len()).filter(|to| *to != slot);
+        for to in others.filter(|to| daemon.can_hand_over(*to, self.budget)) {
             if self.daemons[to].is_some() {
-                actions.push(Action::HandOver(place, to));
+                actions.push(Action::HandOver(slot, to));
             }
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send(place) => self.send(place),
+            Action::Send(slot) => self.send(slot),
             Action::Deliver(index) => {
                 let message = self.net.remove(index);
                 self.deliver(message, false);
@@ -269,23 +270,23 @@
                 self.deliver(message, true);
             }
             Action::RefuseWork(index) => {
-                if let Message::Work(place, start) = self.net.remove(index) {
-                    self.net.push(Message::Reply(place, start, false));
+                if let Message::Work(slot, start) = self.net.remove(index) {
+                    self.net.push(Message::Reply(slot, start, false));
                 }
             }
-            Action::Kill(place) => {
+            Action::Kill(slot) => {
                 self.budget.kills -= 1;
-                self.daemons[place] = None;
+                self.daemons[slot] = None;
             }
-            Action::Start(place) => {
+            Action::Start(slot) => {
                 self.budget.starts -= 1;
                 self.starts += 1;
-                let daemon = Daemon::new(place, self.starts, self.now);
-                self.daemons[place] = Some(Rc::new(daemon));
+                let daemon = Daemon::new(slot, self.starts, self.now);
+                self.daemons[slot] = Some(Rc::new(daemon));
             }
-            Action::Step => {
+            Action::AdvanceClock => {
                 self.budget.steps -= 1;
-                self.now += STEP;
+                self.now += CLOCK_STEP;
             }
             other => self.act_daemon(other),
         }
@@ -293,91 +294,91 @@
 
     fn act_daemon(&mut self, action: Action) {
         match action {
-            Action::SendWork(place) => self.with(place, Daemon::send_work),
-            Action::LoseWork(place) => self.with(place, Daemon::lose_work),
-            Action::GiveUp(place) => self.with(place, Daemon::give_up),
-            Action::Drain(place) => {
+            Action::SendWork(slot) => self.with_daemon(slot, Daemon::send_work),
+            Action::LoseWork(slot) => self.with_daemon(slot, Daemon::lose_work),
+            Action::GiveUp(slot) => self.with_daemon(slot, Daemon::give_up),
+            Action::Drain(slot) => {
                 self.budget.drains -= 1;
-                self.with(place, Daemon::drain);
+                self.with_daemon(slot, Daemon::drain);
             }
-            Action::HandOver(place, to) => {
+            Action::HandOver(slot, to) => {
                 let start = self.daemons[to].as_ref().map_or(0, |daemon| daemon.start);
-                self.with(place, |daemon, world| daemon.hand_over(to, start, world));
+                self.with_daemon(slot, |daemon, world| daemon.hand_over(to, start, world));
             }
             _ => {}
         }
     }
 
-    fn send(&mut self, place: Place) {
+    fn send(&mut self, slot: Slot) {
         self.budget.sends -= 1;
         self.sends += 1;
-        let deadline = self.now + PATIENCE;
+        let deadline = self.now + CALLER_TIMEOUT;
         let (send, via) = (self.sends, None);
         let arrival = Arrival {
             send,
             deadline,
             via,
         };
-        self.net.push(Message::Request(place, arrival));
+        self.net.push(Message::Request(slot, arrival));
     }
 
-    fn deliver(&mut self, message: Message, copied: bool) {
+    fn deliver(&mut self, message: Message, is_copy: bool) {
         match message {
-            Message::Request(place, arrival) => {
-                let first = arrival.send == 1 && arrival.via.is_none();
-                if copied && first && matches!(self.key, Key::Own(_)) {
-                    self.repeat_first(place, arrival);
+            Message::Request(slot, arrival) => {
+                let is_first = arrival.send == 1 && arrival.via.is_none();
+                if is_copy && is_first && matches!(self.key, Key::Own(_)) {
+                    self.repeat_first(slot, arrival);
                     return;
                 }
-                self.with(place, |daemon, world| daemon.request(&arrival, world));
+                self.with_daemon(slot, |daemon, world| daemon.request(&arrival, world));
             }
-            Message::Handover(place, handover) => {
-                self.with(place, |daemon, world| {
+            Message::Handover(slot, handover) => {
+                self.with_daemon(slot, |daemon, world| {
                     daemon.inherit((*handover).clone(), world)
                 });
             }
-            Message::Receipt(place, receipt) => {
-                self.with(place, |daemon, _| daemon.ledger.acknowledge(receipt));
+            Message::Receipt(slot, receipt) => {
+                self.with_daemon(slot, |daemon, _| daemon.ledger.acknowledge(receipt));
             }
-            Message::Work(place, start) => {
+            Message::Work(slot, start) => {
                 self.runs += 1;
-                self.net.push(Message::Reply(place, start, true));
+                self.net.push(Message::Reply(slot, start, true));
             }
-            Message::Reply(place, start, ran) => {
-                self.with(place, |daemon, world| daemon.reply(start, ran, world));
+            Message::Reply(slot, start, ran) => {
+                self.with_daemon(slot, |daemon, world| daemon.reply(start, ran, world));
             }
         }
     }
 
-    // That the balancer doesn't do this is what own keys rest on.
-    fn repeat_first(&mut self, place: Place, arrival: Arrival) {
+    // Own keys rely on a load balancer that doesn't repeat the first send.
+    fn repeat_first(&mut self, slot: Slot, arrival: Arrival) {
         if self.mutant == Some(Mutant::FirstSendRepeated) {
-            let other = (place + 1) % self.daemons.len();
-            self.net.push(Message::Request(other, arrival));
+            let next = (slot + 1) % self.daemons.len();
+            self.net.push(Message::Request(next, arrival));
         }
     }
 
-    /// Runs a step of a daemon, outside of the world that it acts on.
-    fn with(&mut self, place: Place, step: impl FnOnce(&mut Daemon, &mut World)) {
-        if let Some(daemon) = self.daemons[place].take() {
+    /// Runs a step of a daemon, which is taken out of the world meanwhile.
+    fn with_daemon(&mut self, slot: Slot, step: impl FnOnce(&mut Daemon, &mut World)) {
+        if let Some(daemon) = self.daemons[slot].take() {
             let mut daemon = Rc::unwrap_or_clone(daemon);
             daemon.ledger.tick(daemon.clock(self.now));
             step(&mut daemon, self);
-            self.daemons[place] = Some(Rc::new(daemon));
+            self.daemons[slot] = Some(Rc::new(daemon));
         }
     }
 
-    /// Tells the caller of a send its outcome.
-    pub(crate) fn tell(&mut self, outcome: &Outcome) {
+    /// Reports the outcome of a send to its caller.
+    pub(crate) fn report(&mut self, outcome: &Outcome) {
         match outcome {
-            Outcome::NotRun { .. } => self.told_not_run = true,
-            Outcome::Executed(_) => self.told_executed = true,
+            Outcome::NotRun { .. } => self.reported_not_run = true,
+            Outcome::Executed(_) => self.reported_executed = true,
             Outcome::Failed { .. } | Outcome::Unknown { .. } => {}
         }
     }
 
     pub(crate) fn request_of(&self, arrival: &Arrival, started: Time) -> Request {
-        let via = arrival.via.map_or(0, |(place, _)| place as u128 + 1);
+        let via = arrival.via.map_or(0, |(slot, _)| slot as u128 + 1);
         Request {
             id: u128::from(arrival.send) + (via << 8),
             caller: caller(),
@@ -396,7 +397,7 @@
     hasher.finish()
 }
 
-/// The secret of an incarnation; the tests need no real randomness.
+/// Returns a deterministic secret of an incarnation.
 pub(crate) fn secret(start: u64) -> Secret {
     let byte = u8::try_from(start % 251).expect("below 251");
     [byte; 32].into()
