--- a/crates/decision/tests/idempotency_model.rs
+++ b/crates/decision/tests/idempotency_model.rs
@@ -29,7 +29,7 @@
     ..MINIMAL
 };
 
-/// A graceful stop.
+/// A graceful stop with a copied message and a clock step.
 const STOP: Budget = Budget {
     copies: 1,
     drains: 1,
--- a/crates/decision/tests/member.rs
+++ b/crates/decision/tests/member.rs
@@ -53,9 +53,9 @@
     );
     network.run(SECOND * 30);
     assert!(!network.tables[0].is_current());
-    let refutation = network.tables[0].get(id(0)).map(|c| c.incarnation.start);
+    let start = network.tables[0].get(id(0)).map(|c| c.incarnation.start);
     assert_eq!(
-        refutation,
+        start,
         Some(1),
         "the old process must not adopt the new start number"
     );
--- a/crates/decision/tests/mirror.rs
+++ b/crates/decision/tests/mirror.rs
@@ -53,7 +53,8 @@
 struct Store {
     /// The history of changes, by era.
     eras: Vec<Vec<Change>>,
-    forgotten: Revision,
+    /// Revision up to which the history is compacted.
+    compacted: Revision,
 }
 
 impl Store {
@@ -85,7 +86,7 @@
         let kept = self.changes().len().saturating_sub(lost);
         let copy = self.changes()[..kept].to_vec();
         self.eras.push(copy);
-        self.forgotten = self.forgotten.min(kept as Revision);
+        self.compacted = self.compacted.min(kept as Revision);
     }
 
     /// Answers a watch from a revision. As in the real store, the era of that revision is unknown.
@@ -93,7 +94,7 @@
         let Position { era, revision: to } = self.position();
         let body: Arc<[u8]> = Arc::from([era as u8]);
         let at = |revision| Position { era, revision };
-        let is_known = after >= self.forgotten && after <= to;
+        let is_known = after >= self.compacted && after <= to;
         is_known.then(|| Batch {
             after: at(after),
             to: at(to),
@@ -170,7 +171,7 @@
         Self {
             store: Store {
                 eras: vec![Vec::new()],
-                forgotten: 0,
+                compacted: 0,
             },
             readers: (0..READERS)
                 .map(|_| (Log::new(FRESHNESS), Host::default(), 0))
@@ -185,7 +186,7 @@
     fn step(&mut self) {
         match self.rng.random_range(0..100) {
             0..20 => self.write(),
-            20..21 => self.store.forgotten = self.store.position().revision,
+            20..21 => self.store.compacted = self.store.position().revision,
             21..22 => self.restore_store(),
             22..40 => self.watch(),
             40..45 => self.load_any_reader(),
--- a/crates/decision/tests/mirror_timing.rs
+++ b/crates/decision/tests/mirror_timing.rs
@@ -17,7 +17,8 @@
 use test_case::test_case;
 
 const STEP: Time = Time::from_millis(10);
-const LENGTH: Time = Time::from_secs(60);
+/// Time during which changes are written.
+const SIMULATED_TIME: Time = Time::from_secs(60);
 const SEEDS: u64 = 400;
 
 /// Time that a watch may exceed its wait before it counts as failed.
@@ -228,7 +229,7 @@
     }
 }
 
-/// Simulates `LENGTH`. Returns the longest time that a change took to reach the host.
+/// Runs a simulation. Returns the longest time that a change took to reach the host.
 fn simulate(seed: u64, bound: Duration) -> Time {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let timing = Timing::new(bound);
@@ -245,8 +246,8 @@
     });
     let mut written: Vec<Time> = Vec::new();
     let (mut now, mut received, mut longest) = (Time::ZERO, 0, Time::ZERO);
-    while now < LENGTH + bound * 2 {
-        if now < LENGTH && rng.random_bool(0.005) {
+    while now < SIMULATED_TIME + bound * 2 {
+        if now < SIMULATED_TIME && rng.random_bool(0.005) {
             written.push(now);
         }
         let store = written.len() as Revision;
