--- a/crates/daemon/src/caller/request_log.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -7,7 +7,7 @@
 use super::header::request_text;
 use super::problem::{Problem, RunStatus};
 use crate::metrics::Metrics;
-use crate::metrics::label::{ClassLabel, Ended};
+use crate::metrics::label::{ClassLabel, RequestOutcome};
 use crate::server::stop::{Stage, Watch};
 use monsoonring_configuration::document::Class;
 use monsoonring_configuration::id::RouteId;
@@ -99,10 +99,10 @@
     }
 
     /// Closes the entry of a request that was answered.
-    pub(crate) fn record_answer(mut self, ended: Ended, coverage: Option<f64>) {
+    pub(crate) fn record_answer(mut self, ended: RequestOutcome, coverage: Option<f64>) {
         if let Some(coverage) = coverage {
             let front = &self.request_log.shared.metrics.front;
-            front.covered(self.route.as_ref(), self.class, coverage);
+            front.record_coverage(self.route.as_ref(), self.class, coverage);
         }
         self.close(ended, "");
     }
@@ -110,16 +110,16 @@
     /// Closes the entry of a request that was refused or failed.
     pub(crate) fn record_problem(mut self, problem: &Problem) {
         let ended = match problem.run_status {
-            RunStatus::NotRun => Ended::NotRun,
-            RunStatus::Failed => Ended::Failed,
-            RunStatus::Unknown => Ended::Unknown,
+            RunStatus::NotRun => RequestOutcome::NotRun,
+            RunStatus::Failed => RequestOutcome::Failed,
+            RunStatus::Unknown => RequestOutcome::Unknown,
         };
         let front = &self.request_log.shared.metrics.front;
-        front.refused(self.route.as_ref(), self.class, problem.kind);
+        front.record_refusal(self.route.as_ref(), self.class, problem.kind);
         self.close(ended, problem.kind);
     }
 
-    fn close(&mut self, ended: Ended, reason: &'static str) {
+    fn close(&mut self, ended: RequestOutcome, reason: &'static str) {
         self.ended = true;
         self.record_metrics(ended);
         let shared = &self.request_log.shared;
@@ -135,10 +135,10 @@
         );
     }
 
-    fn record_metrics(&self, outcome: Ended) {
+    fn record_metrics(&self, outcome: RequestOutcome) {
         let front = &self.request_log.shared.metrics.front;
         let duration = self.arrived.elapsed();
-        front.ended(self.route.as_ref(), self.class, outcome, duration);
+        front.record_outcome(self.route.as_ref(), self.class, outcome, duration);
     }
 
     /// Records that the request was dropped before its response was made.
@@ -146,9 +146,9 @@
         let shared = &self.request_log.shared;
         let ended = if shared.stop.stage() == Stage::Cut {
             shared.cut.fetch_add(1, Ordering::Relaxed);
-            Ended::Cut
+            RequestOutcome::Cut
         } else {
-            Ended::Abandoned
+            RequestOutcome::Abandoned
         };
         self.record_metrics(ended);
         warn!(
--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -271,7 +271,7 @@
 
     fn receive_facts(&mut self, entries: Vec<fact::Entry>, from: MemberId) {
         for entry in self.facts.receive(entries, self.clock.now()) {
-            self.metrics.control.fact(&entry.key, "heard");
+            self.metrics.control.record_fact(&entry.key, "heard");
             info!(self.log, "fact"; "what" => "heard", "fact" => format!("{:?}", entry.key),
                 "from" => %from, "life_ms" => entry.life.as_millis());
             let _ = self.new_facts.send(NewFact {
@@ -300,7 +300,7 @@
         let Some(entry) = self.facts.learn(key, version, lifetime, now) else {
             return;
         };
-        self.metrics.control.fact(&entry.key, "learned");
+        self.metrics.control.record_fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
         let _ = self.new_facts.send(NewFact {
@@ -362,7 +362,7 @@
     }
 
     fn handle_state_change(&mut self, member: MemberId, state: State) {
-        self.metrics.control.changed(state);
+        self.metrics.control.record_member_change(state);
         if !state.is_serving() {
             // Drop the connection to a dead process: it would be reused for the next call to a new
             // process on the same address, and that call would fail.
@@ -414,7 +414,7 @@
                 }
                 configuration::Action::Adopt(version, _) => self.adopt(version),
                 configuration::Action::Log(line) => {
-                    self.metrics.control.decided(line.what);
+                    self.metrics.control.record_configuration_event(line.what);
                     info!(self.log, "configuration"; "what" => line.what, "why" => line.why,
                         "revision" => line.version.revision,
                         "digest" => format!("{:032x}", line.version.digest));
@@ -455,7 +455,7 @@
     fn publish(&self) {
         let view = self.build_view();
         let control = &self.metrics.control;
-        control.set_standing(view.ready().is_ok(), view.isolated, view.conflicts);
+        control.set_readiness(view.ready().is_ok(), view.isolated, view.conflicts);
         self.view.send_if_modified(|published| {
             let changed = !published.is_same(&view);
             if changed {
--- a/crates/daemon/src/gateway/describe.rs
+++ b/crates/daemon/src/gateway/describe.rs
@@ -3,7 +3,7 @@
 use super::control;
 use super::members;
 use super::state::State;
-use crate::operator::shown;
+use crate::operator::render;
 use monsoonring_configuration::id::DataCentreId;
 use monsoonring_decision::gateway::shards;
 use serde_json::{Value, json};
@@ -38,11 +38,11 @@
             "registry": control.as_ref().map(registry),
             "hosts": members.as_ref().map(|members| members.hosts),
             "members": members.as_ref().map_or_else(Vec::new, |members| {
-                members.changes.iter().map(shown::member).collect()
+                members.changes.iter().map(render::member).collect()
             }),
             "routes": self.sets().await,
             "facts": members.map_or_else(Vec::new, |members| {
-                members.facts.iter().map(shown::fact).collect()
+                members.facts.iter().map(render::fact).collect()
             }),
         })
     }
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -8,7 +8,7 @@
 use super::{Ingress, RequestInfo};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::metrics::label::Ended;
+use crate::metrics::label::RequestOutcome;
 use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -45,7 +45,7 @@
 /// A response, with the outcome and reason for the log.
 struct Reply {
     response: Response<Full<Bytes>>,
-    outcome: Ended,
+    outcome: RequestOutcome,
     reason: String,
 }
 
@@ -175,7 +175,7 @@
         let reply = match (&self.origin, &outcome) {
             (Origin::Peer, Outcome::NotRun { reason, .. }) if is_host_specific(*reason) => Reply {
                 response: relay::decline("not able to"),
-                outcome: Ended::NotRun,
+                outcome: RequestOutcome::NotRun,
                 reason: format!("declined: {reason}"),
             },
             _ => self.reply(outcome, &route, only_keys.as_ref()),
@@ -261,24 +261,24 @@
             Outcome::Executed(server_response) => Reply {
                 reason: format!("status {}", server_response.status.as_u16()),
                 response: self.ingress.single(server_response),
-                outcome: Ended::Complete,
+                outcome: RequestOutcome::Complete,
             },
             Outcome::NotRun {
                 reason,
                 retry_after,
             } => Reply {
                 response: self.retry_later(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
-                outcome: Ended::NotRun,
+                outcome: RequestOutcome::NotRun,
                 reason: reason.to_string(),
             },
             Outcome::Failed { reason, .. } => Reply {
                 response: empty_response(failure_status(reason)),
-                outcome: Ended::Failed,
+                outcome: RequestOutcome::Failed,
                 reason: reason.to_string(),
             },
             Outcome::Unknown { reason } => Reply {
                 response: empty_response(failure_status(reason)),
-                outcome: Ended::Unknown,
+                outcome: RequestOutcome::Unknown,
                 reason: reason.to_string(),
             },
         }
@@ -294,8 +294,8 @@
         let missing = missing_keys.len() as usize;
         let version = answer.index_version;
         let outcome = match missing {
-            0 => Ended::Complete,
-            _ => Ended::Partial,
+            0 => RequestOutcome::Complete,
+            _ => RequestOutcome::Partial,
         };
         let mut parts: Vec<ServerResponse> =
             answer.items.into_iter().map(|item| item.value).collect();
@@ -340,7 +340,7 @@
     }
 
     fn malformed(&self, reason: &'static str) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, "malformed");
+        self.metrics.front.record_refusal(None, None, "malformed");
         info!(self.log, "request"; "outcome" => "malformed", "why" => reason);
         empty_response(StatusCode::BAD_REQUEST)
     }
@@ -351,14 +351,14 @@
         reason: &'static str,
         retry_after: Duration,
     ) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, reason);
-        info!(self.log, "request"; "id" => &info.id, "outcome" => Ended::NotRun.to_string(),
+        self.metrics.front.record_refusal(None, None, reason);
+        info!(self.log, "request"; "id" => &info.id, "outcome" => RequestOutcome::NotRun.to_string(),
             "why" => reason, "come_back_ms" => retry_after.as_millis());
         self.retry_later(retry_after)
     }
 
     fn no_route(&self, info: &RequestInfo, table: &Table, path: &str) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, "no route");
+        self.metrics.front.record_refusal(None, None, "no route");
         info!(self.log, "request"; "id" => &info.id, "outcome" => "no route", "asked_host" => &info.host,
             "path" => path, "configuration" => table.version);
         empty_response(StatusCode::NOT_FOUND)
@@ -371,7 +371,7 @@
         status: StatusCode,
     ) -> Response<Full<Bytes>> {
         let front = &self.metrics.front;
-        front.refused(Some(&route.name), Some(route.class()), "body not read");
+        front.record_refusal(Some(&route.name), Some(route.class()), "body not read");
         info!(self.log, "request"; "id" => &info.id, "route" => &*route.name,
             "outcome" => "body not read", "status" => status.as_u16());
         empty_response(status)
@@ -389,7 +389,7 @@
 }
 
 impl LogLine<'_> {
-    fn write(&mut self, outcome: Ended, status: Option<u16>, reason: &str) {
+    fn write(&mut self, outcome: RequestOutcome, status: Option<u16>, reason: &str) {
         self.written = true;
         let Context {
             info,
@@ -399,7 +399,7 @@
         } = self.context;
         let took = arrived.elapsed();
         let front = &self.metrics.front;
-        front.ended(Some(&route.name), Some(route.class()), outcome, took);
+        front.record_outcome(Some(&route.name), Some(route.class()), outcome, took);
         info!(self.log, "request"; "id" => &info.id,
             "request" => format!("{:032x}", self.id),
             "route" => &*route.name, "configuration" => version,
@@ -412,7 +412,7 @@
 impl Drop for LogLine<'_> {
     fn drop(&mut self) {
         if !self.written {
-            self.write(Ended::Abandoned, None, "the client disconnected");
+            self.write(RequestOutcome::Abandoned, None, "the client disconnected");
         }
     }
 }
--- a/crates/daemon/src/gateway/front/offload.rs
+++ b/crates/daemon/src/gateway/front/offload.rs
@@ -5,7 +5,7 @@
 use crate::gateway::content::Opaque;
 use crate::gateway::front::Origin;
 use crate::gateway::relay::{self, DelegationResult, PendingDelegation};
-use crate::metrics::label::Ended;
+use crate::metrics::label::RequestOutcome;
 use crate::route;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -81,7 +81,7 @@
         let response = match answer {
             Ok(response) => response,
             Err(error) => {
-                self.metrics.front.relayed("not answered");
+                self.metrics.front.record_delegation("not answered");
                 info!(self.log, "relay"; "id" => &context.info.id, "helper" => %host,
                     "took_us" => took.as_micros(), "outcome" => "not answered",
                     "why" => %error);
@@ -96,7 +96,7 @@
                 return ControlFlow::Break(Some(empty_response(status)));
             }
         };
-        self.metrics.front.relayed("answered");
+        self.metrics.front.record_delegation("answered");
         info!(self.log, "relay"; "id" => &context.info.id, "helper" => %host,
             "route" => &*context.route.name, "configuration" => context.version,
             "took_us" => took.as_micros(), "outcome" => "answered",
@@ -133,7 +133,7 @@
             Ok(_) => ("answered", "part answered"),
             Err(_) => ("not answered", "part not answered"),
         };
-        self.metrics.front.relayed(label);
+        self.metrics.front.record_delegation(label);
         line.write(outcome, reason);
         reply
     }
@@ -204,7 +204,7 @@
         if !self.written {
             info!(self.log, "relay"; "id" => &self.context.info.id,
                 "took_us" => self.context.arrived.elapsed().as_micros(),
-                "outcome" => Ended::Abandoned.to_string(), "why" => "the client disconnected");
+                "outcome" => RequestOutcome::Abandoned.to_string(), "why" => "the client disconnected");
         }
     }
 }
--- a/crates/daemon/src/gateway/members/mod.rs
+++ b/crates/daemon/src/gateway/members/mod.rs
@@ -195,7 +195,7 @@
     }
 
     fn record_fact(&self, entry: fact::Entry) {
-        self.metrics.control.fact(&entry.key, "learned");
+        self.metrics.control.record_fact(&entry.key, "learned");
         info!(self.log, "fact"; "what" => "learned", "fact" => format!("{:?}", entry.key),
             "life_ms" => entry.life.as_millis());
         self.publish(Update::Fact(entry));
--- a/crates/daemon/src/metrics/control.rs
+++ b/crates/daemon/src/metrics/control.rs
@@ -1,7 +1,7 @@
 //! Members, facts and configuration.
 
 use super::gauge_value;
-use super::label::{ConfigurationEvent, FactLabel, Member, Standing};
+use super::label::{ConfigurationEvent, Fact, Member, MemberState};
 use super::registrar::Registrar;
 use monsoonring_configuration::id::Revision;
 use monsoonring_decision::fact;
@@ -24,7 +24,7 @@
     ready: Gauge,
     /// Times that the process found out that it had been paused.
     pub pauses: Counter,
-    facts: Family<FactLabel, Counter>,
+    facts: Family<Fact, Counter>,
 }
 
 impl Control {
@@ -94,26 +94,26 @@
     }
 
     /// Counts a decision on a document.
-    pub fn decided(&self, event: &'static str) {
+    pub fn record_configuration_event(&self, event: &'static str) {
         let label = ConfigurationEvent { event };
         self.configuration.get_or_create(&label).inc();
     }
 
     /// Counts a change of a member.
-    pub fn changed(&self, state: State) {
-        let state = standing(state);
+    pub fn record_member_change(&self, state: State) {
+        let state = member_state(state);
         self.changes.get_or_create(&Member { state }).inc();
     }
 
     /// Sets the number of members in each state.
     pub fn set_members(&self, states: impl Iterator<Item = State>) {
         let mut counts = [
-            (Standing::Alive, 0),
-            (Standing::Suspect, 0),
-            (Standing::Left, 0),
-            (Standing::Dead, 0),
+            (MemberState::Alive, 0),
+            (MemberState::Suspect, 0),
+            (MemberState::Left, 0),
+            (MemberState::Dead, 0),
         ];
-        for state in states.map(standing) {
+        for state in states.map(member_state) {
             for (_, count) in counts.iter_mut().filter(|(of, _)| *of == state) {
                 *count += 1;
             }
@@ -125,7 +125,7 @@
     }
 
     /// Sets what the daemon knows to be wrong with itself.
-    pub fn set_standing(&self, ready: bool, isolated: bool, conflicts: u64) {
+    pub fn set_readiness(&self, ready: bool, isolated: bool, conflicts: u64) {
         self.ready.set(i64::from(ready));
         self.isolated.set(i64::from(isolated));
         self.conflicts
@@ -133,20 +133,20 @@
     }
 
     /// Counts a fact that was new here: `learned` by this daemon or `heard` from another.
-    pub fn fact(&self, key: &fact::Key, source: &'static str) {
+    pub fn record_fact(&self, key: &fact::Key, source: &'static str) {
         let kind = match key {
             fact::Key::Leaving(_) => "leaving",
             fact::Key::Suspect(_) => "crashing_request",
         };
-        self.facts.get_or_create(&FactLabel { kind, source }).inc();
+        self.facts.get_or_create(&Fact { kind, source }).inc();
     }
 }
 
-fn standing(state: State) -> Standing {
+fn member_state(state: State) -> MemberState {
     match state {
-        State::Alive => Standing::Alive,
-        State::Suspect => Standing::Suspect,
-        State::Dead => Standing::Dead,
-        State::Left { .. } => Standing::Left,
+        State::Alive => MemberState::Alive,
+        State::Suspect => MemberState::Suspect,
+        State::Dead => MemberState::Dead,
+        State::Left { .. } => MemberState::Left,
     }
 }
--- a/crates/daemon/src/metrics/front.rs
+++ b/crates/daemon/src/metrics/front.rs
@@ -1,6 +1,6 @@
 //! What callers see: outcomes, latency, coverage, refusals.
 
-use super::label::{ByClass, ClassLabel, Ended, Refusal, Relayed, Request};
+use super::label::{ByClass, ClassLabel, Delegation, Refusal, Request, RequestOutcome};
 use super::registrar::Registrar;
 use super::routes::Routes;
 use monsoonring_configuration::document::Class;
@@ -30,7 +30,7 @@
     latency: Family<ByClass, Histogram>,
     coverage: Family<ByClass, Histogram>,
     refused: Family<Refusal, Counter>,
-    relays: Family<Relayed, Counter>,
+    relays: Family<Delegation, Counter>,
     /// Requests in flight.
     pub in_flight: Gauge,
     /// Connections above the limit.
@@ -90,11 +90,11 @@
     }
 
     /// Counts a request that ended. Its time is measured where it came as far as its route.
-    pub fn ended(
+    pub fn record_outcome(
         &self,
         route: Option<&RouteId>,
         class: Option<Class>,
-        outcome: Ended,
+        outcome: RequestOutcome,
         took: Duration,
     ) {
         let label = Request {
@@ -111,19 +111,24 @@
     }
 
     /// Measures the coverage of an answer, from 0 to 1.
-    pub fn covered(&self, route: Option<&RouteId>, class: Option<Class>, coverage: f64) {
+    pub fn record_coverage(&self, route: Option<&RouteId>, class: Option<Class>, coverage: f64) {
         if let Some(label) = self.by_class(route, class) {
             self.coverage.get_or_create(&label).observe(coverage);
         }
     }
 
     /// Counts a search that was handed to another host.
-    pub fn relayed(&self, outcome: &'static str) {
-        self.relays.get_or_create(&Relayed { outcome }).inc();
+    pub fn record_delegation(&self, outcome: &'static str) {
+        self.relays.get_or_create(&Delegation { outcome }).inc();
     }
 
     /// Counts a refusal or failure.
-    pub fn refused(&self, route: Option<&RouteId>, class: Option<Class>, reason: &'static str) {
+    pub fn record_refusal(
+        &self,
+        route: Option<&RouteId>,
+        class: Option<Class>,
+        reason: &'static str,
+    ) {
         let label = Refusal {
             route: self.label(route),
             class: ClassLabel(class),
--- a/crates/daemon/src/metrics/home.rs
+++ b/crates/daemon/src/metrics/home.rs
@@ -1,7 +1,7 @@
 //! Work at backend servers, by route: what the extra load consists of, and what each mechanism did.
 
 use super::gauge_value;
-use super::label::{Attempt, ByRoute, Discard, Failed, Hedge, Sending, ServerEvent};
+use super::label::{Attempt, AttemptKind, ByRoute, Discard, FailedAttempt, Hedge, ServerEvent};
 use super::registrar::Registrar;
 use super::routes::Routes;
 use monsoonring_configuration::id::RouteId;
@@ -23,7 +23,7 @@
     denied: Family<Attempt, Counter>,
     withdrawn: ByRouteCounter,
     cancelled: ByRouteCounter,
-    failed: Family<Failed, Counter>,
+    failed: Family<FailedAttempt, Counter>,
     hedges: Family<Hedge, Counter>,
     discarded: Family<Discard, Counter>,
     restarts: ByRouteCounter,
@@ -41,7 +41,7 @@
 
 /// How a home stands at a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standing {
+pub struct Snapshot {
     /// Requests in progress.
     pub in_progress: usize,
     /// Backend servers that are leaving.
@@ -59,7 +59,7 @@
             ..Self::default()
         };
         home.register_attempts(registrar);
-        home.register_snapshots(registrar);
+        home.register_searches(registrar);
         home.register_servers(registrar);
         home
     }
@@ -112,7 +112,7 @@
         );
     }
 
-    fn register_snapshots(&self, registrar: &mut Registrar) {
+    fn register_searches(&self, registrar: &mut Registrar) {
         registrar.add(
             "replies_discarded",
             "Replies that were not merged, by route and reason",
@@ -164,51 +164,51 @@
     }
 
     /// Counts a decision of a home by its name in the log.
-    pub fn decided(&self, route: &RouteId, what: &str) {
+    pub fn record_decision(&self, route: &RouteId, what: &str) {
         match what {
-            "send" | "execute" => self.attempted(route, Sending::First),
-            "hedge" | "late hedge" => self.attempted(route, Sending::Hedge),
-            "retry" | "overdue" => self.attempted(route, Sending::Retry),
-            "rest" => self.attempted(route, Sending::Rest),
+            "send" | "execute" => self.record_attempt(route, AttemptKind::First),
+            "hedge" | "late hedge" => self.record_attempt(route, AttemptKind::Hedge),
+            "retry" | "overdue" => self.record_attempt(route, AttemptKind::Retry),
+            "rest" => self.record_attempt(route, AttemptKind::Rest),
             "withdraw" => self.inc(&self.withdrawn, route),
-            "discard" => self.discarded(route, "index_version"),
+            "discard" => self.record_discard(route, "index_version"),
             "restart" => self.inc(&self.restarts, route),
             "give_up" => self.inc(&self.given_up, route),
             "pin" => self.inc(&self.pins, route),
             "silent" => self.inc(&self.silent, route),
             "suspect" => self.inc(&self.crashing, route),
-            "leave" => self.found(route, "leaving"),
-            "unreachable" => self.found(route, "unreachable"),
-            "back_off" => self.found(route, "back_off"),
-            "unopened" => self.found(route, "unopened"),
+            "leave" => self.record_server_event(route, "leaving"),
+            "unreachable" => self.record_server_event(route, "unreachable"),
+            "back_off" => self.record_server_event(route, "back_off"),
+            "unopened" => self.record_server_event(route, "unopened"),
             _ => {}
         }
     }
 
     /// Counts a failed attempt.
-    pub fn failed(&self, route: &RouteId, failure: &Failure) {
-        let label = Failed {
+    pub fn record_failure(&self, route: &RouteId, failure: &Failure) {
+        let label = FailedAttempt {
             route: self.routes.label(route),
             reason: reason(failure),
         };
         self.failed.get_or_create(&label).inc();
         if matches!(failure, Failure::Mismatched) {
-            self.discarded(route, "mismatched");
+            self.record_discard(route, "mismatched");
         }
     }
 
     /// Counts a cancelled attempt.
-    pub fn cancelled(&self, route: &RouteId) {
+    pub fn record_cancellation(&self, route: &RouteId) {
         self.inc(&self.cancelled, route);
     }
 
     /// Counts a connection that was opened.
-    pub fn opened(&self, route: &RouteId) {
+    pub fn record_connection(&self, route: &RouteId) {
         self.inc(&self.opened, route);
     }
 
     /// Counts what a home has counted since `before`.
-    pub fn counted(&self, route: &RouteId, before: Counts, now: Counts) {
+    pub fn add_counts(&self, route: &RouteId, before: Counts, now: Counts) {
         if before == now {
             return;
         }
@@ -222,8 +222,11 @@
             self.hedges.get_or_create(&label).inc_by(count);
         }
         let denied = [
-            (Sending::Hedge, now.hedges_denied - before.hedges_denied),
-            (Sending::Retry, now.retries_denied - before.retries_denied),
+            (AttemptKind::Hedge, now.hedges_denied - before.hedges_denied),
+            (
+                AttemptKind::Retry,
+                now.retries_denied - before.retries_denied,
+            ),
         ];
         for (kind, count) in denied {
             let route = self.routes.label(route);
@@ -233,35 +236,35 @@
     }
 
     /// Sets how a home stands.
-    pub fn stands(&self, route: &RouteId, standing: &Standing) {
+    pub fn set_gauges(&self, route: &RouteId, snapshot: &Snapshot) {
         let label = ByRoute {
             route: self.routes.label(route),
         };
         let set = |gauge: &Family<ByRoute, Gauge>, value| {
             gauge.get_or_create(&label).set(value);
         };
-        set(&self.in_progress, gauge_value(standing.in_progress));
-        set(&self.leaving, gauge_value(standing.leaving));
-        set(&self.parts_waiting, gauge_value(standing.parts_waiting));
-        let longest_wait = standing.longest_wait.as_millis();
+        set(&self.in_progress, gauge_value(snapshot.in_progress));
+        set(&self.leaving, gauge_value(snapshot.leaving));
+        set(&self.parts_waiting, gauge_value(snapshot.parts_waiting));
+        let longest_wait = snapshot.longest_wait.as_millis();
         set(
             &self.longest_wait,
             longest_wait.try_into().unwrap_or(i64::MAX),
         );
     }
 
-    fn attempted(&self, route: &RouteId, kind: Sending) {
+    fn record_attempt(&self, route: &RouteId, kind: AttemptKind) {
         let route = self.routes.label(route);
         self.attempts.get_or_create(&Attempt { route, kind }).inc();
     }
 
-    fn discarded(&self, route: &RouteId, reason: &'static str) {
+    fn record_discard(&self, route: &RouteId, reason: &'static str) {
         let route = self.routes.label(route);
         let label = Discard { route, reason };
         self.discarded.get_or_create(&label).inc();
     }
 
-    fn found(&self, route: &RouteId, event: &'static str) {
+    fn record_server_event(&self, route: &RouteId, event: &'static str) {
         let route = self.routes.label(route);
         let label = ServerEvent { route, event };
         self.server_events.get_or_create(&label).inc();
--- a/crates/daemon/src/metrics/label.rs
+++ b/crates/daemon/src/metrics/label.rs
@@ -9,7 +9,7 @@
 
 /// How a caller's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// Answered from all of the data.
     #[display("complete")]
     Complete,
@@ -47,7 +47,7 @@
     /// The caller's class; empty where it was refused before the caller was known.
     pub class: ClassLabel,
     /// How it ended.
-    pub outcome: Ended,
+    pub outcome: RequestOutcome,
 }
 
 /// A caller's class, or none.
@@ -74,7 +74,7 @@
 
 /// Why an attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
-pub enum Sending {
+pub enum AttemptKind {
     /// For the first time.
     #[display("first")]
     First,
@@ -95,7 +95,7 @@
     /// The route.
     pub route: RouteId,
     /// Why it was sent.
-    pub kind: Sending,
+    pub kind: AttemptKind,
 }
 
 /// Labels of a refusal.
@@ -111,7 +111,7 @@
 
 /// Label of a search that was handed to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Relayed {
+pub struct Delegation {
     /// How that ended.
     pub outcome: &'static str,
 }
@@ -127,7 +127,7 @@
 
 /// Labels of failed attempts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// The route.
     pub route: RouteId,
     /// Why it failed.
@@ -163,14 +163,14 @@
 
 /// Label of requests passed on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Hop {
+pub struct Forward {
     /// `answered`, `declined` or `lost`.
     pub result: &'static str,
 }
 
 /// Label of decisions on keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Decided {
+pub struct KeyDecision {
     /// The decision.
     pub decision: &'static str,
 }
@@ -184,7 +184,7 @@
 
 /// Labels of facts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct FactLabel {
+pub struct Fact {
     /// What they are about.
     pub kind: &'static str,
     /// `learned` or `heard`.
@@ -217,7 +217,7 @@
 
 /// What a member is taken to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     #[display("alive")]
     Alive,
@@ -236,7 +236,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Member {
     /// What they are taken to be.
-    pub state: Standing,
+    pub state: MemberState,
 }
 
 /// Writes label values as they are displayed; the library's derive would write the names of the
@@ -251,7 +251,7 @@
     };
 }
 
-displayed!(Ended, ClassLabel, Sending, Side, Standing);
+displayed!(RequestOutcome, ClassLabel, AttemptKind, Side, MemberState);
 
 /// Name of an outcome's reason.
 pub(crate) fn reason(reason: Reason) -> &'static str {
--- a/crates/daemon/src/metrics/node.rs
+++ b/crates/daemon/src/metrics/node.rs
@@ -1,7 +1,7 @@
 //! What a daemon passes on to homes, and the keys of non-idempotent requests.
 
 use super::gauge_value;
-use super::label::{Decided, Hop};
+use super::label::{Forward, KeyDecision};
 use super::registrar::Registrar;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -10,8 +10,8 @@
 /// Metrics of a daemon among others.
 #[derive(Debug, Default)]
 pub struct Node {
-    hops: Family<Hop, Counter>,
-    decided: Family<Decided, Counter>,
+    hops: Family<Forward, Counter>,
+    decided: Family<KeyDecision, Counter>,
     /// Keys issued by this daemon.
     pub keys_issued: Counter,
     kept: Gauge,
@@ -46,13 +46,13 @@
     }
 
     /// Counts a request that was passed on: `answered`, `declined` or `lost`.
-    pub fn hopped(&self, result: &'static str) {
-        self.hops.get_or_create(&Hop { result }).inc();
+    pub fn record_forward(&self, result: &'static str) {
+        self.hops.get_or_create(&Forward { result }).inc();
     }
 
     /// Counts a decision of the ledger.
-    pub fn decided(&self, decision: &'static str) {
-        self.decided.get_or_create(&Decided { decision }).inc();
+    pub fn record_key_decision(&self, decision: &'static str) {
+        self.decided.get_or_create(&KeyDecision { decision }).inc();
     }
 
     /// Sets the size of the ledger.
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -170,7 +170,7 @@
             self.ledger.waiters().remove(&call.request);
         }
         let (label, home, reason) = describe(&decision);
-        self.metrics.node.decided(label);
+        self.metrics.node.record_key_decision(label);
         self.log_decision(&call, label, home, &reason);
         match decision {
             Decision::Run(permit) => Sent::Ended(self.run(permit, call, &key).await),
@@ -277,7 +277,7 @@
                 key.to_string(),
             );
             let answer = answer.await;
-            self.metrics.node.hopped(match &answer {
+            self.metrics.node.record_forward(match &answer {
                 Ok(Ok(_)) => "answered",
                 Ok(Err(_)) => "declined",
                 Err(_) => "lost",
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -215,14 +215,14 @@
         let guard = self.forwards.begin(home);
         let Ok(client) = self.peers.client(home).await else {
             guard.answered(false);
-            self.metrics.node.hopped("lost");
+            self.metrics.node.record_forward("lost");
             return Attempt::Declined;
         };
         let answer = client
             .search(context(call.deadline), self.wire_request(call))
             .await;
         guard.answered(answer.is_ok());
-        self.metrics.node.hopped(match &answer {
+        self.metrics.node.record_forward(match &answer {
             Ok(Ok(_)) => "answered",
             Ok(Err(_)) => "declined",
             Err(_) => "lost",
--- a/crates/daemon/src/node/state.rs
+++ b/crates/daemon/src/node/state.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use super::routes::Entry;
 use crate::control::View;
-use crate::operator::shown;
+use crate::operator::render;
 use crate::service::Explain;
 use serde_json::{Value, json};
 
@@ -29,7 +29,7 @@
     async fn members(&self) -> Vec<Value> {
         let mut members = self.control.members().await;
         members.sort_by_key(|member| member.id);
-        members.iter().map(shown::member).collect()
+        members.iter().map(render::member).collect()
     }
 
     async fn describe_routes(&self) -> Vec<Value> {
@@ -46,7 +46,7 @@
     /// that caused no failure here.
     async fn facts(&self) -> Vec<Value> {
         let facts = self.control.facts().await;
-        facts.iter().map(shown::fact).collect()
+        facts.iter().map(render::fact).collect()
     }
 
     /// Returns the decisions on a request or the state of a backend server; `None` if unknown.
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -2,7 +2,7 @@
 
 mod console;
 mod query;
-pub(crate) mod shown;
+pub(crate) mod render;
 
 use crate::metrics::Metrics;
 use crate::server::{Handler, LimitStatus};
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -183,8 +183,8 @@
             Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
                 drop(self.connections.remove(connection));
             }
-            Event::Opened(_) => self.metrics.home.opened(&self.route),
-            Event::Failed(_, failure) => self.metrics.home.failed(&self.route, failure),
+            Event::Opened(_) => self.metrics.home.record_connection(&self.route),
+            Event::Failed(_, failure) => self.metrics.home.record_failure(&self.route, failure),
             Event::Route(route) => self.management.update(route),
             _ => {}
         }
@@ -220,7 +220,7 @@
             Action::Close(id) => drop(self.connections.remove(&id)),
             Action::Send(send) => self.send(send),
             Action::Cancel(attempt, backend_server) => {
-                self.metrics.home.cancelled(&self.route);
+                self.metrics.home.record_cancellation(&self.route);
                 self.management
                     .cancel(attempt, backend_server, &self.events);
             }
@@ -241,7 +241,9 @@
     /// groups would otherwise write a line for each, at a notable cost in CPU time.
     fn log(&self, decisions: &[Decision]) {
         for decision in decisions {
-            self.metrics.home.decided(&self.route, decision.what);
+            self.metrics
+                .home
+                .record_decision(&self.route, decision.what);
         }
         let is_same_kind = |left: &Decision, right: &Decision| {
             left.request.is_some() && (left.request, left.what) == (right.request, right.what)
--- a/crates/daemon/src/route/gauges.rs
+++ b/crates/daemon/src/route/gauges.rs
@@ -1,6 +1,6 @@
 //! Updates the metrics of a route from the state of its home.
 
-use crate::metrics::home::Standing;
+use crate::metrics::home::Snapshot;
 use crate::metrics::label::Side;
 use crate::metrics::{Metrics, gauge_value};
 use monsoonring_configuration::id::RouteId;
@@ -43,18 +43,18 @@
         let counts = home.counts();
         self.metrics
             .home
-            .counted(&self.route, self.exported, counts);
+            .add_counts(&self.route, self.exported, counts);
         self.exported = counts;
         self.set_open(gauge_value(connections));
         if now >= self.next_scan {
             self.next_scan = now + SCAN_INTERVAL;
-            let standing = Standing {
+            let snapshot = Snapshot {
                 in_progress: home.in_progress(),
                 leaving: home.leaving(),
                 parts_waiting: home.parts_waiting(),
                 longest_wait: home.longest_wait(now),
             };
-            self.metrics.home.stands(&self.route, &standing);
+            self.metrics.home.set_gauges(&self.route, &snapshot);
         }
     }
 
@@ -68,6 +68,8 @@
     /// Resets the gauges, which would otherwise keep the last values of a home that has ended.
     fn drop(&mut self) {
         self.set_open(0);
-        self.metrics.home.stands(&self.route, &Standing::default());
+        self.metrics
+            .home
+            .set_gauges(&self.route, &Snapshot::default());
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -191,7 +191,7 @@
             caller_address,
             operator_address,
             drain_wait: settings.drain_wait(),
-            stop_timeout: settings.stop_bound(),
+            stop_timeout: settings.stop_timeout(),
         })
     }
 
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,6 +1,6 @@
 //! Checks that concern more than the form of one setting.
 
-use super::error::{Problem, Result, WrongSnafu};
+use super::error::{InvalidSnafu, Problem, Result};
 use super::{Limits, Settings};
 use snafu::ensure;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     identity(settings, &mut problems);
     stop(settings, &mut problems);
     limits(&settings.limits, &mut problems);
-    ensure!(problems.is_empty(), WrongSnafu { problems });
+    ensure!(problems.is_empty(), InvalidSnafu { problems });
     Ok(())
 }
 
--- a/crates/daemon/src/settings/error.rs
+++ b/crates/daemon/src/settings/error.rs
@@ -13,13 +13,13 @@
 pub enum Error {
     /// Settings are missing or wrong.
     #[snafu(display("wrong settings: {}", list(problems)))]
-    Wrong {
+    Invalid {
         /// What is wrong, at least one.
         problems: Vec<Problem>,
     },
     /// Help or the version was asked for; the text belongs to standard output.
     #[snafu(display("{text}"))]
-    Asked {
+    Help {
         /// The text asked for.
         text: String,
     },
@@ -75,7 +75,7 @@
         ErrorKind::DisplayHelp | ErrorKind::DisplayVersion
     ) {
         let text = source.to_string();
-        return Error::Asked { text };
+        return Error::Help { text };
     }
     let detail = detail(source);
     let problems = match source.get(ContextKind::InvalidArg) {
@@ -86,7 +86,7 @@
             .collect(),
         _ => vec![Problem::new("", detail)],
     };
-    Error::Wrong { problems }
+    Error::Invalid { problems }
 }
 
 /// The flag in an argument such as `--listen <IP:PORT>`.
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -189,7 +189,7 @@
     }
 
     /// Returns the time that a planned stop takes at most.
-    pub fn stop_bound(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         Duration::from_millis(self.stop_bound_ms)
     }
 }
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use monsoonring_daemon::metrics::Metrics;
-use monsoonring_daemon::metrics::home::Standing;
+use monsoonring_daemon::metrics::home::Snapshot;
 use monsoonring_daemon::metrics::label::Side;
 use monsoonring_daemon::metrics::routes::{MAX_ROUTES, OTHERS};
 use monsoonring_decision::attempt::Failure;
@@ -19,20 +19,20 @@
 /// Counts everything that the parts behind the front count, each with one of its labels.
 fn touch(metrics: &Metrics) {
     touch_home(metrics);
-    metrics.front.refused(None, None, "caller");
+    metrics.front.record_refusal(None, None, "caller");
     metrics.open_connections(Side::Peer).inc();
     metrics.open_connections(Side::BackendServer).inc();
-    metrics.node.hopped("answered");
-    metrics.node.decided("run");
+    metrics.node.record_forward("answered");
+    metrics.node.record_key_decision("run");
     metrics.node.keys_issued.inc();
     metrics.node.set_keys(2, 1);
     let control = &metrics.control;
     control.set_revision(42);
-    control.decided("adopted");
+    control.record_configuration_event("adopted");
     control.set_members([State::Alive, State::Dead].into_iter());
-    control.changed(State::Left { successor: None });
-    control.set_standing(true, false, 0);
-    control.fact(&fact::Key::Suspect(7), "learned");
+    control.record_member_change(State::Left { successor: None });
+    control.set_readiness(true, false, 0);
+    control.record_fact(&fact::Key::Suspect(7), "learned");
 }
 
 fn touch_home(metrics: &Metrics) {
@@ -55,26 +55,26 @@
         "finish",
     ];
     for what in decisions {
-        metrics.home.decided(&route, what);
+        metrics.home.record_decision(&route, what);
     }
-    metrics.home.failed(&route, &Failure::Mismatched);
-    metrics.home.cancelled(&route);
-    metrics.front.relayed("answered");
-    metrics.home.opened(&route);
+    metrics.home.record_failure(&route, &Failure::Mismatched);
+    metrics.home.record_cancellation(&route);
+    metrics.front.record_delegation("answered");
+    metrics.home.record_connection(&route);
     let counts = Counts {
         hedges_won: 1,
         hedges_lost: 2,
         hedges_denied: 3,
         retries_denied: 4,
     };
-    metrics.home.counted(&route, Counts::default(), counts);
-    let standing = Standing {
+    metrics.home.add_counts(&route, Counts::default(), counts);
+    let snapshot = Snapshot {
         in_progress: 1,
         leaving: 1,
         parts_waiting: 1,
         longest_wait: Duration::from_millis(1),
     };
-    metrics.home.stands(&route, &standing);
+    metrics.home.set_gauges(&route, &snapshot);
 }
 
 /// The lines of all metrics, without their values and without the buckets of histograms.
@@ -155,7 +155,7 @@
     let metrics = Metrics::default();
     for number in 0..2 * MAX_ROUTES {
         let route = format!("route-{number}").into();
-        metrics.home.decided(&route, "send");
+        metrics.home.record_decision(&route, "send");
     }
     let text = metrics.text().expect("it can be written");
     let series = text
--- a/crates/monsoonringd/src/main.rs
+++ b/crates/monsoonringd/src/main.rs
@@ -30,7 +30,7 @@
 fn product(arguments: Vec<OsString>) -> ExitCode {
     match Settings::read(arguments) {
         Ok(settings) => serve(&settings),
-        Err(settings::Error::Asked { text }) => {
+        Err(settings::Error::Help { text }) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
