--- a/crates/daemon/src/caller/request_log.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -1,13 +1,13 @@
-//! What becomes of callers' requests: in flight, ended, cut off.
+//! Counts and logs callers' requests.
 //!
-//! Each request has an entry from its arrival until its answer is made. An entry that is dropped
-//! before then belongs to a request whose caller went away, or that a stop cut off; both are told
-//! by the stage of the stop.
+//! Each request has an [`Entry`] from its arrival until its response is made. An entry dropped
+//! earlier belongs to a request whose caller disconnected, or that a stop cut off; the stage of
+//! the stop tells which.
 
 use super::header::request_text;
 use super::problem::{Problem, RunStatus};
 use crate::metrics::Metrics;
-use crate::metrics::label::{ClassLabel, Ended};
+use crate::metrics::label::{ClassLabel, RequestOutcome};
 use crate::server::stop::{Stage, Watch};
 use monsoonring_configuration::document::Class;
 use monsoonring_configuration::id::RouteId;
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// Counts requests and writes a line for each that ended.
+/// Counts requests and writes a log line for each that ended.
 #[derive(Clone)]
 pub(crate) struct RequestLog {
     shared: Arc<Shared>,
@@ -31,7 +31,7 @@
     cut: AtomicUsize,
 }
 
-/// One request.
+/// A request in flight.
 pub(crate) struct Entry {
     request_log: RequestLog,
     request: RequestId,
@@ -43,7 +43,7 @@
 }
 
 impl RequestLog {
-    /// Makes an empty request_log.
+    /// Creates a log without requests.
     pub(crate) fn new(metrics: Arc<Metrics>, log: Logger, stop: Watch) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -62,13 +62,13 @@
     }
 
     /// Returns the number of requests that a stop cut off.
-    pub(crate) fn cut(&self) -> usize {
+    pub(crate) fn cut_requests(&self) -> usize {
         self.shared.cut.load(Ordering::Relaxed)
     }
 
-    /// Notes that a stop cut an answer off while it was written. The entry of its request is closed
-    /// by then, as an entry ends when the answer is made.
-    pub(crate) fn answer_cut(&self) {
+    /// Records that a stop cut off a response while it was being written. Its entry is already
+    /// closed by then.
+    pub(crate) fn response_cut(&self) {
         self.shared.cut.fetch_add(1, Ordering::Relaxed);
         warn!(self.shared.log, "answer cut");
     }
@@ -90,40 +90,38 @@
 }
 
 impl Entry {
-    /// Notes the caller's class.
     pub(crate) fn set_class(&mut self, class: Class) {
         self.class = Some(class);
     }
 
-    /// Notes the route.
     pub(crate) fn set_route(&mut self, route: &RouteId) {
         self.route = Some(route.clone());
     }
 
     /// Closes the entry of a request that was answered.
-    pub(crate) fn answered(mut self, ended: Ended, coverage: Option<f64>) {
+    pub(crate) fn record_answer(mut self, ended: RequestOutcome, coverage: Option<f64>) {
         if let Some(coverage) = coverage {
             let front = &self.request_log.shared.metrics.front;
-            front.covered(self.route.as_ref(), self.class, coverage);
+            front.record_coverage(self.route.as_ref(), self.class, coverage);
         }
         self.close(ended, "");
     }
 
     /// Closes the entry of a request that was refused or failed.
-    pub(crate) fn refused(mut self, problem: &Problem) {
+    pub(crate) fn record_problem(mut self, problem: &Problem) {
         let ended = match problem.run_status {
-            RunStatus::NotRun => Ended::NotRun,
-            RunStatus::Failed => Ended::Failed,
-            RunStatus::Unknown => Ended::Unknown,
+            RunStatus::NotRun => RequestOutcome::NotRun,
+            RunStatus::Failed => RequestOutcome::Failed,
+            RunStatus::Unknown => RequestOutcome::Unknown,
         };
         let front = &self.request_log.shared.metrics.front;
-        front.refused(self.route.as_ref(), self.class, problem.kind);
+        front.record_refusal(self.route.as_ref(), self.class, problem.kind);
         self.close(ended, problem.kind);
     }
 
-    fn close(&mut self, ended: Ended, reason: &'static str) {
+    fn close(&mut self, ended: RequestOutcome, reason: &'static str) {
         self.ended = true;
-        self.count(ended);
+        self.record_metrics(ended);
         let shared = &self.request_log.shared;
         info!(
             shared.log, "request";
@@ -137,22 +135,22 @@
         );
     }
 
-    fn count(&self, outcome: Ended) {
+    fn record_metrics(&self, outcome: RequestOutcome) {
         let front = &self.request_log.shared.metrics.front;
         let duration = self.arrived.elapsed();
-        front.ended(self.route.as_ref(), self.class, outcome, duration);
+        front.record_outcome(self.route.as_ref(), self.class, outcome, duration);
     }
 
-    /// Notes that the request was dropped before its answer was made.
-    fn dropped(&self) {
+    /// Records that the request was dropped before its response was made.
+    fn record_drop(&self) {
         let shared = &self.request_log.shared;
         let ended = if shared.stop.stage() == Stage::Cut {
             shared.cut.fetch_add(1, Ordering::Relaxed);
-            Ended::Cut
+            RequestOutcome::Cut
         } else {
-            Ended::Abandoned
+            RequestOutcome::Abandoned
         };
-        self.count(ended);
+        self.record_metrics(ended);
         warn!(
             shared.log, "request dropped";
             "request" => request_text(self.request),
@@ -168,7 +166,7 @@
 impl Drop for Entry {
     fn drop(&mut self) {
         if !self.ended {
-            self.dropped();
+            self.record_drop();
         }
         let shared = &self.request_log.shared;
         shared.in_flight.fetch_sub(1, Ordering::Relaxed);
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -1,4 +1,4 @@
-//! A client's request from its head to its answer.
+//! Handles clients' requests, from the head to the response.
 
 mod offload;
 
@@ -8,7 +8,7 @@
 use super::{Ingress, RequestInfo};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::metrics::label::Ended;
+use crate::metrics::label::RequestOutcome;
 use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -30,23 +30,22 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::Xxh3;
 
-/// When to come back to a host that has no configuration yet: about the time that it takes to read
-/// one.
+/// `Retry-After` of a host without a configuration: about the time that it takes to load one.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When to come back where nothing was learned of when it would help.
+/// `Retry-After` when no better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Time that a request's body may take where no deadline is given.
+/// Longest time for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a home says that a request ended.
+/// Outcome of a request as its home reports it.
 type HomeOutcome = Outcome<<Opaque as Content>::Value>;
 
-/// A response, and what the log says of how it came about.
+/// A response, with the outcome and reason for the log.
 struct Reply {
     response: Response<Full<Bytes>>,
-    outcome: Ended,
+    outcome: RequestOutcome,
     reason: String,
 }
 
@@ -57,24 +56,24 @@
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// What is done with searches that another host could fan out.
+    /// Sender of the requests.
     pub(super) origin: Origin,
-    /// The hosts that could.
+    /// Sends searches to other hosts.
     pub(super) relay: Arc<Relay>,
-    /// How long answers take on their way to callers of this host.
+    /// Time that a response needs to reach a client of this host.
     pub(super) delivery_margin: Duration,
 }
 
-/// How long an answer takes on its way to the caller of another host, which handed the search on.
+/// Time that a response needs to reach the client of the host that offloaded the search.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DeliveryMargin(pub(super) Duration);
 
-/// What is done with a search that another host could fan out.
+/// Who sends the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// It is handed to one, if there is one.
+    /// Clients; their searches can be offloaded to another host.
     Client,
-    /// It was handed to this host, which answers or declines.
+    /// Another host, whose searches are answered or declined but never offloaded again.
     Peer,
 }
 
@@ -89,7 +88,7 @@
 }
 
 impl<I: Ingress> Front<I> {
-    /// Answers a request, by another host or by this one.
+    /// Answers a request, or has another host answer it.
     pub(super) async fn answer(
         &self,
         request: Request<Incoming>,
@@ -140,7 +139,7 @@
         };
         let delegation = remote_shards.and_then(|remote_shards| self.relay.delegate(remote_shards));
         let delegation = delegation.map(|delegation| (delegation, head.clone(), body.clone()));
-        let forward = ServerRequest {
+        let server_request = ServerRequest {
             is_merged: matches!(route.target, Target::FanOut(_)),
             ..self.ingress.forward(head, &info, body)
         };
@@ -151,7 +150,13 @@
                     .map(|(delegation, ..)| delegation.keys().clone())
                     .unwrap_or_default(),
             },
-            ..self.home_request(id, &context, forward, delivery_margin, only_keys.as_ref())
+            ..self.home_request(
+                id,
+                &context,
+                server_request,
+                delivery_margin,
+                only_keys.as_ref(),
+            )
         };
         let mut line = LogLine {
             log: &self.log,
@@ -170,7 +175,7 @@
         let reply = match (&self.origin, &outcome) {
             (Origin::Peer, Outcome::NotRun { reason, .. }) if is_host_specific(*reason) => Reply {
                 response: relay::decline("not able to"),
-                outcome: Ended::NotRun,
+                outcome: RequestOutcome::NotRun,
                 reason: format!("declined: {reason}"),
             },
             _ => self.reply(outcome, &route, only_keys.as_ref()),
@@ -181,12 +186,12 @@
     }
 }
 
-/// Tells whether a search was not run for a reason that another host may not have.
+/// Returns whether a search was not run for a reason that may not apply to another host.
 fn is_host_specific(reason: Reason) -> bool {
     matches!(reason, Reason::Unavailable | Reason::Stopping)
 }
 
-/// A request on its way to an answer.
+/// A request while it is handled.
 struct Context<'a> {
     info: &'a RequestInfo,
     route: &'a Route,
@@ -195,7 +200,7 @@
 }
 
 impl Context<'_> {
-    /// Returns the time from its arrival within which the request is to be answered.
+    /// Returns the timeout of the request, counted from its arrival.
     fn timeout(&self) -> Duration {
         let timeout = self.route.timeout;
         self.info.timeout.unwrap_or(timeout).min(timeout)
@@ -203,7 +208,7 @@
 }
 
 impl<I: Ingress> Front<I> {
-    /// Reads a body whole, within the limits in force.
+    /// Reads the complete body within the configured limits.
     async fn read_body(
         &self,
         body: Incoming,
@@ -211,8 +216,8 @@
         info: &RequestInfo,
     ) -> Result<Bytes, StatusCode> {
         let limit = info.timeout.unwrap_or(BODY_TIMEOUT).min(BODY_TIMEOUT);
-        let whole = Limited::new(body, table.limits.body_bytes).collect();
-        match timeout(limit, whole).await {
+        let collected = Limited::new(body, table.limits.body_bytes).collect();
+        match timeout(limit, collected).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
             Ok(Err(_)) => Err(StatusCode::BAD_REQUEST),
@@ -224,7 +229,7 @@
         &self,
         id: RequestId,
         context: &Context<'_>,
-        forward: ServerRequest,
+        server_request: ServerRequest,
         delivery_margin: Duration,
         only_keys: Option<&KeySet>,
     ) -> event::Request<Opaque> {
@@ -241,45 +246,45 @@
             caller: route.host.clone().into(),
             class: route.class(),
             deadline: self.clock.time(context.arrived + context.timeout()),
-            fingerprint: fingerprint(&forward),
-            body: Arc::new(forward),
+            fingerprint: fingerprint(&server_request),
+            body: Arc::new(server_request),
             execute_key: None,
             params: Some(params),
             scope: Scope::default(),
         }
     }
 
-    /// Writes how a request ended.
+    /// Builds the reply for the outcome of a request.
     fn reply(&self, outcome: HomeOutcome, route: &Route, only_keys: Option<&KeySet>) -> Reply {
         match outcome {
-            Outcome::Answered(answer) => self.answered(answer, route, only_keys),
-            Outcome::Executed(whole) => Reply {
-                reason: format!("status {}", whole.status.as_u16()),
-                response: self.ingress.single(whole),
-                outcome: Ended::Complete,
+            Outcome::Answered(answer) => self.reply_with_answer(answer, route, only_keys),
+            Outcome::Executed(server_response) => Reply {
+                reason: format!("status {}", server_response.status.as_u16()),
+                response: self.ingress.single(server_response),
+                outcome: RequestOutcome::Complete,
             },
             Outcome::NotRun {
                 reason,
                 retry_after,
             } => Reply {
                 response: self.retry_later(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
-                outcome: Ended::NotRun,
+                outcome: RequestOutcome::NotRun,
                 reason: reason.to_string(),
             },
             Outcome::Failed { reason, .. } => Reply {
                 response: empty_response(failure_status(reason)),
-                outcome: Ended::Failed,
+                outcome: RequestOutcome::Failed,
                 reason: reason.to_string(),
             },
             Outcome::Unknown { reason } => Reply {
                 response: empty_response(failure_status(reason)),
-                outcome: Ended::Unknown,
+                outcome: RequestOutcome::Unknown,
                 reason: reason.to_string(),
             },
         }
     }
 
-    fn answered(
+    fn reply_with_answer(
         &self,
         answer: Answer<ServerResponse>,
         route: &Route,
@@ -289,8 +294,8 @@
         let missing = missing_keys.len() as usize;
         let version = answer.index_version;
         let outcome = match missing {
-            0 => Ended::Complete,
-            _ => Ended::Partial,
+            0 => RequestOutcome::Complete,
+            _ => RequestOutcome::Partial,
         };
         let mut parts: Vec<ServerResponse> =
             answer.items.into_iter().map(|item| item.value).collect();
@@ -298,10 +303,10 @@
             Target::FanOut(fan_out) => {
                 let bodies = parts.iter().map(|part| &part.body[..]);
                 let records = greatest(bodies, self.ingress.record_bytes(), fan_out.max_records);
-                let asked =
+                let requested =
                     only_keys.map_or(fan_out.shards.len(), |only_keys| only_keys.len() as usize);
-                let held = asked.saturating_sub(missing);
-                let reason = format!("{held} parts, {missing} missing, set {version}");
+                let received = requested.saturating_sub(missing);
+                let reason = format!("{received} parts, {missing} missing, set {version}");
                 let mut response = self.ingress.merged(&parts, missing, records.into());
                 if let Some(only_keys) = only_keys {
                     let covered = only_keys.difference(&missing_keys);
@@ -310,13 +315,13 @@
                 (response, reason)
             }
             Target::Split(_) => match parts.pop() {
-                Some(whole) => {
-                    let reason = format!("status {}", whole.status.as_u16());
-                    (self.ingress.single(whole), reason)
+                Some(server_response) => {
+                    let reason = format!("status {}", server_response.status.as_u16());
+                    (self.ingress.single(server_response), reason)
                 }
                 None => (
                     empty_response(StatusCode::BAD_GATEWAY),
-                    "no answer".to_owned(),
+                    "no response of a backend server".to_owned(),
                 ),
             },
         };
@@ -335,7 +340,7 @@
     }
 
     fn malformed(&self, reason: &'static str) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, "malformed");
+        self.metrics.front.record_refusal(None, None, "malformed");
         info!(self.log, "request"; "outcome" => "malformed", "why" => reason);
         empty_response(StatusCode::BAD_REQUEST)
     }
@@ -346,14 +351,14 @@
         reason: &'static str,
         retry_after: Duration,
     ) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, reason);
-        info!(self.log, "request"; "id" => &info.id, "outcome" => Ended::NotRun.to_string(),
+        self.metrics.front.record_refusal(None, None, reason);
+        info!(self.log, "request"; "id" => &info.id, "outcome" => RequestOutcome::NotRun.to_string(),
             "why" => reason, "come_back_ms" => retry_after.as_millis());
         self.retry_later(retry_after)
     }
 
     fn no_route(&self, info: &RequestInfo, table: &Table, path: &str) -> Response<Full<Bytes>> {
-        self.metrics.front.refused(None, None, "no route");
+        self.metrics.front.record_refusal(None, None, "no route");
         info!(self.log, "request"; "id" => &info.id, "outcome" => "no route", "asked_host" => &info.host,
             "path" => path, "configuration" => table.version);
         empty_response(StatusCode::NOT_FOUND)
@@ -366,15 +371,15 @@
         status: StatusCode,
     ) -> Response<Full<Bytes>> {
         let front = &self.metrics.front;
-        front.refused(Some(&route.name), Some(route.class()), "body not read");
+        front.record_refusal(Some(&route.name), Some(route.class()), "body not read");
         info!(self.log, "request"; "id" => &info.id, "route" => &*route.name,
             "outcome" => "body not read", "status" => status.as_u16());
         empty_response(status)
     }
 }
 
-/// The line of a request that went to a home. One whose client leaves is dropped in the midst of it,
-/// and says so here: without a line that holds both ids nobody could find the decisions on it.
+/// Log line of a request that was given to a home. If the client disconnects, the request is dropped and its line is
+/// written then: it links the client's request id to the id in the decisions.
 struct LogLine<'a> {
     log: &'a Logger,
     metrics: &'a Metrics,
@@ -384,7 +389,7 @@
 }
 
 impl LogLine<'_> {
-    fn write(&mut self, outcome: Ended, status: Option<u16>, reason: &str) {
+    fn write(&mut self, outcome: RequestOutcome, status: Option<u16>, reason: &str) {
         self.written = true;
         let Context {
             info,
@@ -394,7 +399,7 @@
         } = self.context;
         let took = arrived.elapsed();
         let front = &self.metrics.front;
-        front.ended(Some(&route.name), Some(route.class()), outcome, took);
+        front.record_outcome(Some(&route.name), Some(route.class()), outcome, took);
         info!(self.log, "request"; "id" => &info.id,
             "request" => format!("{:032x}", self.id),
             "route" => &*route.name, "configuration" => version,
@@ -407,12 +412,12 @@
 impl Drop for LogLine<'_> {
     fn drop(&mut self) {
         if !self.written {
-            self.write(Ended::Abandoned, None, "the client left");
+            self.write(RequestOutcome::Abandoned, None, "the client disconnected");
         }
     }
 }
 
-/// The status of a request that may have run.
+/// Returns the status for a request that may have run.
 fn failure_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::Deadline => StatusCode::GATEWAY_TIMEOUT,
@@ -426,13 +431,13 @@
     response
 }
 
-/// Hash of what a request asks, the same whoever sends it and however often.
-fn fingerprint(forward: &ServerRequest) -> Fingerprint {
+/// Hashes the method, target and body of a request. Identical requests of different clients have the same hash.
+fn fingerprint(server_request: &ServerRequest) -> Fingerprint {
     let mut hash = Xxh3::new();
-    hash.update(forward.method.as_str().as_bytes());
+    hash.update(server_request.method.as_str().as_bytes());
     hash.update(&[0]);
-    hash.update(forward.target.as_str().as_bytes());
+    hash.update(server_request.target.as_str().as_bytes());
     hash.update(&[0]);
-    hash.update(&forward.body);
+    hash.update(&server_request.body);
     hash.digest()
 }
--- a/crates/decision/tests/delivery.rs
+++ b/crates/decision/tests/delivery.rs
@@ -48,22 +48,22 @@
 ) -> Duration {
     let mut without_hedges = route(SHARDS, 1);
     without_hedges.hedge.budget_percent = 0.0;
-    let mut session = Session::everyone(without_hedges, 9);
+    let mut session = Session::with_hosts(without_hedges, 9);
     // Connection setup and request take two round trips without the final reply, and half of the host's work.
     let arrived = path * 3 + work / 2;
-    session.pass(arrived);
-    let asked = request(1, session.now);
-    let asked = Request {
+    session.advance(arrived);
+    let search_request = request(1, session.now);
+    let search_request = Request {
         params: Some(search(objective).terms(margin)),
-        ..asked
+        ..search_request
     };
-    session.on(Event::Request(asked));
+    session.handle(Event::Request(search_request));
     let sends = session.sends.clone();
     for send in sends.iter().skip(1) {
         session.answer(send);
     }
     while !session.is_finished(1) {
-        session.pass(Time::from_millis(1));
+        session.advance(Time::from_millis(1));
     }
     session.now + work / 2 + path
 }
--- a/crates/decision/tests/restart.rs
+++ b/crates/decision/tests/restart.rs
@@ -136,11 +136,11 @@
 // Guards against applying failures, latencies and idle connections of a server's earlier start to its new start.
 #[test]
 fn replaced_server_starts_with_a_clean_record() {
-    let mut session = Session::everyone(without_hedges(), HOSTS);
+    let mut session = Session::with_hosts(without_hedges(), HOSTS);
     let (bad, good) = (server(0, 0), server(0, 1));
     for id in 1..=40 {
         let from = session.sends.len();
-        session.ask(id);
+        session.submit(id);
         while let Some(send) = session.sends.get(from..).and_then(<[_]>::last).cloned() {
             match send.backend_server == bad {
                 true => {
@@ -153,14 +153,14 @@
                 break;
             }
         }
-        session.pass(ms(10));
+        session.advance(ms(10));
     }
     let from = session.sends.len();
-    session.ask(100);
+    session.submit(100);
     assert_eq!(session.sends[from].backend_server, good);
     session.answer_from(from);
     let (opens, closes) = (session.opens.len(), session.closes.len());
-    session.on(Event::Replaced([bad].into()));
+    session.handle(Event::Replaced([bad].into()));
     assert!(
         session.closes.len() > closes,
         "connections to the server are closed"
@@ -169,7 +169,7 @@
     let mut sent = 0;
     for id in 101..=140 {
         let from = session.sends.len();
-        session.ask(id);
+        session.submit(id);
         sent += usize::from(session.sends[from].backend_server == bad);
         session.answer_from(from);
     }
@@ -179,11 +179,11 @@
 // Guards against counting a late result of an attempt for the server's new start, or reusing its connection.
 #[test]
 fn replaced_server_does_not_count_an_earlier_attempt() {
-    let mut session = Session::everyone(without_hedges(), HOSTS);
-    session.ask(1);
+    let mut session = Session::with_hosts(without_hedges(), HOSTS);
+    session.submit(1);
     let send = session.sends[0].clone();
     let before = session.closes.len();
-    session.on(Event::Replaced([send.backend_server].into()));
+    session.handle(Event::Replaced([send.backend_server].into()));
     session.answer(&send);
     assert!(session.is_finished(1), "the answer is still used");
     let closed = &session.closes[before..];
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -1,8 +1,8 @@
-//! Drives a home with events, as the daemon does, and keeps what it did.
+//! Drives a home with events, as the daemon does, and records its actions.
 //!
-//! Connections open by themselves unless their server is in `refusing`; replies are given by the
-//! test. Each event and action is a line of the transcript, which the golden files hold; ticks are
-//! left out unless something but the next wake-up follows from them, and so are the wake-ups.
+//! A connection opens immediately unless its server is in `refusing` or `pending`. Tests send the
+//! replies. The transcript has a line per event and action; the golden files hold transcripts. It
+//! omits wake-ups, and ticks that cause no action other than a wake-up.
 #![allow(dead_code, reason = "no test file uses all of it")]
 
 use monsoonring_configuration::Range;
@@ -23,28 +23,31 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Keys of each group of a test route.
-pub(crate) const KEYS: u64 = 100;
+/// Number of keys in each group of a test route.
+pub(crate) const KEYS_PER_GROUP: u64 = 100;
 
-/// Version that test servers serve unless told otherwise.
+/// Index version that test servers serve by default.
 pub(crate) const VERSION: IndexVersion = 6;
 
-/// Returns milliseconds as a time.
+/// Returns the time `value` milliseconds after the start.
 pub(crate) fn ms(value: u64) -> Time {
     Time::from_millis(value)
 }
 
-/// Returns the address of a replica of a group.
+/// Returns the address of a replica in a group.
 pub(crate) fn server(group: usize, replica: usize) -> BackendServerId {
-    let text = format!("127.0.{}.{}:9000", group + 1, replica + 1);
-    text.parse().expect("a socket address")
+    let address = format!("127.0.{}.{}:9000", group + 1, replica + 1);
+    address.parse().expect("the address is valid")
 }
 
-/// Returns a search route with as many groups and replicas.
+/// Returns a search route with this many groups, each with this many replicas.
 pub(crate) fn route(groups: usize, replicas: usize) -> Route {
     let group = |index: usize| Group {
         name: format!("g{index}").into(),
-        keys: Range::new(index as u64 * KEYS, (index as u64 + 1) * KEYS),
+        keys: Range::new(
+            index as u64 * KEYS_PER_GROUP,
+            (index as u64 + 1) * KEYS_PER_GROUP,
+        ),
         weight: 1.0,
         backend_servers: (0..replicas)
             .map(|replica| server(index, replica))
@@ -71,12 +74,12 @@
         },
         max_body_bytes: 65536,
         minimum_index_version: 0,
-        keys: Range::new(0, groups as u64 * KEYS),
+        keys: Range::new(0, groups as u64 * KEYS_PER_GROUP),
         groups: (0..groups).map(group).collect(),
     }
 }
 
-/// Returns a route like the gate desk: half the data is worth more than a late answer.
+/// Returns a search route whose soft deadline accepts answers that cover half of the keys.
 pub(crate) fn gate_desk(groups: usize, replicas: usize) -> Route {
     let mut route = route(groups, replicas);
     route.name = "gate-desk".into();
@@ -95,7 +98,7 @@
     route
 }
 
-/// Returns a request with the id, 1000 ms before its deadline.
+/// Returns an urgent request that has 1000 ms until its deadline.
 pub(crate) fn request(id: RequestId, now: Time) -> Request {
     Request {
         id,
@@ -110,7 +113,7 @@
     }
 }
 
-/// Returns what a healthy server says of itself.
+/// Returns the report of a healthy server that serves `versions`.
 pub(crate) fn report(versions: &[IndexVersion]) -> Report {
     Report {
         load: None,
@@ -120,7 +123,7 @@
     }
 }
 
-/// Returns a reply that covers the ranges, with an item at the start of each.
+/// Returns a reply that covers `ranges`, with one item at the start of each range.
 pub(crate) fn reply(ranges: &[Range], version: IndexVersion) -> Reply {
     let item = |range: &Range| Item {
         key: range.start,
@@ -134,7 +137,7 @@
     }
 }
 
-/// Returns a refusal by the server itself.
+/// Returns the failure of an attempt that the server refused.
 pub(crate) fn refused(refusal: Refusal) -> Failure {
     Failure::Refused {
         refusal,
@@ -143,22 +146,22 @@
     }
 }
 
-/// A home and all that it did.
+/// A home and the actions that it has returned.
 pub(crate) struct Session {
     pub(crate) home: Home,
     pub(crate) now: Time,
-    /// Servers that refuse connections.
+    /// Servers that refuse every connect.
     pub(crate) refusing: BTreeSet<BackendServerId>,
-    /// Servers to which connections take as long as the test wants.
+    /// Servers to which connections stay pending until the test opens them.
     pub(crate) pending: BTreeSet<BackendServerId>,
-    /// Connections asked for.
+    /// Connections that the home asked to open.
     pub(crate) opens: Vec<(ConnectionId, BackendServerId)>,
-    /// Attempts sent, whether they have ended or not.
+    /// Attempts sent, including those that have ended.
     pub(crate) sends: Vec<Send>,
     pub(crate) cancels: Vec<AttemptId>,
     pub(crate) closes: Vec<ConnectionId>,
     pub(crate) finishes: Vec<(RequestId, Outcome)>,
-    pub(crate) others: Vec<Action>,
+    pub(crate) other_actions: Vec<Action>,
     pub(crate) log: Vec<Decision>,
     pub(crate) transcript: String,
     wakes: BTreeSet<Time>,
@@ -169,38 +172,42 @@
         Self::refusing(route, &[])
     }
 
-    /// Returns a session in which some servers refuse connections from the start.
+    /// Returns a session in which the `refusing` servers refuse every connect.
     pub(crate) fn refusing(route: Route, refusing: &[BackendServerId]) -> Self {
-        Self::with(route, refusing, &[])
+        Self::with_connects(route, refusing, &[])
     }
 
-    /// Returns a session in which connections to some servers take as long as the test wants.
+    /// Returns a session in which connections to the `pending` servers stay pending.
     pub(crate) fn pending(route: Route, pending: &[BackendServerId]) -> Self {
-        Self::with(route, &[], pending)
+        Self::with_connects(route, &[], pending)
     }
 
-    fn with(route: Route, refusing: &[BackendServerId], pending: &[BackendServerId]) -> Self {
+    fn with_connects(
+        route: Route,
+        refusing: &[BackendServerId],
+        pending: &[BackendServerId],
+    ) -> Self {
         let (home, actions) = Home::new(Arc::new(route), 1, 7, Time::ZERO);
-        Self::started(home, actions, refusing, pending)
+        Self::with_home(home, actions, refusing, pending)
     }
 
-    /// Returns a session of a home that is one of `hosts` which all are homes, and that takes
-    /// nothing but a refused connect for a sign that a server died.
-    pub(crate) fn everyone(route: Route, hosts: usize) -> Self {
-        Self::divided(route, Division::among_all_hosts(hosts, 58.0))
+    /// Returns a session for one of `hosts` hosts that are all homes of the route. Only a refused
+    /// connect counts as a server crash.
+    pub(crate) fn with_hosts(route: Route, hosts: usize) -> Self {
+        Self::with_division(route, Division::among_all_hosts(hosts, 58.0))
     }
 
-    /// Returns a session as [`Self::everyone`] does, of a home that takes its part of a division.
-    pub(crate) fn divided(route: Route, division: Division) -> Self {
+    /// Like [`Self::with_hosts`], with the given division of the servers' capacity.
+    pub(crate) fn with_division(route: Route, division: Division) -> Self {
         let policy = Policy {
             crash_signal: CrashSignal::ConnectFailed,
             ..Policy::default()
         };
         let (home, actions) = Home::with_policy(Arc::new(route), division, 7, policy, Time::ZERO);
-        Self::started(home, actions, &[], &[])
+        Self::with_home(home, actions, &[], &[])
     }
 
-    fn started(
+    fn with_home(
         home: Home,
         actions: Vec<Action>,
         refusing: &[BackendServerId],
@@ -216,7 +223,7 @@
             cancels: Vec::new(),
             closes: Vec::new(),
             finishes: Vec::new(),
-            others: Vec::new(),
+            other_actions: Vec::new(),
             log: Vec::new(),
             transcript: String::new(),
             wakes: BTreeSet::new(),
@@ -225,26 +232,26 @@
         session
     }
 
-    /// Returns a session whose home has heard from each server that it serves `versions`.
+    /// Returns a session in which a poll of each server has reported `versions`.
     pub(crate) fn polled(route: Route, versions: &[IndexVersion]) -> Self {
         let servers = route.groups.iter().flat_map(|group| &group.backend_servers);
         let servers: Vec<BackendServerId> = servers.copied().collect();
         let mut session = Self::new(route);
         for server in servers {
-            session.on(Event::Polled(server, Some(report(versions))));
+            session.handle(Event::Polled(server, Some(report(versions))));
         }
         session
     }
 
-    /// Feeds an event, and what follows from it by itself.
-    pub(crate) fn on(&mut self, event: Event) {
-        let line = describe(&event);
+    /// Sends the home an event and carries out the resulting actions.
+    pub(crate) fn handle(&mut self, event: Event) {
+        let line = describe_event(&event);
         let is_tick = event == Event::Tick;
         let actions = self.home.handle(event, self.now);
-        let quiet = actions
+        let only_wakes = actions
             .iter()
             .all(|action| matches!(action, Action::Wake(_)));
-        if !(is_tick && quiet) {
+        if !(is_tick && only_wakes) {
             self.write("<-", &line);
         }
         self.carry_out(actions);
@@ -254,7 +261,7 @@
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             if !matches!(action, Action::Wake(_)) {
-                self.write("->", &show(&action));
+                self.write("->", &describe_action(&action));
             }
             match action {
                 Action::Open(connection, server) => {
@@ -266,7 +273,7 @@
                         true => Event::ConnectFailed(connection, ConnectFailure::Refused),
                         false => Event::Opened(connection),
                     };
-                    self.write("<-", &describe(&event));
+                    self.write("<-", &describe_event(&event));
                     actions.extend(self.home.handle(event, self.now));
                 }
                 Action::Close(connection) => self.closes.push(connection),
@@ -277,39 +284,39 @@
                     self.wakes.insert(at);
                 }
                 Action::Log(decision) => self.log.push(decision),
-                other => self.others.push(other),
+                action => self.other_actions.push(action),
             }
         }
     }
 
-    fn write(&mut self, way: &str, text: &str) {
-        let line = format!("{:>6} {way} {text}\n", self.now.as_millis());
+    fn write(&mut self, direction: &str, text: &str) {
+        let line = format!("{:>6} {direction} {text}\n", self.now.as_millis());
         self.transcript.push_str(&line);
     }
 
-    /// Lets time pass, with a tick at each wake-up that was asked for.
-    pub(crate) fn pass(&mut self, time: Time) {
+    /// Advances the time, with a tick at each wake-up that the home scheduled.
+    pub(crate) fn advance(&mut self, time: Time) {
         let end = self.now + time;
         while let Some(at) = self.wakes.first().copied().filter(|at| *at <= end) {
             self.wakes.remove(&at);
             self.now = at.max(self.now);
-            self.on(Event::Tick);
+            self.handle(Event::Tick);
         }
         self.now = end;
-        self.on(Event::Tick);
+        self.handle(Event::Tick);
     }
 
-    pub(crate) fn ask(&mut self, id: RequestId) {
-        self.on(Event::Request(request(id, self.now)));
+    pub(crate) fn submit(&mut self, id: RequestId) {
+        self.handle(Event::Request(request(id, self.now)));
     }
 
-    /// Answers an attempt in full, from the version that was asked for.
+    /// Answers an attempt in full, at the requested index version or [`VERSION`].
     pub(crate) fn answer(&mut self, send: &Send) {
         let version = send.index_version.unwrap_or(VERSION);
-        self.on(Event::Reply(send.attempt, reply(&send.ranges, version)));
+        self.handle(Event::Reply(send.attempt, reply(&send.ranges, version)));
     }
 
-    /// Answers the attempts sent from the `from`th on.
+    /// Answers the attempts from index `from` on, including those sent meanwhile.
     pub(crate) fn answer_from(&mut self, from: usize) {
         let mut next = from;
         while let Some(send) = self.sends.get(next).cloned() {
@@ -319,24 +326,24 @@
     }
 
     pub(crate) fn fail(&mut self, attempt: AttemptId, failure: Failure) {
-        self.on(Event::Failed(attempt, failure));
+        self.handle(Event::Failed(attempt, failure));
     }
 
-    /// Returns the attempts sent for a group.
-    pub(crate) fn sent_to(&self, group: usize) -> Vec<Send> {
+    /// Returns the attempts sent to the servers of a group.
+    pub(crate) fn sends_to(&self, group: usize) -> Vec<Send> {
         let sends = self.sends.iter();
-        let there = sends.filter(|send| (0..9).any(|r| server(group, r) == send.backend_server));
-        there.cloned().collect()
+        let to_group = sends.filter(|send| (0..9).any(|r| server(group, r) == send.backend_server));
+        to_group.cloned().collect()
     }
 
-    /// Returns the outcome of a request, which must be the only one.
+    /// Returns the outcome of a request; panics unless there is exactly one.
     pub(crate) fn outcome(&self, id: RequestId) -> &Outcome {
         let finishes = self.finishes.iter().filter(|(request, _)| *request == id);
         let outcomes: Vec<&Outcome> = finishes.map(|(_, outcome)| outcome).collect();
         assert_eq!(
             outcomes.len(),
             1,
-            "one result of request {id}: {outcomes:?}"
+            "request {id} has exactly one outcome: {outcomes:?}"
         );
         outcomes[0]
     }
@@ -345,20 +352,20 @@
         self.finishes.iter().any(|(request, _)| *request == id)
     }
 
-    pub(crate) fn answered(&self, id: RequestId) -> &Answer {
+    pub(crate) fn answer_to(&self, id: RequestId) -> &Answer {
         match self.outcome(id) {
             Outcome::Answered(answer) => answer,
-            other => unreachable!("request {id} ended otherwise: {other:?}"),
+            other => unreachable!("request {id} was not answered: {other:?}"),
         }
     }
 
-    /// Tells whether a decision of this kind was logged.
-    pub(crate) fn logged(&self, what: &str) -> bool {
+    /// Returns whether the home has logged a decision with this `what` label.
+    pub(crate) fn has_logged(&self, what: &str) -> bool {
         self.log.iter().any(|decision| decision.what == what)
     }
 }
 
-fn describe(event: &Event) -> String {
+fn describe_event(event: &Event) -> String {
     match event {
         Event::Request(request) => format!("request {}", request.id),
         Event::Reply(attempt, reply) => format!(
@@ -376,7 +383,7 @@
     }
 }
 
-fn show(action: &Action) -> String {
+fn describe_action(action: &Action) -> String {
     match action {
         Action::Send(send) => format!(
             "send {} on {} to {} version {:?} ranges {}",
