--- a/crates/daemon/src/peer/pool.rs
+++ b/crates/daemon/src/peer/pool.rs
@@ -59,7 +59,7 @@
     fn slot(&self, peer: SocketAddr) -> Slot {
         let mut slots = self.lock();
         let slot = slots.entry(peer).or_default();
-        if slot.get().is_some_and(Connection::has_ended) {
+        if slot.get().is_some_and(Connection::is_closed) {
             *slot = Slot::default();
         }
         slot.clone()
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,9 +1,8 @@
-//! How the acceptor of a connection reads calls.
+//! Codec of the server side of a connection between daemons.
 //!
-//! During a roll-out two versions run beside each other, and a newer daemon may call a method that
-//! this one does not know. With the plain codec such a call is an error of the connection: it is
-//! closed, and with it end all calls of that peer which are in flight, queries of callers among them.
-//! Here a call whose body can't be read is [`Body::Unknown`]: it alone is refused.
+//! During a rolling upgrade, a newer daemon may call a method that an older one does not know. The
+//! plain bincode codec treats such a call as a connection error, which fails all calls in flight from
+//! that peer. This codec decodes it as [`Body::Unknown`] instead, and only that call is rejected.
 
 use bincode::Options;
 use bytes::{Bytes, BytesMut};
@@ -16,27 +15,27 @@
 use tarpc::server::Serve;
 use tarpc::{ClientMessage, RequestName, ServerError};
 
-/// Largest call or answer between daemons, in bytes. An answer over 160 backend servers has to fit.
+/// Largest call or response between daemons, in bytes. It must hold a search result of a whole route.
 pub const MAX_FRAME: usize = 64 * 1024 * 1024;
 
-/// Longest time that a call may be given; no route has a longer deadline.
+/// Longest time to the deadline that a call may have; the deadlines of routes are shorter.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(60 * 60);
 
-/// Result of reading or writing a message.
+/// Result of encoding or decoding a message.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The body of a call.
+/// Decoded body of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body<T> {
-    /// One that this daemon can read.
+    /// A call that this daemon knows.
     Known(T),
-    /// One that it can't.
+    /// A method or arguments that this daemon can't decode, as from a newer version.
     Unknown,
 }
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Body<T> {
-    /// The body is the last part of a message, so that nothing is lost with the place at which
-    /// reading it stopped.
+    /// Decodes errors as [`Body::Unknown`]. That leaves the input at an arbitrary position, which is
+    /// harmless because the body is the last part of a message.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         Ok(T::deserialize(deserializer).map_or(Self::Unknown, Self::Known))
     }
@@ -51,11 +50,11 @@
     }
 }
 
-/// Answers the calls that it can read, and refuses the others.
+/// Serves known calls and rejects unknown ones.
 #[derive(Clone, Debug)]
-pub(crate) struct Tolerant<S>(pub(crate) S);
+pub(crate) struct RejectUnknown<S>(pub(crate) S);
 
-impl<S: Serve> Serve for Tolerant<S> {
+impl<S: Serve> Serve for RejectUnknown<S> {
     type Req = Body<S::Req>;
     type Resp = S::Resp;
 
@@ -70,7 +69,7 @@
     }
 }
 
-/// Reads calls and writes answers.
+/// Decodes calls and encodes responses.
 #[derive(Debug)]
 pub struct Codec<Request, Response>(PhantomData<(Request, Response)>);
 
@@ -95,7 +94,7 @@
         let mut rest = source.as_ref();
         let mut message = options().deserialize_from(&mut rest).map_err(invalid)?;
         if let ClientMessage::Request(request) = &mut message {
-            // A body that goes on where this daemon sees its end is another one than it seems.
+            // Trailing bytes mean that the sender knows another form of this message.
             if !rest.is_empty() {
                 request.message = Body::Unknown;
             }
@@ -114,29 +113,31 @@
     }
 }
 
-/// The beginning of a message.
+/// First fields of a [`ClientMessage`], up to the deadline of a call.
 #[derive(Deserialize)]
 enum Head {
-    /// A call, with the time that it is given.
+    /// A call and the time to its deadline.
     Request(Duration),
-    /// The end of the caller's interest in a call.
+    /// Cancellation of a call.
     Cancel,
 }
 
-/// Refuses a time that the library would add to the clock without a look: the sum overflows, and the
-/// task of the connection panics.
+/// Rejects a deadline that is too far in the future.
+///
+/// `tarpc` adds the duration to the current time while decoding, which would overflow and panic in
+/// the connection's task.
 fn check_deadline(source: &[u8]) -> Result<()> {
     let head = options().deserialize_from(source).map_err(invalid)?;
     match head {
         Head::Request(deadline) if deadline > MAX_DEADLINE => {
-            let detail = "the call has more time than any route";
+            let detail = "the deadline of the call is too far in the future";
             Err(Error::new(ErrorKind::InvalidData, detail))
         }
         Head::Request(_) | Head::Cancel => Ok(()),
     }
 }
 
-/// The layout of all messages. The limit keeps a length that lies from being believed.
+/// Returns the encoding of all messages. The limit bounds the memory that a forged length can claim.
 fn options() -> impl Options {
     bincode::DefaultOptions::new().with_limit(MAX_FRAME as u64)
 }
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,37 +1,37 @@
-//! Datagrams between hosts.
+//! Encoding of the datagrams between hosts.
 //!
-//! The fields in bincode's fixed layout, so that the sizes that the members reckon with are those on
-//! the wire. Nothing is sealed: see the page on keys in the documentation for where that is right.
+//! Integers have a fixed width, so that the sizes that the membership protocol computes are the sizes
+//! on the wire. Datagrams are not encrypted; the documentation of keys says where that is acceptable.
 
 use bincode::Options;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest datagram, in bytes: a page with one full bucket of 3,800 hosts takes about 4,000.
+/// Largest datagram, in bytes. It must hold a page with one full bucket of the member table.
 pub const MAX_BYTES: usize = 16 * 1024;
 
-/// Result of writing and reading.
+/// Result of encoding or decoding a datagram.
 pub type Result<T, E = bincode::Error> = std::result::Result<T, E>;
 
-/// Writes a datagram.
+/// Encodes a datagram.
 ///
 /// # Errors
 ///
-/// It is too large.
+/// Returns an error if the datagram is larger than [`MAX_BYTES`].
 pub fn encode<T: Serialize>(datagram: &T) -> Result<Vec<u8>> {
     options().serialize(datagram)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// It is no datagram of this kind.
+/// Returns an error if `bytes` do not encode a `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     options().deserialize(bytes)
 }
 
-/// The layout. The limit keeps a length that lies from being believed.
+/// Returns the encoding. The limit bounds the memory that a forged length can claim.
 fn options() -> impl Options {
     bincode::DefaultOptions::new()
         .with_fixint_encoding()
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys that daemons prove to each other that they hold.
+//! Pre-shared keys with which daemons authenticate each other.
 
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use std::fmt;
@@ -7,13 +7,13 @@
 /// Length of a key, in bytes.
 const LENGTH: usize = 32;
 
-/// Text digits of one byte.
+/// Hexadecimal digits of one byte.
 const DIGITS: usize = 2;
 
-/// Why a text is no key. The text itself is never part of the message, as that goes to the log.
+/// Error of parsing a key. Messages never contain the text, because they are logged.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The text is too short or too long.
+    /// The text has the wrong length.
     #[snafu(display("a key has 64 hexadecimal digits, not {count}"))]
     Length {
         /// Number of characters in the text.
@@ -22,25 +22,25 @@
     /// A character is not a hexadecimal digit.
     #[snafu(display("characters {position} and {} are not both hexadecimal digits", position + 1))]
     Digit {
-        /// Position of the first of the two characters, from 0.
+        /// Position of the first of the two characters, counted from 0.
         position: usize,
-        /// What the standard library says.
+        /// Error of the number parser.
         source: std::num::ParseIntError,
     },
-    /// The text has characters outside ASCII.
+    /// The text has a `+` or a character outside ASCII.
     #[snafu(display("a key has only hexadecimal digits"))]
     Ascii,
 }
 
-/// Result of reading a key.
+/// Result of parsing a key.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A secret of 32 bytes. Its debug form hides it.
+/// A secret key of 32 bytes; its `Debug` output omits the bytes.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; LENGTH]);
 
 impl Key {
-    /// Makes a key of its bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: [u8; LENGTH]) -> Self {
         Self(bytes)
     }
@@ -74,12 +74,12 @@
     }
 }
 
-/// The keys that a daemon takes: one, or two while the operators change it.
+/// Keys that a daemon accepts: one, or two during a key rotation.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
-    /// The key that connections are opened with; without it nothing is checked or sealed.
+    /// Key that connections are opened with; if `None`, peers are neither authenticated nor encrypted.
     pub current: Option<Key>,
-    /// A further key that is accepted from others.
+    /// Second key that is accepted from peers during a key rotation.
     pub previous: Option<Key>,
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! What the daemons say to each other.
+//! Protocol between the daemons.
 //!
-//! Requests that are passed on to a home, and the control exchange, go over [`tarpc`]: its calls
-//! carry the deadline, and a call that is dropped is cancelled at the other end. If keys are set,
-//! every byte goes through the [`channel`] that only holders of a key can open.
+//! Forwarded requests and the control protocol are [`tarpc`] calls: a call carries its deadline, and
+//! dropping it cancels it at the peer. If keys are set, calls travel over an encrypted [`channel`].
 
 pub mod channel;
 pub mod codec;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! What daemons pass on to each other.
+//! Messages that daemons send to each other.
 
 use monsoonring_configuration::document::Class;
 use monsoonring_configuration::id::{CallerId, Revision, RouteId};
@@ -10,61 +10,61 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A request that the daemon which took it passes on. Its deadline travels with the call.
+/// A forwarded request. Its deadline is that of the call, less [`crate::peer::DEADLINE_GRACE`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
-    /// The route that it is for.
+    /// Route that the request is for.
     pub route: RouteId,
-    /// Revision of the configuration that it was checked against.
+    /// Revision of the configuration that the forwarding daemon checked the request against.
     pub revision: Revision,
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: CallerId,
-    /// How much it counts.
+    /// Priority of the request in admission.
     pub class: Class,
     /// Hash of route and body.
     pub fingerprint: Fingerprint,
-    /// JSON text that goes to the backend servers.
+    /// JSON text for the backend servers.
     pub body: Arc<str>,
 }
 
-/// A send of a non-idempotent request on its way to the incarnation that may run it.
+/// A non-idempotent request, forwarded to the incarnation that may run it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Send {
-    /// The request.
+    /// The forwarded request.
     pub request: Request,
-    /// The key that it came with.
+    /// Idempotency key of the request.
     pub key: Key,
-    /// The caller's count of its sends, where it gave one.
+    /// Number of this send, as counted by the caller, if given.
     pub send: Option<u32>,
 }
 
-/// Why a daemon did not do what it was asked to; none of it ran there.
+/// Reason for rejecting a forwarded request. The request did not run at the rejecting daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// It is no home of the route.
+    /// The daemon is not a home of the route.
     NotHome,
-    /// Its ledger refuses.
+    /// The idempotency ledger refuses the request.
     Ledger(Refusal),
 }
 
-/// A document on its way between daemons.
+/// A configuration document, relative to the sections that the receiver holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sections {
-    /// Which document it is: the one asked for, or a greater one that has come into force since.
+    /// Version of the document: the requested one or a newer one.
     pub version: Version,
-    /// All its sections.
+    /// All sections of the document.
     pub parts: Vec<Part>,
 }
 
-/// What a send came to at another daemon.
+/// Reply to a forwarded [`Send`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SendReply {
-    /// It has this outcome.
+    /// Outcome of the request.
     Ended(Outcome),
-    /// The key was used for another request before; this one did not run.
+    /// The key belongs to a different request; this one did not run.
     Conflict,
-    /// The ledger there refuses it.
+    /// The peer's ledger refuses the request.
     Refused(Refusal),
 }
--- a/crates/wire/src/meter.rs
+++ b/crates/wire/src/meter.rs
@@ -1,7 +1,6 @@
-//! Counting the bytes between daemons.
+//! Counters of the bytes between daemons.
 //!
-//! Control has a budget in bytes a second; this is where it is measured, at the socket, so that
-//! framing and sealing count too.
+//! Bytes are counted at the socket, so that they include framing and encryption.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -10,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes sent to and received from all peers. Clones count together.
+/// Counters of the bytes sent to and received from all peers; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     sent: Arc<AtomicU64>,
@@ -18,17 +17,17 @@
 }
 
 impl Meter {
-    /// Returns the bytes sent since the start.
+    /// Returns the number of bytes sent since the process started.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Returns the bytes received since the start.
+    /// Returns the number of bytes received since the process started.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn measure(&self, stream: TcpStream) -> Metered {
+    pub(crate) fn wrap(&self, stream: TcpStream) -> Metered {
         Metered {
             stream,
             meter: self.clone(),
@@ -36,7 +35,7 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// A TCP stream that counts its bytes in a [`Meter`].
 #[derive(Debug)]
 pub(crate) struct Metered {
     stream: TcpStream,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,7 @@
-//! The calls that daemons make to each other.
+//! RPC service that daemons offer each other, with its client and server.
 
-use crate::channel::{Endpoint, Result as Opened, Stream};
-use crate::codec::{Codec, MAX_FRAME, Tolerant};
+use crate::channel::{Endpoint, Result as ChannelResult, Stream};
+use crate::codec::{Codec, MAX_FRAME, RejectUnknown};
 use crate::message::{Rejection, Request, Sections, Send, SendReply};
 use monsoonring_configuration::section::transfer::Base;
 use monsoonring_decision::configuration::Version;
@@ -19,77 +19,77 @@
 use tarpc::tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tarpc::{ClientMessage, Response};
 
-/// Most calls of one peer that are worked on at the same time; a client makes no more than half of it.
-const MAX_CALLS: usize = 2_000;
+/// Limit of concurrent calls on one connection. A client's own limit is half of it.
+const MAX_CONCURRENT_CALLS: usize = 2_000;
 
-/// Time for which a call outlives the deadline of the request that it carries, so that the final
-/// answer "the deadline has passed" still arrives in place of a call that was cut off.
+/// Time by which a call outlives the deadline of the request that it carries. It leaves time for the
+/// response that reports the missed deadline.
 pub const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 
-/// What a daemon does for another.
+/// Calls that a daemon serves for its peers.
 ///
-/// Two versions run beside each other during a roll-out. So methods are only ever added, at the end,
-/// and a message never changes: what has to say more is a new message in a new method. A golden file of
-/// the bytes of each shows a change that was not meant.
+/// Two versions run side by side during a rolling upgrade. Methods are therefore only added, at the
+/// end, and messages never change: an extension is a new message in a new method. A snapshot test of
+/// the encoded messages guards against unintended changes.
 #[tarpc::service]
 pub trait Peer {
-    /// Answers a probe, which carries what the sender passes on; `None` from a daemon that starts.
+    /// Answers a probe and exchanges gossip; returns `None` while the daemon is starting.
     async fn probe(message: Message) -> Option<Message>;
 
-    /// Probes a third member for the sender; `None` where it did not answer.
+    /// Probes another member for the sender; returns `None` if that member did not answer.
     async fn probe_for(target: MemberId) -> Option<Message>;
 
-    /// Returns a page of the member table.
+    /// Returns the first page of the member table for the buckets of `span`.
     async fn page(span: BucketRange) -> Option<Page>;
 
-    /// Returns the document in force as it differs from the base, `None` where it is lesser than
-    /// `least`.
+    /// Returns the current configuration relative to `base`, or `None` if it is older than `least`.
     async fn sections(least: Version, base: Base) -> Option<Sections>;
 
     /// Runs a search at this home.
     async fn search(request: Request) -> Result<Outcome, Rejection>;
 
-    /// Issues a key at this home.
+    /// Issues an idempotency key at this home.
     async fn mint(request: Request) -> Result<Key, Rejection>;
 
-    /// Takes a send to the incarnation that its key names.
+    /// Forwards a non-idempotent request to the incarnation that its key names.
     async fn send(send: Send) -> SendReply;
 
-    /// Runs a non-idempotent request at this home, for the incarnation that holds its key's permit.
+    /// Runs a non-idempotent request at this home, on behalf of the incarnation that holds the permit
+    /// of its key.
     async fn run(request: Request, key: String) -> Result<Outcome, Rejection>;
 
-    /// Tells what this daemon's ledger knows.
+    /// Looks up a key in this daemon's idempotency ledger.
     async fn ask(question: Lookup) -> Finding;
 
-    /// Takes the ledger of a daemon that stops.
+    /// Takes over the idempotency ledger of a daemon that is shutting down.
     async fn take_over(handover: Handover) -> Option<Receipt>;
 
-    /// Takes a fact that another home of a route has just found, ahead of its way with the probes.
+    /// Receives a fact that another home of a route has just recorded, before gossip delivers it.
     async fn hear(entry: fact::Entry, from: MemberId);
 }
 
-/// How the opener of a connection writes calls and reads answers.
+/// Codec of the client: encodes calls and decodes responses.
 pub type ClientCodec = Bincode<Response<PeerResponse>, ClientMessage<PeerRequest>>;
 
-/// How the acceptor of a connection reads calls and writes answers.
+/// Codec of the server: decodes calls and encodes responses.
 pub type ServerCodec = Codec<PeerRequest, Response<PeerResponse>>;
 
-/// A client, and whether it can still be used.
+/// Client of a peer and the state of its connection.
 #[derive(Clone, Debug)]
 pub struct Connection {
     client: PeerClient,
-    ended: Arc<AtomicBool>,
+    closed: Arc<AtomicBool>,
 }
 
 impl Connection {
-    /// Returns the client.
+    /// Returns the client for calls on this connection.
     pub fn client(&self) -> &PeerClient {
         &self.client
     }
 
-    /// Tells whether the stream has ended. Every call on it would fail.
-    pub fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::Relaxed)
+    /// Returns whether the connection has closed, so that every further call fails.
+    pub fn is_closed(&self) -> bool {
+        self.closed.load(Ordering::Relaxed)
     }
 }
 
@@ -97,25 +97,26 @@
 ///
 /// # Errors
 ///
-/// Fails where no stream to the peer can be opened.
-pub async fn connect(peer: SocketAddr, endpoint: &Endpoint) -> Opened<Connection> {
+/// Returns an error if no stream to the peer can be opened.
+pub async fn connect(peer: SocketAddr, endpoint: &Endpoint) -> ChannelResult<Connection> {
     let stream = endpoint.connect(peer).await?;
-    let calls = tarpc::serde_transport::new(framed(stream), ClientCodec::default());
-    let new = PeerClient::new(tarpc::client::Config::default(), calls);
-    let ended = Arc::new(AtomicBool::new(false));
-    let (dispatch, flag) = (new.dispatch, ended.clone());
+    let transport = tarpc::serde_transport::new(framed(stream), ClientCodec::default());
+    let new = PeerClient::new(tarpc::client::Config::default(), transport);
+    let closed = Arc::new(AtomicBool::new(false));
+    let (dispatch, flag) = (new.dispatch, closed.clone());
     tokio::spawn(async move {
-        // Whoever calls is told of the error too, and says so with more context.
+        // The calls in flight return the error too and are reported with more context.
         let _error = dispatch.await;
         flag.store(true, Ordering::Relaxed);
     });
     let client = new.client;
-    Ok(Connection { client, ended })
+    Ok(Connection { client, closed })
 }
 
-/// Returns the answering of each call that comes on a stream, until the stream ends.
+/// Returns a stream of handlers, one for each call that arrives on `stream`.
 ///
-/// `server` is what [`Peer::serve`] makes. Each answering runs on its own and has to be spawned.
+/// `server` is the result of [`Peer::serve`]. The caller spawns each handler, so that calls run
+/// concurrently.
 pub fn call_handlers<S>(
     stream: Box<dyn Stream>,
     server: S,
@@ -123,13 +124,13 @@
 where
     S: Serve<Req = PeerRequest, Resp = PeerResponse> + Clone,
 {
-    let calls = tarpc::serde_transport::new(framed(stream), ServerCodec::default());
-    BaseChannel::with_defaults(calls)
-        .max_concurrent_requests(MAX_CALLS)
-        .execute(Tolerant(server))
+    let transport = tarpc::serde_transport::new(framed(stream), ServerCodec::default());
+    BaseChannel::with_defaults(transport)
+        .max_concurrent_requests(MAX_CONCURRENT_CALLS)
+        .execute(RejectUnknown(server))
 }
 
-/// Cuts a stream into messages.
+/// Splits a stream into length-prefixed messages of at most [`MAX_FRAME`] bytes.
 pub fn framed(stream: Box<dyn Stream>) -> Framed<Box<dyn Stream>, LengthDelimitedCodec> {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME)
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -19,9 +19,9 @@
     let endpoint = Endpoint::new(LOCAL, Ring::default(), Meter::default());
     let (connection, accepted) = tokio::join!(connect(address, &endpoint), listener.accept());
     let connection = connection.expect("a connection");
-    assert!(!connection.has_ended());
+    assert!(!connection.is_closed());
     drop(accepted);
-    while !connection.has_ended() {
+    while !connection.is_closed() {
         tokio::task::yield_now().await;
     }
 }
