--- a/crates/configuration/examples/reference.rs
+++ b/crates/configuration/examples/reference.rs
@@ -1,4 +1,4 @@
-//! Writes docs/configuration.md.
+//! Writes `docs/configuration.md`.
 
 use monsoonring_configuration::reference;
 use std::{fs, io};
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,13 +1,13 @@
-//! The checks that a document passes before it is in force.
+//! Validation of documents.
 //!
-//! An operator who mends one fault only to be told of the next loses a round trip each time, so
-//! every check collects its faults and goes on. Three steps follow one another:
+//! Every check collects its faults and continues, so that an operator sees all of them at once. There
+//! are three stages:
 //!
-//! 1. [`reader`] reads the bytes as JSON and finds keys that stand twice.
-//! 2. [`structure`] holds the value against the JSON schema: types, missing and unknown fields,
+//! 1. [`reader`] parses the JSON and finds duplicate keys.
+//! 2. [`structure`] validates the value against the JSON schema: types, missing and unknown fields,
 //!    bounds of single fields.
-//! 3. [`rule`] checks what no schema can say: references, uniqueness, order and tiling. It reads
-//!    the JSON value and not the typed document, and passes over whatever it can't read, so that a
+//! 3. [`rule`] checks what the schema can't express: references, uniqueness, order and tiling. It
+//!    reads the JSON value rather than the typed document and skips what it can't read, so that a
 //!    misspelt field in one group doesn't hide an overlap between two others.
 //!
 //! Only a value without faults becomes a [`Document`].
@@ -31,23 +31,23 @@
 use serde_json::Value;
 use snafu::{Snafu, ensure};
 
-/// The outcome of a check.
+/// Result of a check.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A document that can't be in force.
+/// Error of an invalid document.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("the document has {}", fault::list(faults)))]
 pub struct Error {
-    /// All that is wrong with it, in the order of the paths; never empty.
+    /// Faults of the document, ordered by path; never empty.
     pub faults: Vec<Fault>,
 }
 
-/// Reads a document and checks it.
+/// Parses and validates a document.
 ///
 /// # Errors
 ///
-/// Returns every fault of the document at once. Bytes that aren't JSON at all have one: the first
-/// place that can't be read.
+/// Returns all faults of the document. Bytes that aren't JSON have a single fault, the first syntax
+/// error.
 pub fn parse(bytes: &[u8]) -> Result<Document> {
     ensure!(
         bytes.len() <= limit::VALUE_BYTES,
@@ -55,61 +55,61 @@
             faults: vec![size_fault(bytes.len())]
         }
     );
-    read(bytes)
+    parse_unbounded(bytes)
 }
 
-/// Checks a document that was built in memory or put together from sections.
+/// Validates a document that was built in memory or assembled from sections.
 ///
-/// The bound on the size of a value isn't checked: sections may be published as values of their own.
+/// The size limit of [`parse`] doesn't apply, because sections may be published as separate values.
 ///
 /// # Errors
 ///
-/// Returns every fault of the document at once.
+/// Returns all faults of the document.
 pub fn document(document: &Document) -> Result<()> {
     let text = serde_json::to_vec(document).map_err(|error| Error {
-        faults: vec![unreadable(&error)],
+        faults: vec![serde_fault(&error)],
     })?;
-    read(&text).map(|_| ())
+    parse_unbounded(&text).map(|_| ())
 }
 
-fn read(bytes: &[u8]) -> Result<Document> {
-    let read = reader::read(bytes).map_err(|fault| Error {
+fn parse_unbounded(bytes: &[u8]) -> Result<Document> {
+    let parsed = reader::parse(bytes).map_err(|fault| Error {
         faults: vec![fault],
     })?;
-    finish(&read.value, read.faults)
+    validate(&parsed.value, parsed.faults)
 }
 
-fn finish(value: &Value, mut faults: Vec<Fault>) -> Result<Document> {
+fn validate(value: &Value, mut faults: Vec<Fault>) -> Result<Document> {
     faults.extend(structure::faults(value));
     if faults.len() <= limit::FAULTS {
         faults.extend(rule::faults(&Node::root(value)));
     }
     faults.sort();
     faults.dedup();
-    shorten(&mut faults);
+    truncate_faults(&mut faults);
     ensure!(faults.is_empty(), Snafu { faults });
     let document = Document::deserialize(value).map_err(|error| Error {
-        faults: vec![unreadable(&error)],
+        faults: vec![serde_fault(&error)],
     })?;
     Ok(without_execute_hedges(document, value))
 }
 
-/// Cuts a list of faults that nobody would read to its end.
-fn shorten(faults: &mut Vec<Fault>) {
+/// Truncates a list of faults to [`limit::FAULTS`], with a first entry that says so.
+fn truncate_faults(faults: &mut Vec<Fault>) {
     if faults.len() > limit::FAULTS {
         faults.truncate(limit::FAULTS);
-        let more = format!("it has more faults than the {} listed", limit::FAULTS);
+        let wrong = format!("it has more faults than the {} listed", limit::FAULTS);
         faults.insert(
             0,
-            Fault::new(Path::default(), more, "a document without them"),
+            Fault::new(Path::default(), wrong, "a document without them"),
         );
     }
 }
 
-/// Turns hedging off on the execute routes that don't mention it.
+/// Disables hedging on execute routes without a `hedge` field.
 ///
-/// The default of `hedge` is made for searches. Taken over by a non-idempotent route it would ask
-/// for what the rules forbid: the same request at two backend servers.
+/// The default of `hedge` is meant for searches. On an execute route it would allow a non-idempotent
+/// request to run at two backend servers.
 fn without_execute_hedges(mut document: Document, value: &Value) -> Document {
     for (index, route) in document.routes.iter_mut().enumerate() {
         let absent = value["routes"][index].get("hedge").is_none();
@@ -123,17 +123,17 @@
 fn size_fault(bytes: usize) -> Fault {
     Fault::new(
         Path::default(),
-        format!("{bytes} bytes are more than the configuration service holds"),
+        format!("{bytes} bytes are more than the configuration service accepts"),
         format!("at most {} bytes", limit::VALUE_BYTES),
     )
 }
 
-/// A fault that the schema and the rules passed over. None is known; the error is kept rather than
-/// the document accepted half-read.
-fn unreadable(error: &serde_json::Error) -> Fault {
+/// Reports a document that `serde` rejects although the schema and the rules accept it. No such
+/// document is known.
+fn serde_fault(error: &serde_json::Error) -> Fault {
     Fault::new(
         Path::default(),
         format!("it can't be read: {error}"),
-        "a document as docs/configuration.md describes it",
+        "a document as described in docs/configuration.md",
     )
 }
--- a/crates/configuration/src/check/fault.rs
+++ b/crates/configuration/src/check/fault.rs
@@ -1,23 +1,23 @@
-//! One thing that is wrong with a document.
+//! Faults of a document.
 
 use super::Path;
 use derive_more::Display;
 use serde::Serialize;
 
-/// One thing that is wrong, where it is, and what would be right there.
+/// A fault of a document: where it is, what is wrong, and what is expected instead.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[display("{path}: {wrong}; right would be: {right}")]
 pub struct Fault {
-    /// Where the fault is.
+    /// Path of the faulty value.
     pub path: Path,
-    /// What is wrong.
+    /// What is wrong with the value.
     pub wrong: String,
-    /// What would be right.
+    /// What is expected instead.
     pub right: String,
 }
 
 impl Fault {
-    /// Makes a fault at a place: what is wrong there, and what would be right.
+    /// Creates a fault at `path`.
     pub fn new(path: Path, wrong: impl Into<String>, right: impl Into<String>) -> Self {
         Self {
             path,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Renders the number of faults and one line for each.
+/// Renders the number of faults and then one line for each.
 pub(super) fn list(faults: &[Fault]) -> String {
     let noun = if faults.len() == 1 { "fault" } else { "faults" };
     let lines: String = faults.iter().map(|fault| format!("\n  {fault}")).collect();
--- a/crates/configuration/src/check/node.rs
+++ b/crates/configuration/src/check/node.rs
@@ -1,8 +1,7 @@
-//! A part of a JSON document, together with the way to it.
+//! A JSON value together with its path in the document.
 //!
-//! The rules read documents that may have faults of structure. A node that isn't there or has
-//! another type reads as `None`: the schema has already reported it, and a rule that needs it has
-//! nothing to say.
+//! The rules also read documents that don't match the schema. A value that is missing or has the wrong
+//! type reads as `None`, and rules skip it because the schema check has reported it already.
 
 use super::{Fault, Path};
 use serde::Deserialize;
@@ -28,7 +27,7 @@
         Some(Self { path, value })
     }
 
-    /// The items of the array in the field `name`; none if there is no such array.
+    /// Returns the items of the array in the field `name`; empty if there is no such array.
     pub(crate) fn items(&self, name: &'static str) -> Vec<Self> {
         let array = self.value.get(name).and_then(Value::as_array);
         let path = self.path.field(name);
--- a/crates/configuration/src/check/path.rs
+++ b/crates/configuration/src/check/path.rs
@@ -1,56 +1,56 @@
-//! Places in a JSON document.
+//! Paths in a JSON document.
 
 use derive_more::Display;
 use serde::{Serialize, Serializer};
 use std::borrow::Cow;
 use std::fmt;
 
-/// One step down into a JSON value.
+/// A segment of a [`Path`].
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Segment {
-    /// Into an item of an array.
+    /// Index in an array.
     #[display("[{_0}]")]
     Index(usize),
-    /// Into a field of an object.
+    /// Field of an object.
     #[display("{_0}")]
     Field(Cow<'static, str>),
 }
 
-/// The way to a place in a JSON document, written `routes[2].groups[0].keys.end`.
+/// Path of a value in a JSON document, written `routes[2].groups[0].keys.end`.
 ///
-/// The empty path is the document itself. Paths order as their places do in an array.
+/// The empty path is the document itself. Array indices sort in numerical order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Path(Vec<Segment>);
 
 impl Path {
     /// Returns the path of an item of the array at this path.
     pub fn index(&self, index: usize) -> Self {
-        self.step(Segment::Index(index))
+        self.join(Segment::Index(index))
     }
 
     /// Returns the path of a field of the object at this path.
     pub fn field(&self, name: impl Into<Cow<'static, str>>) -> Self {
-        self.step(Segment::Field(name.into()))
+        self.join(Segment::Field(name.into()))
     }
 
-    /// Returns the steps from the document down.
+    /// Returns the segments, starting at the document.
     pub fn segments(&self) -> &[Segment] {
         &self.0
     }
 
-    pub(super) fn push(&mut self, step: Segment) {
-        self.0.push(step);
+    pub(super) fn push(&mut self, segment: Segment) {
+        self.0.push(segment);
     }
 
     pub(super) fn pop(&mut self) {
         self.0.pop();
     }
 
-    fn step(&self, step: Segment) -> Self {
-        let mut steps = Vec::with_capacity(self.0.len() + 1);
-        steps.extend_from_slice(&self.0);
-        steps.push(step);
-        Self(steps)
+    fn join(&self, segment: Segment) -> Self {
+        let mut segments = Vec::with_capacity(self.0.len() + 1);
+        segments.extend_from_slice(&self.0);
+        segments.push(segment);
+        Self(segments)
     }
 }
 
@@ -59,8 +59,8 @@
         if self.0.is_empty() {
             return formatter.write_str("document");
         }
-        for (position, step) in self.0.iter().enumerate() {
-            match step {
+        for (position, segment) in self.0.iter().enumerate() {
+            match segment {
                 Segment::Field(name) if !is_plain(name) => write!(formatter, "[{name:?}]")?,
                 Segment::Field(name) if position > 0 => write!(formatter, ".{name}")?,
                 other => write!(formatter, "{other}")?,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Tells whether a field's name can stand in a path without quotes.
+/// Returns whether a field name needs no quotes in a path.
 fn is_plain(name: &str) -> bool {
     !name.is_empty()
         && name
--- a/crates/configuration/src/check/reader.rs
+++ b/crates/configuration/src/check/reader.rs
@@ -1,21 +1,21 @@
-//! Reads JSON and reports keys that stand twice in an object.
+//! JSON parser that reports duplicate keys in an object.
 //!
-//! The usual reader keeps the last of two equal keys. An operator who edits a copied block then
-//! sees one value in the file and another in force, and nothing complains. Here both are a fault.
+//! `serde_json` silently keeps the last of two equal keys, so an operator who edits the first copy
+//! would see no effect.
 
 use super::{Fault, Path, Segment};
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// A JSON value and the keys that stand twice in it.
-pub(super) struct Read {
+/// A JSON value and the faults of its duplicate keys.
+pub(super) struct Parsed {
     pub(super) value: Value,
     pub(super) faults: Vec<Fault>,
 }
 
-/// Reads the whole of `bytes` as one JSON value.
-pub(super) fn read(bytes: &[u8]) -> Result<Read, Fault> {
+/// Parses all of `bytes` as one JSON value.
+pub(super) fn parse(bytes: &[u8]) -> Result<Parsed, Fault> {
     let mut faults = Vec::new();
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
     let mut path = Path::default();
@@ -27,7 +27,7 @@
         .deserialize(&mut deserializer)
         .and_then(|value| deserializer.end().map(|()| value))
         .map_err(|error| syntax_fault(&error))?;
-    Ok(Read { value, faults })
+    Ok(Parsed { value, faults })
 }
 
 fn syntax_fault(error: &serde_json::Error) -> Fault {
@@ -38,10 +38,9 @@
     )
 }
 
-/// Reads the value at `path`.
+/// Deserializes the value at `path`.
 ///
-/// Invariant: each step down is taken back, so that `path` is the same before and after. After an
-/// error it isn't, but then nothing is read any more.
+/// Invariant: `path` is the same before and after, except after an error, which ends parsing.
 struct Seed<'a> {
     path: &'a mut Path,
     faults: &'a mut Vec<Fault>,
@@ -123,13 +122,13 @@
 fn duplicate_fault(path: Path) -> Fault {
     Fault::new(
         path,
-        "the field stands more than once in its object",
-        "the field once",
+        "the field occurs more than once in its object",
+        "the field only once",
     )
 }
 
-/// A whole number written as a fraction, such as `3.0`, is the same JSON number as `3`; the types
-/// of the document only read the latter.
+/// Converts a whole number such as `3.0` to an integer: it is the same JSON number as `3`, but the
+/// integer fields of the document only accept the latter.
 fn number(value: f64) -> Value {
     let whole = value.fract() == 0.0 && (0.0..U64_RANGE).contains(&value);
     if whole {
@@ -139,5 +138,5 @@
     }
 }
 
-/// The first number that no `u64` holds: 2 to the 64th.
+/// Smallest number that is too large for a `u64`: 2 to the power of 64.
 const U64_RANGE: f64 = 18_446_744_073_709_551_616.0;
--- a/crates/configuration/src/check/rule.rs
+++ b/crates/configuration/src/check/rule.rs
@@ -1,4 +1,4 @@
-//! The rules between the fields of a document.
+//! Rules between the fields of a document.
 
 use super::Fault;
 use super::node::Node;
@@ -9,29 +9,29 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet};
 
-/// Finds all breaches of the rules in a document, or more than are listed.
+/// Returns the violations of the rules, at least [`limit::FAULTS`] of them if there are more.
 pub(super) fn faults(document: &Node<'_>) -> Vec<Fault> {
     let callers = document.items("callers");
     let routes = document.items("routes");
-    let known: HashSet<&str> = callers
+    let known_callers: HashSet<&str> = callers
         .iter()
         .filter_map(|caller| caller.read_field("name"))
         .collect();
-    let mut faults = repeated(names(&callers), "another caller");
-    faults.extend(repeated(names(&routes), "another route"));
+    let mut faults = duplicates(names(&callers), "another caller");
+    faults.extend(duplicates(names(&routes), "another route"));
     for route in &routes {
         if faults.len() > limit::FAULTS {
             break;
         }
-        faults.extend(route_faults(route, &known));
+        faults.extend(route_faults(route, &known_callers));
     }
     faults
 }
 
-fn route_faults(route: &Node<'_>, known: &HashSet<&str>) -> Vec<Fault> {
+fn route_faults(route: &Node<'_>, known_callers: &HashSet<&str>) -> Vec<Fault> {
     let groups = route.items("groups");
-    let mut faults = caller_faults(route, known);
-    faults.extend(repeated(names(&groups), "another group of the route"));
+    let mut faults = caller_faults(route, known_callers);
+    faults.extend(duplicates(names(&groups), "another group of the route"));
     faults.extend(server_faults(&groups));
     faults.extend(tiling::faults(route));
     faults.extend(deadline_faults(route));
@@ -41,12 +41,12 @@
     faults
 }
 
-fn caller_faults(route: &Node<'_>, known: &HashSet<&str>) -> Vec<Fault> {
+fn caller_faults(route: &Node<'_>, known_callers: &HashSet<&str>) -> Vec<Fault> {
     let callers = route.items("callers");
     let mut faults: Vec<Fault> = callers
         .iter()
         .filter_map(|caller| Some((caller, caller.read::<&str>()?)))
-        .filter(|(_, name)| !known.contains(name))
+        .filter(|(_, name)| !known_callers.contains(name))
         .map(|(caller, name)| {
             caller.fault(
                 format!("there is no caller `{name}`"),
@@ -55,7 +55,7 @@
         })
         .take(limit::FAULTS + 1)
         .collect();
-    faults.extend(repeated(callers, "another entry of the list"));
+    faults.extend(duplicates(callers, "another entry of the list"));
     faults
 }
 
@@ -65,22 +65,22 @@
         .flat_map(|group| group.items("backend_servers"))
         .collect();
     let mut faults = Vec::new();
-    let mut first = HashMap::new();
+    let mut seen = HashMap::new();
     for server in &servers {
         if faults.len() > limit::FAULTS {
             break;
         }
         let Some(address) = server.read::<BackendServerId>() else {
-            faults.extend(spelling_fault(server));
+            faults.extend(format_fault(server));
             continue;
         };
         faults.extend(address_fault(server, address));
-        match first.entry(address) {
+        match seen.entry(address) {
             Entry::Vacant(entry) => {
                 entry.insert(&server.path);
             }
             Entry::Occupied(entry) => faults.push(server.fault(
-                format!("{address} already stands at {}", entry.get()),
+                format!("{address} is already listed at {}", entry.get()),
                 "each backend server once in a route",
             )),
         }
@@ -93,14 +93,14 @@
     let is_reachable = address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
     (!is_reachable).then(|| {
         server.fault(
-            format!("nothing can be connected to at {address}"),
+            format!("{address} isn't an address to connect to"),
             "the IP and port on which the backend server listens",
         )
     })
 }
 
-/// A string that isn't an address; of other types the schema has already complained.
-fn spelling_fault(server: &Node<'_>) -> Option<Fault> {
+/// Returns the fault of a string that isn't an address; the schema check reports other types.
+fn format_fault(server: &Node<'_>) -> Option<Fault> {
     let text = server.read::<&str>()?;
     Some(server.fault(
         format!("{text:?} isn't an IP address with a port"),
@@ -123,20 +123,20 @@
         (connect, "the time for a new connection"),
     ]
     .into_iter()
-    .filter_map(|(node, what)| Some((node?, what)))
-    .filter_map(|(node, what)| Some((node.read::<u64>()?, node, what)))
+    .filter_map(|(node, label)| Some((node?, label)))
+    .filter_map(|(node, label)| Some((node.read::<u64>()?, node, label)))
     .filter(|(time, _, _)| *time >= deadline)
-    .map(|(time, node, what)| {
+    .map(|(time, node, label)| {
         node.fault(
-            format!("{what}, {time} ms, isn't before the deadline, {deadline} ms"),
+            format!("{label}, {time} ms, isn't before the deadline, {deadline} ms"),
             format!("less than {deadline}"),
         )
     })
     .collect()
 }
 
-/// What a non-idempotent route can't have: it runs at one backend server once, so it has no second
-/// copy to race, no part of an answer, and no other group to ask.
+/// Finds hedging, partial answers and several groups on an execute route. Its requests run at most
+/// once, at one backend server.
 fn execute_faults(route: &Node<'_>) -> Vec<Fault> {
     let mut faults = Vec::new();
     if let Some(hedge) = route.field("hedge") {
@@ -170,9 +170,9 @@
     nodes.iter().filter_map(|node| node.field("name")).collect()
 }
 
-/// Finds the strings that stand a second time.
-fn repeated(nodes: Vec<Node<'_>>, other: &str) -> Vec<Fault> {
-    let mut first = HashMap::new();
+/// Finds strings that occur more than once; `owner` describes what has the first one.
+fn duplicates(nodes: Vec<Node<'_>>, owner: &str) -> Vec<Fault> {
+    let mut seen = HashMap::new();
     let mut faults = Vec::new();
     for node in nodes {
         if faults.len() > limit::FAULTS {
@@ -181,13 +181,13 @@
         let Some(name) = node.read::<&str>() else {
             continue;
         };
-        if let Some(earlier) = first.get(name) {
+        if let Some(earlier) = seen.get(name) {
             faults.push(node.fault(
-                format!("`{name}` is already the name of {other} ({earlier})"),
-                "a name that stands only once",
+                format!("`{name}` is already the name of {owner} ({earlier})"),
+                "a unique name",
             ));
         } else {
-            first.insert(name, node.path.clone());
+            seen.insert(name, node.path.clone());
         }
     }
     faults
--- a/crates/configuration/src/check/structure.rs
+++ b/crates/configuration/src/check/structure.rs
@@ -1,4 +1,4 @@
-//! Holds a JSON value against the schema, and says in words what the schema asks for.
+//! Validation against the JSON schema, with faults in words.
 
 use super::{Fault, Path};
 use crate::limit;
@@ -8,14 +8,14 @@
 use serde_json::Value;
 use std::sync::LazyLock;
 
-/// `None` if the schema can't be compiled; a test keeps that from happening.
+/// The compiled schema, or `None` if it can't be compiled, which the tests rule out.
 static VALIDATOR: LazyLock<Option<Validator>> =
     LazyLock::new(|| jsonschema::validator_for(schema::value()).ok());
 
-/// Most characters of a wrong value that a fault repeats.
-const EXCERPT: usize = 60;
+/// Maximum number of characters of a wrong value in the text of a fault.
+const MAX_EXCERPT: usize = 60;
 
-/// Finds all faults of structure in a document, or one more than are listed.
+/// Returns the faults against the schema, at most one more than [`limit::FAULTS`].
 pub(super) fn faults(document: &Value) -> Vec<Fault> {
     match VALIDATOR.as_ref() {
         Some(validator) => validator
@@ -23,7 +23,7 @@
             .flat_map(|error| translate(document, &error))
             .take(limit::FAULTS + 1)
             .collect(),
-        // A document that nothing has been held against must not pass.
+        // A document that can't be validated must not be accepted.
         None => vec![Fault::new(
             Path::default(),
             "the schema of this build can't be compiled",
@@ -45,8 +45,8 @@
         }
         kind => vec![Fault::new(
             path,
-            format!("{} {}", excerpt(&error.instance), objection(kind)),
-            demand(kind, error),
+            format!("{} {}", excerpt(&error.instance), problem(kind)),
+            expected(kind, error),
         )],
     }
 }
@@ -81,8 +81,8 @@
     )
 }
 
-/// Why a value doesn't fit, to be read after the value itself.
-fn objection(kind: &ValidationErrorKind) -> &'static str {
+/// Describes what is wrong with a value, as the predicate of a sentence that begins with the value.
+fn problem(kind: &ValidationErrorKind) -> &'static str {
     match kind {
         ValidationErrorKind::Type { .. } => "has the wrong type",
         ValidationErrorKind::Pattern { .. } => "has the wrong form",
@@ -98,8 +98,8 @@
     }
 }
 
-/// What would fit.
-fn demand(kind: &ValidationErrorKind, error: &ValidationError<'_>) -> String {
+/// Describes the values that are accepted.
+fn expected(kind: &ValidationErrorKind, error: &ValidationError<'_>) -> String {
     match kind {
         ValidationErrorKind::Type { kind } => match kind {
             TypeKind::Single(kind) => format!("a value of type {kind}"),
@@ -120,7 +120,8 @@
     }
 }
 
-/// The values of an enumeration, which the schema gives as `enum` or, described each, as `oneOf`.
+/// Lists the values of an enumeration, which the schema gives as `enum` or, with descriptions, as
+/// `oneOf`.
 fn known_values(error: &ValidationError<'_>) -> String {
     let Some(part) = schema_part(error) else {
         return error.to_string();
@@ -134,7 +135,7 @@
     format!("one of {}", values.join(", "))
 }
 
-/// The part of the schema that holds the keyword that failed.
+/// Returns the part of the schema with the keyword that failed.
 fn schema_part(error: &ValidationError<'_>) -> Option<&'static Value> {
     let (parent, _) = error.schema_path.as_str().rsplit_once('/')?;
     let mut part = schema::value();
@@ -148,7 +149,7 @@
     Some(schema::resolve(part))
 }
 
-/// Turns a JSON pointer into a path; only the document tells an index from a field named `0`.
+/// Converts a JSON pointer to a path. The document tells an array index from a field named `0`.
 fn locate(document: &Value, pointer: &str) -> Path {
     let mut path = Path::default();
     let mut value = document;
@@ -169,7 +170,7 @@
 
 fn excerpt(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(EXCERPT) {
+    match text.char_indices().nth(MAX_EXCERPT) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text,
     }
--- a/crates/configuration/src/check/tiling.rs
+++ b/crates/configuration/src/check/tiling.rs
@@ -1,13 +1,13 @@
-//! Whether the groups' ranges hold each key of a route exactly once.
+//! Check that the ranges of a route's groups contain each key exactly once.
 //!
-//! A hole would be data that no answer covers, an overlap data that two groups answer for: the
-//! coverage of an answer would be a lie in both cases.
+//! With a hole, no group would answer for some of the data; with an overlap, two groups would. In both
+//! cases the coverage reported with an answer would be wrong.
 
 use super::Fault;
 use super::node::Node;
 use crate::Range;
 
-/// A group that takes part in the tiling.
+/// The range of a group and its place in the document.
 struct Tile<'a> {
     keys: Range,
     node: Node<'a>,
@@ -15,8 +15,8 @@
 
 /// Finds empty ranges, ranges outside the route's keys, overlaps and holes.
 ///
-/// Holes are only looked for where every group's range can be read, since an unreadable one may
-/// well be what fills the hole.
+/// Holes are only reported if every group's range can be read, because an unreadable one might fill
+/// the hole.
 pub(super) fn faults(route: &Node<'_>) -> Vec<Fault> {
     let groups = route.items("groups");
     let mut tiles: Vec<Tile<'_>> = groups.iter().filter_map(tile).collect();
@@ -60,8 +60,7 @@
     )
 }
 
-/// Compares each range with the one that reaches furthest among those before it; with that, any
-/// range that overlaps an earlier one is found.
+/// Finds overlaps by comparing each range with the one that ends last among those before it.
 fn overlaps(tiles: &[Tile<'_>]) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut furthest: Option<&Tile<'_>> = None;
@@ -93,7 +92,7 @@
         .filter(|tile| tile.keys.start < space.start || tile.keys.end > space.end)
         .map(|tile| {
             tile.node.fault(
-                format!("the range {} reaches out of the route's keys", tile.keys),
+                format!("the range {} is not within the route's keys", tile.keys),
                 format!("a range within {space}"),
             )
         })
--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -1,9 +1,9 @@
-//! What a new document changes, and what that does to whom.
+//! Differences between two documents, for review before a document is published.
 //!
-//! An operator who publishes a document wants two answers before: have I changed what I meant to
-//! ([`Change`], field by field), and who will feel it ([`Effect`]: callers who lose a route, data
-//! that moves, backend servers left without work, capacity). Both are computed from the canonical
-//! forms, so that sorting a file or writing out a default is no change.
+//! A difference lists the edited fields ([`Change`]) and their consequences ([`Effect`]), such as
+//! callers that lose a route, keys that move to other backend servers, or a change of capacity. Both
+//! are computed from the canonical forms, so that sorting a file or writing out a default is not a
+//! change.
 
 mod access;
 mod change;
@@ -22,14 +22,14 @@
 /// All differences between two documents.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Difference {
-    /// What was edited.
+    /// Edits, field by field.
     pub changes: Vec<Change>,
-    /// What the edits do.
+    /// Effects of the edits on callers, data and backend servers.
     pub effects: Vec<Effect>,
 }
 
 impl Difference {
-    /// Tells whether both documents mean the same.
+    /// Returns whether both documents have the same meaning.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty() && self.effects.is_empty()
     }
--- a/crates/configuration/src/difference/access.rs
+++ b/crates/configuration/src/difference/access.rs
@@ -1,4 +1,4 @@
-//! Which callers may use which routes.
+//! Changes of the callers' routes and classes.
 
 use super::effect::Effect;
 use crate::Document;
@@ -6,7 +6,7 @@
 use crate::id::{CallerId, RouteId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a caller may do.
+/// Class of a caller and the routes that it may use.
 #[derive(Default)]
 struct Access<'a> {
     class: Option<Class>,
@@ -17,12 +17,12 @@
     let old = accesses(old);
     let new = accesses(new);
     let callers: BTreeSet<&CallerId> = old.keys().chain(new.keys()).copied().collect();
-    let nothing = Access::default();
+    let no_access = Access::default();
     callers
         .into_iter()
         .flat_map(|caller| {
-            let before = old.get(caller).unwrap_or(&nothing);
-            let after = new.get(caller).unwrap_or(&nothing);
+            let before = old.get(caller).unwrap_or(&no_access);
+            let after = new.get(caller).unwrap_or(&no_access);
             compare(caller, before, after)
         })
         .collect()
--- a/crates/configuration/src/difference/change.rs
+++ b/crates/configuration/src/difference/change.rs
@@ -1,6 +1,6 @@
 //! Edits of a document, field by field.
 //!
-//! The fields are compared as JSON, so that a field added to the types can't be forgotten here.
+//! Fields are compared as JSON, so that fields added to the types are covered automatically.
 
 use crate::Document;
 use crate::document::{Caller, Group, Route};
@@ -10,17 +10,17 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One edit.
+/// An edit of one part of a document.
 #[derive(Clone, Debug, Display, PartialEq, Serialize)]
 #[display("{subject}: {action}")]
 pub struct Change {
-    /// What was edited.
+    /// Part that was edited.
     pub subject: Subject,
-    /// How it was edited.
+    /// Kind of edit.
     pub action: Action,
 }
 
-/// A part of a document that has a name.
+/// A named part of a document.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
@@ -33,55 +33,56 @@
     /// A group of a route.
     #[display("route {route}, group {group}")]
     Group {
-        /// The route.
+        /// Route of the group.
         route: RouteId,
-        /// The group.
+        /// Name of the group.
         group: GroupId,
     },
 }
 
-/// The kind of an edit.
+/// Kind of an edit.
 #[derive(Clone, Debug, Display, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// It is new.
+    /// The subject is new.
     #[display("added")]
     Added,
-    /// It is gone.
+    /// The subject no longer exists.
     #[display("removed")]
     Removed,
-    /// A field has another value; an absent one is null.
-    #[display("{field} from {} to {}", shown(field, from), shown(field, to))]
+    /// A field has another value.
+    #[display("{field} from {} to {}", render(field, from), render(field, to))]
     Set {
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// The value in the old document.
+        /// Value in the old document; null if absent.
         from: Value,
-        /// The value in the new document.
+        /// Value in the new document; null if absent.
         to: Value,
     },
-    /// A list has an item more.
+    /// An item was added to a list.
     #[display("{field} gains {}", item.as_str().unwrap_or_default())]
     Gained {
-        /// The list.
+        /// Name of the list's field.
         field: String,
-        /// The new item.
+        /// Added item.
         item: Value,
     },
-    /// A list has an item less.
+    /// An item was removed from a list.
     #[display("{field} loses {}", item.as_str().unwrap_or_default())]
     Lost {
-        /// The list.
+        /// Name of the list's field.
         field: String,
-        /// The old item.
+        /// Removed item.
         item: Value,
     },
 }
 
-/// Digits shown of a digest: enough to tell two apart, and no help to guess a weak token.
+/// Digits of a token's digest in the text: enough to tell two digests apart, but too few to guess a
+/// weak token from.
 const DIGEST_DIGITS: usize = 8;
 
-fn shown(field: &str, value: &Value) -> String {
+fn render(field: &str, value: &Value) -> String {
     match value {
         Value::Null => "none".to_owned(),
         Value::String(digest) if field.ends_with("sha256") => {
@@ -189,16 +190,17 @@
     lost.chain(gained).collect()
 }
 
-/// The fields of a part, those of inner objects as `outer.inner`; the groups are compared apart.
+/// Returns the fields of a part without `groups`, which are compared separately. Fields of nested
+/// objects are named `outer.inner`.
 fn leaves<T: Serialize>(part: &T) -> BTreeMap<String, Value> {
     let mut leaves = BTreeMap::new();
     let value = serde_json::to_value(part).unwrap_or_default();
-    descend("", value, &mut leaves);
+    collect_leaves("", value, &mut leaves);
     leaves.remove("groups");
     leaves
 }
 
-fn descend(prefix: &str, value: Value, leaves: &mut BTreeMap<String, Value>) {
+fn collect_leaves(prefix: &str, value: Value, leaves: &mut BTreeMap<String, Value>) {
     let Value::Object(fields) = value else {
         leaves.insert(prefix.to_owned(), value);
         return;
@@ -209,6 +211,6 @@
         } else {
             format!("{prefix}.{name}")
         };
-        descend(&field, value, leaves);
+        collect_leaves(&field, value, leaves);
     }
 }
--- a/crates/configuration/src/difference/effect.rs
+++ b/crates/configuration/src/difference/effect.rs
@@ -1,4 +1,4 @@
-//! What a change does to callers, data and backend servers.
+//! Effects of a change on callers, data and backend servers.
 
 use crate::Range;
 use crate::document::{Class, SoftDeadline};
@@ -6,53 +6,53 @@
 use derive_more::Display;
 use serde::Serialize;
 
-/// One thing that somebody will feel.
+/// Effect of a new document.
 #[derive(Clone, Debug, Display, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "effect")]
 pub enum Effect {
     /// A caller may use more routes than before.
     #[display("caller {caller} gains {}", list(routes))]
     CallerGains {
-        /// The caller.
+        /// Name of the caller.
         caller: CallerId,
-        /// The routes that it gains.
+        /// Routes that it may use now and could not use before.
         routes: Vec<RouteId>,
     },
     /// A caller may no longer use some routes.
     #[display("caller {caller} loses {}", list(routes))]
     CallerLoses {
-        /// The caller.
+        /// Name of the caller.
         caller: CallerId,
-        /// The routes that it loses.
+        /// Routes that it may no longer use.
         routes: Vec<RouteId>,
     },
-    /// A caller's requests count more or less than before where there isn't room for all.
+    /// A caller has another class and so another priority under overload.
     #[display(
-        "caller {caller} is admitted {} when there is not room for all, on {}",
+        "caller {caller} is admitted {} under overload, on {}",
         if to < from { "earlier" } else { "later" },
         list(routes)
     )]
     CallerReclassed {
-        /// The caller.
+        /// Name of the caller.
         caller: CallerId,
-        /// The class in the old document.
+        /// Class in the old document.
         from: Class,
-        /// The class in the new document.
+        /// Class in the new document.
         to: Class,
-        /// The routes that it uses.
+        /// Routes that the caller may use.
         routes: Vec<RouteId>,
     },
-    /// Requests that name no deadline have another one.
+    /// Requests that don't set a deadline have another one.
     #[display("route {route}: deadline {deadline_ms} in ms, for {}", list(callers))]
     Deadline {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The callers that use the route.
+        /// Callers that may use the route.
         callers: Vec<CallerId>,
-        /// The deadline in milliseconds.
+        /// Deadline, in milliseconds.
         deadline_ms: Amount,
     },
-    /// Partial answers come earlier, later, with another coverage, or no longer.
+    /// The soft deadline of a route was added, changed or removed.
     #[display(
         "route {route}: {} (before: {}), for {}",
         partial(after),
@@ -60,83 +60,83 @@
         list(callers)
     )]
     PartialAnswers {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The callers that use the route.
+        /// Callers that may use the route.
         callers: Vec<CallerId>,
-        /// The soft deadline in the old document.
+        /// Soft deadline in the old document.
         before: Option<SoftDeadline>,
-        /// The soft deadline in the new document.
+        /// Soft deadline in the new document.
         after: Option<SoftDeadline>,
     },
-    /// Keys are held by other backend servers than before, which must have the data by then.
+    /// Keys move to other backend servers, which need the data before the document is published.
     #[display(
         "route {route}: keys {keys} ({share_percent:.1} % of the data) {}",
         movement(from, to)
     )]
     KeysMoved {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The keys.
+        /// Range of the moved keys.
         keys: Range,
-        /// Part of the route's data that lies in the keys, in per cent, by the new weights.
+        /// Share of the route's data in the range, in per cent, computed from the new weights.
         share_percent: f64,
-        /// The backend servers that no longer hold the keys.
+        /// Backend servers that no longer hold the keys.
         from: Vec<BackendServerId>,
-        /// The backend servers that hold the keys now and didn't before.
+        /// Backend servers that hold the keys now and didn't before.
         to: Vec<BackendServerId>,
     },
     /// A route's key space has grown.
     #[display("route {route}: keys {keys} are new")]
     KeysAdded {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The keys.
+        /// Range of the added keys.
         keys: Range,
     },
     /// A route's key space has shrunk.
     #[display("route {route}: keys {keys} are no longer searched")]
     KeysRemoved {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The keys.
+        /// Range of the removed keys.
         keys: Range,
     },
-    /// A backend server has no work left on any route.
+    /// No route uses a backend server any more.
     #[display(
         "backend server {backend_server} loses all work (was on {})",
         list(routes)
     )]
     BackendServerIdle {
-        /// The backend server.
+        /// Address of the backend server.
         backend_server: BackendServerId,
-        /// The routes that it worked for.
+        /// Routes that used it.
         routes: Vec<RouteId>,
     },
-    /// A backend server that had no work gets some, and starts cold.
+    /// A route uses a backend server that no route used before. Its caches are cold.
     #[display(
         "backend server {backend_server} gets its first work (on {})",
         list(routes)
     )]
     BackendServerNew {
-        /// The backend server.
+        /// Address of the backend server.
         backend_server: BackendServerId,
-        /// The routes that it works for.
+        /// Routes that use it.
         routes: Vec<RouteId>,
     },
-    /// A route has more or less room than before.
+    /// The capacity of a route has changed.
     #[display(
         "route {route}: slots {slots}, in the smallest group {smallest_group_slots}; \
          connections {connections}"
     )]
     Capacity {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// Requests at work at the same time, over all backend servers.
+        /// Concurrent requests, summed over all backend servers.
         slots: Amount,
-        /// The same in the group that has fewest; it bounds a search, which needs every group.
+        /// Concurrent requests of the smallest group. It bounds searches, which need every group.
         smallest_group_slots: Amount,
-        /// Connections, over all backend servers.
+        /// Connections, summed over all backend servers.
         connections: Amount,
     },
 }
@@ -145,18 +145,18 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Serialize)]
 #[display("{from} -> {to} ({percent:+.1} %)")]
 pub struct Amount {
-    /// The quantity in the old document.
+    /// Quantity in the old document.
     pub from: u64,
-    /// The quantity in the new document.
+    /// Quantity in the new document.
     pub to: u64,
-    /// The change, in per cent of the old quantity.
+    /// Change in per cent of the old quantity.
     pub percent: f64,
 }
 
 impl Amount {
     pub(super) fn new(from: u64, to: u64) -> Self {
-        let whole = from.max(1) as f64;
-        let percent = (to as f64 - from as f64) / whole * 100.0;
+        let base = from.max(1) as f64;
+        let percent = (to as f64 - from as f64) / base * 100.0;
         Self { from, to, percent }
     }
 
@@ -185,7 +185,7 @@
 
 fn movement(from: &[BackendServerId], to: &[BackendServerId]) -> String {
     match (from, to) {
-        ([], to) => format!("are held by {} too", list(to)),
+        ([], to) => format!("are also held by {}", list(to)),
         (from, []) => format!("are no longer held by {}", list(from)),
         (from, to) => format!("move from {} to {}", list(from), list(to)),
     }
--- a/crates/configuration/src/difference/load.rs
+++ b/crates/configuration/src/difference/load.rs
@@ -1,27 +1,28 @@
-//! Which backend servers have work, and how much room there is.
+//! Changes of the backend servers in use and of the routes' capacity.
 
 use super::effect::{Amount, Effect};
 use crate::document::{Document, Route};
 use crate::id::{BackendServerId, RouteId};
 use std::collections::BTreeMap;
 
-type Work<'a> = BTreeMap<BackendServerId, Vec<&'a RouteId>>;
+/// Routes of each backend server.
+type Assignments<'a> = BTreeMap<BackendServerId, Vec<&'a RouteId>>;
 
 pub(super) fn effects(old: &Document, new: &Document) -> Vec<Effect> {
-    let before = work(old);
-    let after = work(new);
-    let mut effects: Vec<Effect> = only(&before, &after)
+    let before = assignments(old);
+    let after = assignments(new);
+    let mut effects: Vec<Effect> = only_in_first(&before, &after)
         .map(|(backend_server, routes)| Effect::BackendServerIdle {
             backend_server,
             routes,
         })
         .collect();
-    effects.extend(only(&after, &before).map(|(backend_server, routes)| {
-        Effect::BackendServerNew {
+    effects.extend(
+        only_in_first(&after, &before).map(|(backend_server, routes)| Effect::BackendServerNew {
             backend_server,
             routes,
-        }
-    }));
+        }),
+    );
     effects.extend(new.routes.iter().filter_map(|after| {
         let before = old.routes.iter().find(|before| before.name == after.name)?;
         capacity(before, after)
@@ -29,24 +30,25 @@
     effects
 }
 
-fn work(document: &Document) -> Work<'_> {
-    let mut work = Work::new();
+fn assignments(document: &Document) -> Assignments<'_> {
+    let mut assignments = Assignments::new();
     for route in &document.routes {
         let servers = route.groups.iter().flat_map(|group| &group.backend_servers);
         for server in servers {
-            work.entry(*server).or_default().push(&route.name);
+            assignments.entry(*server).or_default().push(&route.name);
         }
     }
-    work
+    assignments
 }
 
-/// The backend servers that have work on one side and none on the other.
-fn only(
-    side: &Work<'_>,
-    other: &Work<'_>,
+/// Returns the backend servers that are only in `first`, with their routes.
+fn only_in_first(
+    first: &Assignments<'_>,
+    second: &Assignments<'_>,
 ) -> impl Iterator<Item = (BackendServerId, Vec<RouteId>)> {
-    side.iter()
-        .filter(|(server, _)| !other.contains_key(server))
+    first
+        .iter()
+        .filter(|(server, _)| !second.contains_key(server))
         .map(|(server, routes)| (*server, routes.iter().map(|&route| route.clone()).collect()))
 }
 
--- a/crates/configuration/src/difference/movement.rs
+++ b/crates/configuration/src/difference/movement.rs
@@ -1,4 +1,4 @@
-//! Which keys go from which backend servers to which.
+//! Keys that move between backend servers or that are added to or removed from a route.
 
 use super::effect::Effect;
 use crate::document::{Document, Group, Route};
@@ -17,14 +17,14 @@
             effects.extend(
                 moves(before, after)
                     .into_iter()
-                    .map(|step| step.effect(after)),
+                    .map(|change| change.effect(after)),
             );
             effects
         })
         .collect()
 }
 
-/// Keys that other backend servers hold than before.
+/// Keys whose backend servers change.
 struct Move {
     keys: Range,
     weight: f64,
@@ -45,40 +45,40 @@
     }
 }
 
-/// Compares each old group with each new one that it shares keys with.
+/// Compares each new group with each old group that shares keys with it.
 ///
-/// Neighbouring ranges that go the same way become one: a split of a group whose halves stay where
-/// they were, or go together, isn't worth two lines.
+/// Adjacent ranges that move between the same backend servers are merged, so that splitting a group
+/// doesn't produce two effects.
 fn moves(before: &Route, after: &Route) -> Vec<Move> {
     let mut moves: Vec<Move> = Vec::new();
     for new in &after.groups {
         for old in &before.groups {
-            let Some(step) = step(old, new) else {
+            let Some(change) = compare_groups(old, new) else {
                 continue;
             };
             match moves.last_mut() {
-                Some(last) if continues(last, &step) => {
-                    last.keys.end = step.keys.end;
-                    last.weight += step.weight;
+                Some(last) if continues(last, &change) => {
+                    last.keys.end = change.keys.end;
+                    last.weight += change.weight;
                 }
-                _ => moves.push(step),
+                _ => moves.push(change),
             }
         }
     }
     moves
 }
 
-fn step(old: &Group, new: &Group) -> Option<Move> {
+fn compare_groups(old: &Group, new: &Group) -> Option<Move> {
     let keys = old.keys.intersection(&new.keys)?;
     let from = subtract(&old.backend_servers, &new.backend_servers);
     let to = subtract(&new.backend_servers, &old.backend_servers);
     if from.is_empty() && to.is_empty() {
         return None;
     }
-    let part = keys.len() as f64 / new.keys.len() as f64;
+    let share = keys.len() as f64 / new.keys.len() as f64;
     Some(Move {
         keys,
-        weight: new.weight * part,
+        weight: new.weight * share,
         from,
         to,
     })
@@ -95,7 +95,7 @@
         .collect()
 }
 
-/// Keys at the borders of the key space that have come or gone.
+/// Returns the keys added and removed at the ends of the key space.
 fn boundaries(before: &Route, after: &Route) -> Vec<Effect> {
     let route: &RouteId = &after.name;
     let removed = outside(before.keys, after.keys)
@@ -113,7 +113,7 @@
     removed.chain(added).collect()
 }
 
-/// The parts of `whole` that `part` doesn't hold.
+/// Returns the parts of `whole` that are outside `part`.
 fn outside(whole: Range, part: Range) -> Vec<Range> {
     let below = Range::new(whole.start, part.start.min(whole.end));
     let above = Range::new(part.end.max(whole.start), whole.end);
--- a/crates/configuration/src/difference/timing.rs
+++ b/crates/configuration/src/difference/timing.rs
@@ -1,4 +1,4 @@
-//! Whose answers come at another time.
+//! Changes of deadlines and soft deadlines.
 
 use super::effect::{Amount, Effect};
 use crate::document::{Document, Route};
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,8 +1,8 @@
-//! The document that the operators publish.
+//! The configuration document that operators publish.
 //!
-//! The types below are the schema: the JSON schema, the forms and the reference in
-//! `docs/configuration.md` are derived from them. A bound that concerns one field alone stands here,
-//! as an attribute, so that all of these know it; rules between fields are in [`crate::check`].
+//! The JSON schema, the forms of the console and the reference in `docs/configuration.md` are derived
+//! from these types and their doc comments. Bounds of single fields are attributes here; rules between
+//! fields are in [`crate::check`].
 
 use crate::id::{BackendServerId, CallerId, GroupId, RouteId};
 use crate::limit;
@@ -10,13 +10,13 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// All that the operators decide: who may ask, and where each question goes.
+/// Callers, routes and backend servers of the query tier.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Who may send requests.
+    /// Callers that may send requests.
     pub callers: Vec<Caller>,
-    /// Which requests there are and which backend servers answer them.
+    /// Routes of the requests, with the backend servers that answer them.
     pub routes: Vec<Route>,
 }
 
@@ -27,7 +27,7 @@
     /// Unique name, sent in the header `monsoonring-caller`.
     #[schemars(with = "String", regex(pattern = limit::NAME))]
     pub name: CallerId,
-    /// How much its requests count when there is not room for all.
+    /// Priority of its requests under overload.
     pub class: Class,
     /// SHA-256 of the bearer token that the caller must send, as 64 hexadecimal digits; without it
     /// the name alone identifies the caller.
@@ -36,21 +36,21 @@
     pub token_sha256: Option<String>,
 }
 
-/// Order in which requests are admitted when there is not room for all.
+/// Order in which requests are admitted under overload.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Admitted first: somebody can't go on without the answer.
+    /// Admitted first: somebody is blocked until the answer arrives.
     Urgent,
-    /// Admitted next: somebody waits for the answer.
+    /// Admitted next: somebody is waiting for the answer.
     Normal,
-    /// Admitted last: nobody waits for the answer.
+    /// Admitted last: nobody is waiting for the answer.
     Background,
 }
 
-/// What a request of a route does at the backend servers.
+/// Whether the requests of a route are searches or non-idempotent operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -60,7 +60,7 @@
     Execute,
 }
 
-/// One query route: which callers reach which backend servers, under which deadline.
+/// A query route: its callers, its backend servers and its deadlines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
@@ -72,46 +72,46 @@
     /// Names of the callers that may use the route; an empty list closes it.
     #[schemars(with = "Vec<String>")]
     pub callers: Vec<CallerId>,
-    /// Time after which a request that named no deadline has failed, in milliseconds.
+    /// Deadline of a request that doesn't set its own, in milliseconds.
     #[schemars(range(min = 1, max = limit::DEADLINE_MS), extend("x-unit" = "ms"))]
     pub deadline_ms: u64,
-    /// When and at which coverage waiting on is no longer worth it; without it a query waits for
-    /// the whole of the data until its deadline.
+    /// When, and from which coverage, a partial answer is returned; without it, a query waits for
+    /// complete data until its deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "SoftDeadline")]
     pub soft_deadline: Option<SoftDeadline>,
-    /// What may be sent twice to escape a straggler; always off where `kind` is `execute`.
+    /// Extra attempts against stragglers; always off if `kind` is `execute`.
     #[serde(default)]
     pub hedge: Hedge,
-    /// What may be sent again after a failure; where `kind` is `execute`, only after a reply that
-    /// proves that the request did not run.
+    /// Repeated attempts after failures; if `kind` is `execute`, only after a reply that proves that
+    /// the request did not run.
     #[serde(default)]
     pub retry: Retry,
-    /// Work and connections that the route may take of one backend server.
+    /// Concurrent requests and connections that the route may use at one backend server.
     pub capacity: Capacity,
-    /// Largest request body taken, in bytes.
+    /// Largest accepted request body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     #[schemars(range(min = 1, max = limit::BODY_BYTES), extend("x-unit" = "bytes"))]
     pub max_body_bytes: u64,
-    /// Index versions below this one are never answered from.
+    /// Lowest index version that answers may come from.
     #[serde(default)]
     #[schemars(range(max = u64::MAX))]
     pub minimum_index_version: u64,
-    /// The whole key space of the route; the groups' ranges tile it.
+    /// Key space of the route; the ranges of the groups divide it without gaps or overlaps.
     pub keys: Range,
-    /// The groups of replicas that hold the key space.
+    /// Groups of replicas that hold the key space.
     #[schemars(length(min = 1, max = limit::GROUPS))]
     pub groups: Vec<Group>,
 }
 
-/// The point from which a partial answer is better than a later one.
+/// The time after which a partial answer is better than a later complete one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SoftDeadline {
     /// Milliseconds after the start of the query.
     #[schemars(range(min = 1, max = limit::DEADLINE_MS), extend("x-unit" = "ms"))]
     pub after_ms: u64,
-    /// Coverage, from 0 to 1, from which on the answer is given at that point.
+    /// Lowest coverage, from 0 to 1, at which a partial answer is returned.
     #[schemars(range(min = 0, max = 1))]
     pub coverage: f64,
 }
@@ -158,23 +158,23 @@
     }
 }
 
-/// What one backend server takes.
+/// Limits of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
-    /// Requests that a backend server works on at the same time.
+    /// Requests that a backend server processes concurrently.
     #[schemars(range(min = 1, max = limit::SLOTS))]
     pub slots: u32,
     /// Connections that a backend server accepts, over all daemons.
     #[schemars(range(min = 1, max = limit::CONNECTIONS))]
     pub connections: u32,
-    /// Time that a new connection costs, in milliseconds.
+    /// Time to open a connection, in milliseconds.
     #[serde(default)]
     #[schemars(range(max = limit::DEADLINE_MS), extend("x-unit" = "ms"))]
     pub connect_ms: u64,
 }
 
-/// Replicas that hold the same part of the key space.
+/// Replicas that hold the same range of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
@@ -183,7 +183,7 @@
     pub name: GroupId,
     /// The keys that each backend server of the group holds.
     pub keys: Range,
-    /// Share of the route's data that lies in the range, relative to the other groups.
+    /// Share of the route's data that is in the range, relative to the other groups.
     #[serde(default = "default_weight")]
     #[schemars(range(max = limit::WEIGHT), extend("exclusiveMinimum" = 0))]
     pub weight: f64,
--- a/crates/configuration/src/id.rs
+++ b/crates/configuration/src/id.rs
@@ -1,7 +1,4 @@
-//! Aliases for the ids that cross crate borders.
-//!
-//! They are aliases of standard types and not new types: an address is what a backend server and a
-//! member are known by, and a conversion at each border would add noise without adding a check.
+//! Type aliases for the ids that all crates share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,20 +12,20 @@
 /// Name of a group of replicas, unique within a route.
 pub type GroupId = Arc<str>;
 
-/// The address on which a backend server takes requests.
+/// Address on which a backend server accepts requests.
 pub type BackendServerId = SocketAddr;
 
 /// Name of a data centre.
 pub type DataCentreId = Arc<str>;
 
-/// Version of an index; a higher one is newer.
+/// Version of an index; higher is newer.
 pub type IndexVersion = u64;
 
-/// Revision that the configuration service gives a document; a higher one is newer.
+/// Revision that the configuration service assigns to a document; higher is newer.
 pub type Revision = u64;
 
 /// Position of an item in a route's key space.
 pub type Key = u64;
 
-/// Start number of a process: a later start of the same address has a higher one.
+/// Number of a process's start; a later start at the same address has a higher number.
 pub type Incarnation = u64;
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,7 @@
-//! The configuration document: one schema and one validator for the daemon, the command and the
-//! console of forms.
+//! The configuration document, with its schema, validation and differences.
 //!
-//! This crate is the base of the workspace. It holds what an operator writes down (callers, query
-//! routes, backend servers) and the few ids and shapes that every other crate shares. It does no
-//! input or output, so that the same checks run wherever a document turns up.
+//! The daemon, the command line and the console all use this crate, so that they run the same checks.
+//! It also defines the ids and the key range that all other crates share. It performs no I/O.
 
 pub mod canonical;
 pub mod check;
--- a/crates/configuration/src/limit.rs
+++ b/crates/configuration/src/limit.rs
@@ -1,44 +1,45 @@
 //! Bounds of single fields.
 //!
-//! They are wide: they keep out a slip of the hand (seconds for milliseconds, a count for a per
-//! cent), and values that would overflow where they are added up. They aren't recommendations.
+//! They reject obvious mistakes, such as a count instead of a percentage, and values whose sums would
+//! overflow. They are not recommendations.
 
-/// Largest value that the configuration service holds, in bytes.
+/// Maximum size of a document, in bytes, as the configuration service accepts it.
 pub const VALUE_BYTES: usize = 1_000_000;
 
-/// Names that fit one segment of a URL path and a header as they are, without `.` and `..`.
+/// Pattern of names. They need no escaping in a URL path segment or a header, and exclude `.` and
+/// `..`.
 pub const NAME: &str = "^[A-Za-z0-9][A-Za-z0-9._~-]{0,63}$";
 
-/// A SHA-256 digest in hexadecimal digits.
+/// Pattern of a SHA-256 digest in hexadecimal digits.
 pub const SHA256: &str = "^[0-9A-Fa-f]{64}$";
 
-/// Longest deadline: ten minutes, in milliseconds.
+/// Longest deadline, in milliseconds: ten minutes.
 pub const DEADLINE_MS: u64 = 600_000;
 
-/// Largest request body: 16 MiB, in bytes.
+/// Largest request body, in bytes: 16 MiB.
 pub const BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Largest budget of extra attempts, in per cent of the first attempts.
+/// Largest budget of hedges or retries, in per cent of the first attempts.
 pub const PERCENT: f64 = 100.0;
 
-/// Most attempts for one range of one request.
+/// Maximum number of attempts for one range of one request.
 pub const ATTEMPTS: u32 = 10;
 
-/// Most requests that a backend server works on at the same time.
+/// Maximum number of concurrent requests of a backend server.
 pub const SLOTS: u32 = 65_536;
 
-/// Most connections that a backend server accepts.
+/// Maximum number of connections of a backend server.
 pub const CONNECTIONS: u32 = 65_536;
 
-/// Largest weight of a group; the sum over all groups stays finite.
+/// Largest weight of a group; keeps the sum over all groups finite.
 pub const WEIGHT: f64 = 1e12;
 
-/// Most groups of a route.
+/// Maximum number of groups of a route.
 pub const GROUPS: usize = 4_096;
 
-/// Most backend servers of a group.
+/// Maximum number of backend servers of a group.
 pub const REPLICAS: usize = 4_096;
 
-/// Most faults that are listed of one document. A broken file can have one for every other of its
-/// bytes; listed all, a daemon that reads it would take a gigabyte.
+/// Maximum number of faults listed for a document. It bounds the memory of a daemon that reads a
+/// broken document, which can have a fault for every second byte.
 pub const FAULTS: usize = 1_000;
--- a/crates/configuration/src/range.rs
+++ b/crates/configuration/src/range.rs
@@ -5,7 +5,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The keys from `start` up to, but without, `end`.
+/// The keys from `start` (inclusive) to `end` (exclusive).
 #[derive(
     Clone,
     Copy,
@@ -32,27 +32,27 @@
 }
 
 impl Range {
-    /// Makes a range; `end` at or before `start` gives an empty one.
+    /// Creates a range, which is empty if `end` is not greater than `start`.
     pub fn new(start: Key, end: Key) -> Self {
         Self { start, end }
     }
 
-    /// Tells whether the range holds no key.
+    /// Returns whether the range contains no key.
     pub fn is_empty(&self) -> bool {
         self.end <= self.start
     }
 
-    /// Number of keys in the range.
+    /// Returns the number of keys in the range.
     pub fn len(&self) -> u64 {
         self.end.saturating_sub(self.start)
     }
 
-    /// Tells whether `key` lies in the range.
+    /// Returns whether the range contains `key`.
     pub fn contains(&self, key: Key) -> bool {
         self.start <= key && key < self.end
     }
 
-    /// The keys that both ranges hold, or `None` where there are none.
+    /// Returns the keys that both ranges contain, or `None` if there are none.
     pub fn intersection(&self, other: &Self) -> Option<Self> {
         let common = Self::new(self.start.max(other.start), self.end.min(other.end));
         (!common.is_empty()).then_some(common)
--- a/crates/configuration/src/reference.rs
+++ b/crates/configuration/src/reference.rs
@@ -1,7 +1,6 @@
-//! The reference of the document in Markdown, generated from the schema.
+//! Reference documentation of the document in Markdown, generated from the schema.
 //!
-//! The text in `docs/configuration.md` is the output of [`markdown`]; a test compares the two, so
-//! that a field, a bound or a default can't change without its page.
+//! `docs/configuration.md` is the output of [`markdown`]; a test compares the two.
 
 use crate::schema::{self, bounds, description};
 use serde_json::Value;
@@ -13,34 +12,34 @@
 <!-- Generated from the types in crates/configuration/src/document.rs: change it there and run
      `cargo run -p monsoonring-configuration --example reference`. -->
 
-The document is one JSON object: who may ask, and where each question goes. It is published as the
-value `monsoonring` of the configuration service and is at most 1,000,000 bytes long. `monsoonring
-check FILE` and the console run the same checks as the daemons, and list all faults at once. A
-document with a fault is refused as a whole, and the one before it stays in force.
+The document is a JSON object that lists the callers, the routes and their backend servers. It is
+published as the value `monsoonring` of the configuration service and is at most 1,000,000 bytes
+long. `monsoonring check FILE` and the console run the same checks as the daemons, and list all
+faults at once. A document with a fault is rejected as a whole, and the previous one stays in force.
 
-Whole documents to start from: `crates/configuration/examples/documents/hydrant.json` (coverage
-weighs most) and `beet.json` (latency weighs most).
+Example documents: `crates/configuration/examples/documents/hydrant.json` (favours coverage) and
+`beet.json` (favours latency).
 ";
 
 const RULES: &str = "
 ## Rules between fields
 
-- A field stands once in its object, and there are no others than those above.
-- Callers, routes, and the groups of a route have names that stand only once.
-- Each entry of a route's `callers` is the name of a caller of the document, and stands once.
-- The ranges of a route's groups hold each key of the route's `keys` exactly once: none is empty, no
-  two overlap, none reaches out of `keys`, and together they leave no hole.
-- A backend server stands only once in a route, as an IP address and a port to which a connection
-  can be made. It may stand in several routes; each of them may then take its own `capacity` of it.
+- Each field occurs at most once in its object, and unknown fields are rejected.
+- The names of callers, of routes, and of the groups within a route are unique.
+- Each entry of a route's `callers` is the name of a caller of the document and occurs only once.
+- The ranges of a route's groups contain each key of the route's `keys` exactly once: no range is
+  empty, no two overlap, all lie within `keys`, and together they leave no hole.
+- A backend server is listed only once in a route, as an IP address and a port to which a connection
+  can be made. Several routes may list it; each of them may then use its own `capacity` of it.
 - `soft_deadline.after_ms` and `capacity.connect_ms` are less than `deadline_ms`.
 - An `execute` route has exactly one group and no `soft_deadline`. It is never hedged: without
-  `hedge` its budget is 0, and any other is a fault. It is retried only after a reply that proves
-  that the request did not run.
+  `hedge` its budget is 0, and any other budget is a fault. It is retried only after a reply that
+  proves that the request did not run.
 
-The order of callers, routes, groups and backend servers means nothing.
+The order of callers, routes, groups and backend servers is not significant.
 ";
 
-/// The parts of the document, from the whole to the smallest.
+/// The object types other than the document itself, each before those that it contains.
 const PARTS: [&str; 8] = [
     "Caller",
     "Route",
@@ -52,10 +51,10 @@
     "Range",
 ];
 
-/// The enumerations.
+/// The enumeration types.
 const ENUMERATIONS: [&str; 2] = ["Class", "Kind"];
 
-/// Returns the reference of the document.
+/// Returns the reference documentation as Markdown.
 pub fn markdown() -> String {
     let mut text = HEAD.to_owned();
     text.push_str(&object("Document", schema::value()));
--- a/crates/configuration/src/schema.rs
+++ b/crates/configuration/src/schema.rs
@@ -1,6 +1,4 @@
 //! The JSON schema of the document, derived from the types of [`crate::document`].
-//!
-//! It is built once: deriving it is cheap, compiling it into a validator is not.
 
 use crate::Document;
 use serde_json::{Map, Value};
@@ -11,12 +9,12 @@
 
 /// Returns the JSON schema (draft 2020-12) of a [`Document`].
 ///
-/// The keyword `x-unit` of a field names the unit of its value.
+/// The keyword `x-unit` of a field is the unit of its value.
 pub fn value() -> &'static Value {
     &SCHEMA
 }
 
-/// Follows the `$ref` of a part of the schema, if it has one.
+/// Resolves the `$ref` of a part of the schema; returns a part without one unchanged.
 pub fn resolve(part: &'static Value) -> &'static Value {
     part.get("$ref")
         .and_then(Value::as_str)
@@ -24,10 +22,10 @@
         .unwrap_or(part)
 }
 
-/// The values of an enumeration with their descriptions.
+/// Returns the values of an enumeration with their descriptions.
 ///
-/// A variant with a description stands as a `const` of its own in `oneOf`, the others together in
-/// an `enum`, either directly or in the `oneOf`.
+/// The schema has a `const` in `oneOf` for each variant with a description. The others share an
+/// `enum`, either directly or within the `oneOf`.
 pub fn variants(part: &'static Value) -> impl Iterator<Item = (&'static Value, &'static str)> {
     let alternatives = part.get("oneOf").and_then(Value::as_array);
     alternatives
@@ -45,8 +43,10 @@
         })
 }
 
-/// Renders a value alike in every build: the order of an object's fields depends on a feature of
-/// `serde_json` that any crate of the workspace can switch on.
+/// Renders a value with the fields of objects sorted by name.
+///
+/// The order of fields in a [`Value`] depends on whether any crate of the build enables the feature
+/// `preserve_order` of `serde_json`.
 pub fn render(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
@@ -62,8 +62,8 @@
     }
 }
 
-/// Describes a part of the schema on one line; a reference without a text of its own as that which it
-/// refers to.
+/// Returns the description of a part of the schema on one line. A reference without a description has
+/// that of its target.
 pub fn description(part: &'static Value) -> String {
     let own = part.get("description");
     let text = own.or_else(|| resolve(part).get("description"));
@@ -72,7 +72,7 @@
         .replace('\n', " ")
 }
 
-/// Lists the bounds of a part of the schema in words; empty where it has none.
+/// Describes the bounds of a part of the schema in words; empty if it has none.
 pub fn bounds(part: &Value) -> String {
     let Some(fields) = part.as_object() else {
         return String::new();
@@ -85,11 +85,11 @@
         ("maxItems", "at most "),
         ("pattern", "form "),
     ];
-    let found: Vec<String> = phrases
+    let descriptions: Vec<String> = phrases
         .iter()
         .filter_map(|(keyword, phrase)| Some(format!("{phrase}{}", bound(fields, keyword)?)))
         .collect();
-    found.join(", ")
+    descriptions.join(", ")
 }
 
 fn bound(fields: &Map<String, Value>, keyword: &str) -> Option<String> {
--- a/crates/configuration/src/section.rs
+++ b/crates/configuration/src/section.rs
@@ -1,13 +1,10 @@
-//! The document cut into sections: the callers, and one section for each route.
+//! Sections of a document: one with the callers and one for each route.
 //!
-//! A change of one route shouldn't cost every daemon the transfer of a whole document, and a daemon
-//! needs only the routes that it serves. So daemons tell each other an [`Index`], a digest for each
-//! section, and fetch the sections that differ. One digest over the index stands for the whole
-//! document; it is what goes with the revision in every exchange. How the sections travel is in
-//! [`transfer`].
+//! Daemons fetch only the sections that differ, so that a change of one route doesn't transfer the
+//! whole document. An [`Index`] holds the digest of each section, and the digest of the index
+//! identifies the document, together with its revision. [`transfer`] encodes sections for a peer.
 //!
-//! Invariant: the digest of a [`Section`] is that of its body. It is computed here and never taken
-//! over from a peer.
+//! Invariant: the digest of a [`Section`] is computed from its body and never received from a peer.
 
 mod digest;
 mod error;
@@ -31,7 +28,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A part of a document in its canonical bytes.
+/// A part of a document as canonical JSON, with its digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
     name: Name,
@@ -40,14 +37,14 @@
 }
 
 impl Section {
-    /// Takes over bytes that came from elsewhere under this name.
+    /// Creates a section from a body, which may come from a peer and be invalid.
     pub fn new(name: Name, body: impl Into<Arc<[u8]>>) -> Self {
         let body = body.into();
         let digest = Digest::of(&body);
         Self { name, digest, body }
     }
 
-    /// Returns which part of the document this is.
+    /// Returns the name of the section.
     pub fn name(&self) -> &Name {
         &self.name
     }
@@ -57,60 +54,60 @@
         self.digest
     }
 
-    /// Returns the canonical JSON of the part.
+    /// Returns the canonical JSON of the section.
     pub fn body(&self) -> &Arc<[u8]> {
         &self.body
     }
 
-    fn write<T: Serialize>(name: Name, part: &T) -> Result<Self> {
+    fn encode<T: Serialize>(name: Name, part: &T) -> Result<Self> {
         let body = serde_json::to_vec(part).context(EncodeSnafu { name: name.clone() })?;
         Ok(Self::new(name, body))
     }
 
-    fn read<'a, T: Deserialize<'a>>(&'a self) -> Result<T> {
+    fn decode<'a, T: Deserialize<'a>>(&'a self) -> Result<T> {
         serde_json::from_slice(&self.body).context(DecodeSnafu {
             name: self.name.clone(),
         })
     }
 }
 
-/// Cuts a document into sections, in the order of their names.
+/// Splits a document into sections, sorted by name.
 ///
-/// Documents with equal canonical forms give equal sections.
+/// Documents with equal canonical forms have equal sections.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Encode`] if a part can't be written as JSON.
+/// Returns [`Error::Encode`] if a section can't be written as JSON.
 pub fn split(document: &Document) -> Result<Vec<Section>> {
     let form = canonical::form(document);
-    let callers = Section::write(Name::Callers, &form.callers);
+    let callers = Section::encode(Name::Callers, &form.callers);
     let routes = form
         .routes
         .iter()
-        .map(|route| Section::write(Name::Route(route.name.clone()), route));
+        .map(|route| Section::encode(Name::Route(route.name.clone()), route));
     std::iter::once(callers).chain(routes).collect()
 }
 
-/// Puts the document of an index together again.
+/// Assembles the document of an index from its sections.
 ///
-/// The index may be a selection, see [`Index::select`]; the document then has only those routes.
-/// The result is in canonical form and has passed [`check::document`].
-/// Its identity is the digest of the index that came with it and not that of another [`split`]: the
-/// sender's build may write canonical bytes that differ from this one's.
+/// The document is in canonical form and has passed [`check::document`]. If the index is a selection
+/// (see [`Index::select`]), it has only the selected routes.
+///
+/// The digest of `index` identifies the document. That of another [`split`] may differ, because the
+/// sender's version may write other canonical bytes than this one.
 ///
 /// # Errors
 ///
-/// Returns an error if a section of the index is missing, if one isn't in the index, if the bytes
-/// of one don't have the digest of the index or aren't what the name says, and if the whole is not
-/// a valid document.
+/// Returns an error if a section is missing from `sections` or not in the index, if its body doesn't
+/// match its digest or its name, or if the assembled document is invalid.
 pub fn assemble(index: &Index, sections: &[Section]) -> Result<Document> {
     let verified = verify(index, sections)?;
     let mut document = Document::default();
     for section in verified.values() {
         match section.name() {
-            Name::Callers => document.callers = section.read::<Vec<Caller>>()?,
+            Name::Callers => document.callers = section.decode::<Vec<Caller>>()?,
             Name::Route(name) => {
-                let route: Route = section.read()?;
+                let route: Route = section.decode()?;
                 ensure!(
                     route.name == *name,
                     WrongRouteSnafu {
@@ -126,7 +123,7 @@
     Ok(canonical::form(&document))
 }
 
-/// Holds sections against the digests of an index; a section that came twice counts once.
+/// Checks that the sections are those of the index, with the same digests. Duplicates are ignored.
 fn verify<'a>(index: &Index, sections: &'a [Section]) -> Result<BTreeMap<&'a Name, &'a Section>> {
     let mut verified = BTreeMap::new();
     for section in sections {
--- a/crates/configuration/src/section/digest.rs
+++ b/crates/configuration/src/section/digest.rs
@@ -4,13 +4,13 @@
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// Bytes of a SHA-256 digest.
+/// Length of a SHA-256 digest, in bytes.
 const BYTES: usize = 32;
 
-/// Bytes of the first half of a digest.
+/// Length of the first half of a digest, in bytes.
 const HALF: usize = size_of::<u128>();
 
-/// Bytes of the prefix of a digest.
+/// Length of the prefix of a digest, in bytes.
 const PREFIX: usize = size_of::<u64>();
 
 /// A SHA-256 digest, written as 64 hexadecimal digits.
@@ -18,12 +18,12 @@
 pub struct Digest([u8; BYTES]);
 
 impl Digest {
-    /// Computes the digest of some bytes.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
 
-    /// Takes over a digest that came from elsewhere.
+    /// Creates a digest from its bytes.
     pub fn from_bytes(bytes: [u8; BYTES]) -> Self {
         Self(bytes)
     }
@@ -33,13 +33,13 @@
         &self.0
     }
 
-    /// Returns the first half of the digest, which is enough to tell documents apart.
+    /// Returns the first half of the digest, which is long enough to identify a document.
     pub fn half(&self) -> u128 {
         let bytes = self.0.first_chunk::<HALF>();
         bytes.copied().map(u128::from_be_bytes).unwrap_or_default()
     }
 
-    /// Returns the first eight bytes of the digest. They only suggest that two sections are equal.
+    /// Returns the first eight bytes of the digest. Different sections may share them, if unlikely.
     pub fn prefix(&self) -> u64 {
         let bytes = self.0.first_chunk::<PREFIX>();
         bytes.copied().map(u64::from_be_bytes).unwrap_or_default()
--- a/crates/configuration/src/section/error.rs
+++ b/crates/configuration/src/section/error.rs
@@ -1,73 +1,73 @@
-//! What can be wrong with sections.
+//! Errors of operations on sections.
 
 use super::{Digest, Name};
 use crate::check;
 use crate::id::RouteId;
 use snafu::Snafu;
 
-/// The outcome of an operation on sections.
+/// Result of an operation on sections.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Sections that aren't the document that they should be.
+/// Error of splitting, transferring or assembling sections.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Error {
-    /// A part can't be written as JSON.
-    #[snafu(display("the section {name} can't be written"))]
+    /// A section can't be written as JSON.
+    #[snafu(display("section {name} can't be encoded"))]
     Encode {
-        /// The part.
+        /// Name of the section.
         name: Name,
-        /// Why it can't.
+        /// Error of the encoder.
         source: serde_json::Error,
     },
-    /// A section of the index isn't there.
-    #[snafu(display("the section {name} is missing"))]
+    /// A section of the index is missing.
+    #[snafu(display("section {name} is missing"))]
     Missing {
-        /// The section.
+        /// Name of the section.
         name: Name,
     },
-    /// A section is there that the index doesn't name.
-    #[snafu(display("the section {name} isn't part of the document"))]
+    /// A section is not in the index.
+    #[snafu(display("section {name} isn't part of the document"))]
     Unexpected {
-        /// The section.
+        /// Name of the section.
         name: Name,
     },
-    /// The bytes of a section are not those that the index speaks of.
-    #[snafu(display("the section {name} has the digest {found} and should have {expected}"))]
+    /// The body of a section doesn't match its digest in the index.
+    #[snafu(display("section {name} has digest {found}, expected {expected}"))]
     Mismatch {
-        /// The section.
+        /// Name of the section.
         name: Name,
-        /// The digest in the index.
+        /// Digest in the index.
         expected: Digest,
-        /// The digest of the bytes.
+        /// Digest of the body.
         found: Digest,
     },
-    /// The bytes of a section don't hold what they should.
-    #[snafu(display("the section {name} can't be read"))]
+    /// The body of a section isn't the JSON of its callers or route.
+    #[snafu(display("section {name} can't be decoded"))]
     Decode {
-        /// The section.
+        /// Name of the section.
         name: Name,
-        /// Why it can't.
+        /// Error of the decoder.
         source: serde_json::Error,
     },
-    /// A section holds another route than its name says.
-    #[snafu(display("the section {name} holds the route {found}"))]
+    /// The body of a section is a route with another name.
+    #[snafu(display("section {name} contains the route {found}"))]
     WrongRoute {
-        /// The section.
+        /// Name of the section.
         name: Name,
-        /// The route in it.
+        /// Name of the route in its body.
         found: RouteId,
     },
-    /// A part stands for a section that isn't held.
+    /// A part refers to a position beyond the receiver's sections.
     #[snafu(display("there is no section at position {position}"))]
     UnknownPosition {
-        /// The position.
+        /// Position in the receiver's sections.
         position: u32,
     },
-    /// Each section is whole, but together they aren't a valid document.
-    #[snafu(display("the sections together are no valid document"))]
+    /// The document assembled from the sections is invalid.
+    #[snafu(display("the sections don't form a valid document"))]
     Invalid {
-        /// What is wrong.
+        /// Faults of the document.
         source: check::Error,
     },
 }
--- a/crates/configuration/src/section/index.rs
+++ b/crates/configuration/src/section/index.rs
@@ -1,35 +1,35 @@
-//! The digests of all sections of a document.
+//! Index of the sections of a document.
 
 use super::{Digest, Name, Section};
 use crate::id::RouteId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The digest of each section of a document.
+/// Digest of each section of a document, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Index(BTreeMap<Name, Digest>);
 
-/// What a newer index has that an older one hasn't.
+/// Names of the sections that differ between two indexes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Sections that are new.
+    /// Sections that are only in the newer index.
     pub added: Vec<Name>,
-    /// Sections that are gone.
+    /// Sections that are only in the older index.
     pub removed: Vec<Name>,
-    /// Sections with another digest.
+    /// Sections whose digests differ.
     pub changed: Vec<Name>,
 }
 
 impl Difference {
-    /// Tells whether both indexes are of the same document.
+    /// Returns whether the indexes are equal.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
 }
 
 impl Index {
-    /// Makes the index of some sections.
+    /// Creates the index of `sections`.
     pub fn of(sections: &[Section]) -> Self {
         sections
             .iter()
@@ -39,9 +39,9 @@
 
     /// Returns the digest of the whole document.
     ///
-    /// It is the SHA-256 digest of one line `NAME DIGEST` for each section, in the order of the
-    /// names, so that an operator can compute it with the usual tools. A name has no white space
-    /// in a valid document; its length is not written.
+    /// It is the SHA-256 digest of a text with a line `NAME DIGEST` for each section, sorted by name, so
+    /// that an operator can compute it with standard tools. The format is unambiguous because names
+    /// have no white space in a valid document.
     pub fn digest(&self) -> Digest {
         let lines: String = self
             .iter()
@@ -50,12 +50,12 @@
         Digest::of(lines.as_bytes())
     }
 
-    /// Returns the digest of a section.
+    /// Returns the digest of a section, or `None` if it is not in the index.
     pub fn get(&self, name: &Name) -> Option<Digest> {
         self.0.get(name).copied()
     }
 
-    /// Returns all sections in the order of their names.
+    /// Returns the names and digests of all sections, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, Digest)> {
         self.0.iter().map(|(name, digest)| (name, *digest))
     }
@@ -65,17 +65,17 @@
         self.0.len()
     }
 
-    /// Tells whether there is no section.
+    /// Returns whether there are no sections.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the part of the index that a daemon needs for some routes: those and the callers.
-    pub fn select(&self, wanted: impl Fn(&RouteId) -> bool) -> Self {
+    /// Returns the index of the callers and of the routes for which `is_selected` returns true.
+    pub fn select(&self, is_selected: impl Fn(&RouteId) -> bool) -> Self {
         self.iter()
             .filter(|(name, _)| match name {
                 Name::Callers => true,
-                Name::Route(route) => wanted(route),
+                Name::Route(route) => is_selected(route),
             })
             .map(|(name, digest)| (name.clone(), digest))
             .collect()
--- a/crates/configuration/src/section/name.rs
+++ b/crates/configuration/src/section/name.rs
@@ -4,21 +4,21 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// What stands before the route in the name of its section.
-const ROUTE: &str = "routes/";
+/// Prefix of the names of route sections.
+const ROUTE_PREFIX: &str = "routes/";
 
-/// The name of the section with all callers.
+/// Name of the section with all callers.
 const CALLERS: &str = "callers";
 
-/// Which part of a document a section holds; written `callers` or `routes/NAME`.
+/// Name of a section, written `callers` or `routes/NAME`.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Name {
-    /// All callers.
+    /// Section with all callers.
     #[display("{CALLERS}")]
     Callers,
-    /// One route.
-    #[display("{ROUTE}{_0}")]
+    /// Section with one route.
+    #[display("{ROUTE_PREFIX}{_0}")]
     Route(RouteId),
 }
 
@@ -35,7 +35,7 @@
         if text == CALLERS {
             return Ok(Self::Callers);
         }
-        match text.strip_prefix(ROUTE) {
+        match text.strip_prefix(ROUTE_PREFIX) {
             Some(route) if !route.is_empty() => Ok(Self::Route(route.into())),
             _ => Err(format!("there is no section {text:?}")),
         }
--- a/crates/configuration/src/section/transfer.rs
+++ b/crates/configuration/src/section/transfer.rs
@@ -1,13 +1,12 @@
-//! What goes over the wire when one daemon fetches a document from another.
+//! Delta encoding of a document that one daemon fetches from another.
 //!
-//! The asker tells what it holds in eight bytes a section ([`Base`]); the answer names the sections
-//! of the newer document one after the other, by a position in that list where the asker holds it
-//! already and with its body where not. So a change of one route costs its body and some bytes for
-//! each other route.
+//! The receiver sends the first eight bytes of each of its sections' digests ([`Base`]). The sender
+//! replies with the sections of its document, each either as a position in that list or in full, so
+//! that a change of one route costs its body and a few bytes for each other section.
 //!
-//! Nothing in an answer is believed. The asker makes the index of what it then has and holds the
-//! digest of that against the one which was announced: two sections that share eight bytes of their
-//! digests, a position that means another section, a body cut short, all of them give another digest.
+//! The receiver does not trust the reply: it computes the index of the resulting sections and compares
+//! its digest with the announced one. This detects colliding digest prefixes, wrong positions and
+//! damaged bodies.
 
 use super::error::{Result, UnknownPositionSnafu};
 use super::{Name, Section};
@@ -16,39 +15,39 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// First bytes of the digest of each section that an asker holds, in its own order.
+/// Digest prefixes of the sections that the receiver holds, in its own order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Base(Vec<u64>);
 
 impl Base {
-    /// Describes the sections that are held; none where the whole document is wanted.
+    /// Creates the base of `sections`. Without sections, the whole document is sent.
     pub fn of(sections: &[Section]) -> Self {
         let prefixes = sections.iter().map(|section| section.digest().prefix());
         Self(prefixes.collect())
     }
 
-    /// Tells whether nothing is held.
+    /// Returns whether the receiver holds no sections.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// One section of the document asked for.
+/// One section of the requested document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Part {
-    /// The section at this position of the asker's base.
+    /// The section at this position in the receiver's [`Base`].
     Held(u32),
-    /// A section that the asker does not hold.
+    /// A section that the receiver does not hold.
     Sent {
-        /// Which part of the document it is.
+        /// Name of the section.
         name: Name,
         /// Its canonical JSON.
         body: Arc<[u8]>,
     },
 }
 
-/// Returns the parts that make these sections out of what an asker holds.
+/// Encodes `sections` for a receiver that holds `base`.
 pub fn parts(sections: &[Section], base: &Base) -> Vec<Part> {
     let held: HashMap<u64, u32> = base.0.iter().copied().zip(0..).collect();
     let part = |section: &Section| match held.get(&section.digest().prefix()) {
@@ -61,12 +60,12 @@
     sections.iter().map(part).collect()
 }
 
-/// Makes sections of the parts that came and of those that are held. The digest of their index is
-/// still to be held against the one that was announced.
+/// Decodes `parts` into sections, given those that the receiver holds. The caller must compare the
+/// digest of their index with the announced one.
 ///
 /// # Errors
 ///
-/// Returns [`super::Error::UnknownPosition`] if a part stands for a section that is not held.
+/// Returns [`super::Error::UnknownPosition`] if a part refers to a position beyond `held`.
 pub fn join(parts: Vec<Part>, held: &[Section]) -> Result<Vec<Section>> {
     let section = |part| match part {
         Part::Held(position) => usize::try_from(position)
--- a/crates/configuration/tests/faults.rs
+++ b/crates/configuration/tests/faults.rs
@@ -85,12 +85,12 @@
 #[test_case("/routes/0/groups/0/keys/start", json!(1), "routes[0].keys", "no group holds the keys 0..1"; "hole_at_the_start")]
 #[test_case("/routes/0/groups/1/keys/end", json!(99), "routes[0].keys", "no group holds the keys 99..100"; "hole_at_the_end")]
 #[test_case("/routes/0/groups/1/keys/start", json!(49), "routes[0].groups[1].keys", "overlaps 0..50 (routes[0].groups[0].keys) in 49..50"; "overlap")]
-#[test_case("/routes/0/groups/1/keys/end", json!(101), "routes[0].groups[1].keys", "reaches out"; "out_of_the_route")]
+#[test_case("/routes/0/groups/1/keys/end", json!(101), "routes[0].groups[1].keys", "not within"; "out_of_the_route")]
 #[test_case("/routes/1/keys/end", json!(0), "routes[1].keys.end", "holds no key"; "empty_key_space")]
 #[test_case("/routes/0/groups/1/backend_servers", json!([]), "routes[0].groups[1].backend_servers", "too few"; "no_backend_server")]
-#[test_case("/routes/0/groups/1/backend_servers/0", json!("10.0.0.1:1"), "routes[0].groups[1].backend_servers[0]", "already stands at routes[0].groups[0].backend_servers[0]"; "backend_server_twice")]
+#[test_case("/routes/0/groups/1/backend_servers/0", json!("10.0.0.1:1"), "routes[0].groups[1].backend_servers[0]", "is already listed at routes[0].groups[0].backend_servers[0]"; "backend_server_twice")]
 #[test_case("/routes/0/groups/1/backend_servers/0", json!("db.local:1"), "routes[0].groups[1].backend_servers[0]", "isn't an IP"; "backend_server_by_name")]
-#[test_case("/routes/0/groups/1/backend_servers/0", json!("10.0.0.3:0"), "routes[0].groups[1].backend_servers[0]", "nothing can be connected"; "port_zero")]
+#[test_case("/routes/0/groups/1/backend_servers/0", json!("10.0.0.3:0"), "routes[0].groups[1].backend_servers[0]", "isn't an address to connect to"; "port_zero")]
 #[test_case("/routes/1/kind", json!("write"), "routes[1].kind", "known values"; "unknown_kind")]
 fn parse_fault_is_the_only_one(pointer: &str, value: Value, path: &str, wrong: &str) {
     let mut edited = valid();
