--- a/crates/monsoonringd/tests/soak.rs
+++ b/crates/monsoonringd/tests/soak.rs
@@ -4,7 +4,7 @@
 mod soak;
 
 use soak::check::{self, Records};
-use soak::support::client::Told;
+use soak::support::client::Reply;
 use std::path::Path;
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
         .into()
 }
 
-fn told(signatures: &str, missing: usize, body: &str) -> Told {
-    Told::merged(signatures, missing, body.to_owned())
+fn told(signatures: &str, missing: usize, body: &str) -> Reply {
+    Reply::merged(signatures, missing, body.to_owned())
 }
 
 #[test]
--- a/crates/monsoonringd/tests/soak/check.rs
+++ b/crates/monsoonringd/tests/soak/check.rs
@@ -1,6 +1,6 @@
 //! What must hold of each answer, judged from what callers were told and servers ran.
 
-use super::support::client::Told;
+use super::support::client::Reply;
 use std::collections::BTreeMap;
 
 /// A promise that was broken.
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// The promise that it breaks.
-pub(crate) fn search(id: &str, told: &Told, records: &Records) -> Result<(), Violation> {
+pub(crate) fn search(id: &str, told: &Reply, records: &Records) -> Result<(), Violation> {
     let mut services = Vec::new();
     for stamp in told.signatures() {
         let Some((instance, of)) = stamp.split_once('/') else {
--- a/crates/monsoonringd/tests/soak/fault.rs
+++ b/crates/monsoonringd/tests/soak/fault.rs
@@ -3,7 +3,7 @@
 
 use super::check::Violation;
 use super::host::{Host, data_centre};
-use super::support::server::Habit;
+use super::support::server::Behaviour;
 use super::{BEARS, Result, World};
 use nix::sys::signal::Signal;
 use rand::Rng;
@@ -23,7 +23,7 @@
     HangUp(usize),
     StoreDown(Duration),
     StoreForgets,
-    Misbehave(usize, Habit, Duration),
+    Misbehave(usize, Behaviour, Duration),
     Drain(usize, Duration),
     Configure,
     /// Operators empty a data centre.
@@ -46,10 +46,10 @@
             3 => Self::HangUp(host),
             4 => Self::StoreDown(time),
             5 => Self::StoreForgets,
-            6 => Self::Misbehave(server, Habit::Slow(time), time),
-            7 => Self::Misbehave(server, Habit::Shed, time),
-            8 => Self::Misbehave(server, Habit::Reset, time),
-            9 => Self::Misbehave(server, Habit::Twice, time),
+            6 => Self::Misbehave(server, Behaviour::Slow(time), time),
+            7 => Self::Misbehave(server, Behaviour::Shed, time),
+            8 => Self::Misbehave(server, Behaviour::Reset, time),
+            9 => Self::Misbehave(server, Behaviour::AnswerTwice, time),
             10 => Self::Drain(server, time),
             11 => Self::Empty(host, time),
             12 => Self::Cool(server, time),
@@ -66,11 +66,11 @@
             Self::HangUp(_) => "settings read again",
             Self::StoreDown(_) => "store down",
             Self::StoreForgets => "store forgets its history",
-            Self::Misbehave(_, Habit::Slow(_), _) => "server slow",
-            Self::Misbehave(_, Habit::Shed, _) => "server turns away",
-            Self::Misbehave(_, Habit::Reset, _) => "server breaks off",
-            Self::Misbehave(_, Habit::Twice, _) => "server answers twice",
-            Self::Misbehave(_, Habit::Well, _) => "server well",
+            Self::Misbehave(_, Behaviour::Slow(_), _) => "server slow",
+            Self::Misbehave(_, Behaviour::Shed, _) => "server turns away",
+            Self::Misbehave(_, Behaviour::Reset, _) => "server breaks off",
+            Self::Misbehave(_, Behaviour::AnswerTwice, _) => "server answers twice",
+            Self::Misbehave(_, Behaviour::Answer, _) => "server well",
             Self::Drain(..) => "server drains and comes back",
             Self::Configure => "configuration changed",
             Self::Empty(..) => "data centre emptied",
@@ -108,11 +108,11 @@
                 sleep(time).await;
                 world.store.set_down(false);
             }
-            Self::StoreForgets => world.store.forget_while(|_| {}),
+            Self::StoreForgets => world.store.lose_history_during(|_| {}),
             Self::Misbehave(server, habit, time) => {
-                world.servers[server].set(habit);
+                world.servers[server].set_behaviour(habit);
                 sleep(time).await;
-                world.servers[server].set(Habit::Well);
+                world.servers[server].set_behaviour(Behaviour::Answer);
             }
             Self::Drain(server, time) => {
                 world.servers[server].register(&world.store, "draining");
@@ -143,12 +143,12 @@
 /// Empties a data centre, and gives it back. Its servers are to get nothing from when the order is known.
 async fn empty(world: &World, number: usize, time: Duration) -> Option<Violation> {
     let data_centre = data_centre(number);
-    world.store.empty(data_centre);
+    world.store.evacuate(data_centre);
     sleep(KNOWN).await;
     let before = world.ran_in(data_centre);
     sleep(time).await;
     let after = world.ran_in(data_centre);
-    world.store.give_back(data_centre);
+    world.store.withdraw_evacuation(data_centre);
     let new = after
         .iter()
         .zip(&before)
@@ -193,7 +193,7 @@
 pub(crate) fn lift_all(world: &mut World, hosts: &mut [Host]) -> Result<()> {
     world.store.set_down(false);
     for server in &world.servers {
-        server.set(Habit::Well);
+        server.set_behaviour(Behaviour::Answer);
         server.register_cold(&world.store, Duration::ZERO);
     }
     for host in hosts {
--- a/crates/monsoonringd/tests/soak/mod.rs
+++ b/crates/monsoonringd/tests/soak/mod.rs
@@ -23,9 +23,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use support::client;
-use support::daemon::{bound_cold, configuration, gather, single};
+use support::daemon::{configuration, fan_out_route, limit_cold_load, single_route};
 use support::server::Server;
-use support::store::{Copy, Store};
+use support::store::{Backup, Store};
 use tokio::time::{Instant, sleep};
 
 /// Result of a step; what failed is told to whoever runs the soak.
@@ -68,7 +68,7 @@
     servers: Vec<Server>,
     version: u64,
     /// What the store held before each of the faults so far.
-    copies: Vec<Copy>,
+    copies: Vec<Backup>,
 }
 
 impl World {
@@ -99,12 +99,12 @@
     fn configure(&mut self) {
         self.version += 1;
         let routes: [Value; 2] = [
-            gather("map", "/map/", &SHARDS),
-            single("once", "/once/", "non_idempotent", LEDGER),
+            fan_out_route("map", "/map/", &SHARDS),
+            single_route("once", "/once/", "non_idempotent", LEDGER),
         ];
         let services: Vec<&str> = SHARDS.into_iter().chain([LEDGER]).collect();
         let mut document = configuration(self.version, &routes, &services);
-        bound_cold(&mut document, BEARS, Duration::from_secs(1));
+        limit_cold_load(&mut document, BEARS, Duration::from_secs(1));
         self.store.put("op/config", &document);
     }
 
@@ -112,7 +112,7 @@
     fn go_back(&mut self, ago: usize) {
         let kept = self.copies.len().saturating_sub(ago);
         if let Some(copy) = self.copies.drain(kept..).next() {
-            self.store.go_back(copy);
+            self.store.restore(copy);
         }
     }
 
@@ -129,12 +129,12 @@
         let servers = self.servers.iter().enumerate();
         let there =
             servers.filter(|(number, _)| host::data_centre(number / REPLICAS) == data_centre);
-        there.map(|(_, server)| server.ran()).collect()
+        there.map(|(_, server)| server.executed()).collect()
     }
 
     /// Returns how often servers ran the request that was sent to this path.
     fn runs(&self, path: &str) -> usize {
-        let ran = self.servers.iter().flat_map(Server::ran);
+        let ran = self.servers.iter().flat_map(Server::executed);
         ran.filter(|target| target.split(' ').nth(1) == Some(path))
             .count()
     }
@@ -170,7 +170,7 @@
         let path = if is_once { "once" } else { "map" };
         let path = format!("/{path}/{id}");
         let leaves = Duration::from_millis(rng.random_range(20..3_000));
-        let asked = client::ask(front, "GET", &path, &id, "1500");
+        let asked = client::send(front, "GET", &path, &id, "1500");
         let told = tokio::time::timeout(leaves, asked).await.ok().flatten();
         let status = told.as_ref().map(|told| told.status.as_u16());
         *answers.entry(status.unwrap_or(0)).or_default() += 1;
@@ -195,8 +195,8 @@
 async fn regained(front: SocketAddr) -> bool {
     let until = Instant::now() + REGAIN;
     while Instant::now() < until {
-        let told = client::ask(front, "GET", "/map/regained", "regained", "1500").await;
-        let is_whole = |told: &client::Told| told.status.is_success() && told.missing() == Some(0);
+        let told = client::send(front, "GET", "/map/regained", "regained", "1500").await;
+        let is_whole = |told: &client::Reply| told.status.is_success() && told.missing() == Some(0);
         if told.is_some_and(|told| is_whole(&told)) {
             return true;
         }
@@ -246,7 +246,7 @@
         .collect();
     while Instant::now() < until {
         sleep(Duration::from_millis(rng.random_range(100..500))).await;
-        world.copies.push(world.store.copy());
+        world.copies.push(world.store.backup());
         let fault = Fault::draw(&mut rng, usize::from(count), world.servers.len());
         *report.faults.entry(fault.name()).or_default() += 1;
         report
@@ -281,7 +281,7 @@
 /// Returns how many parts of searches other hosts looked through for this one.
 async fn parts(metrics: SocketAddr) -> u64 {
     const COUNTER: &str = "monsoonring_relays_total{outcome=\"part answered\"} ";
-    let page = client::ask(metrics, "GET", "/metrics", "m", "1000").await;
+    let page = client::send(metrics, "GET", "/metrics", "m", "1000").await;
     let body = page.map(|page| page.body).unwrap_or_default();
     let count = body.lines().find_map(|line| line.strip_prefix(COUNTER));
     count.and_then(|text| text.parse().ok()).unwrap_or(0)
