--- a/crates/daemon/src/caller/answer.rs
+++ b/crates/daemon/src/caller/answer.rs
@@ -6,7 +6,7 @@
 use super::header;
 use super::problem::Problem;
 use super::status;
-use crate::metrics::label::RequestOutcome;
+use crate::metrics::label::OutcomeLabel;
 use crate::service::Execution;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -26,7 +26,7 @@
 /// Response to a caller.
 pub(crate) enum Reply {
     /// An answer, the outcome for logs and metrics, and the coverage of a search.
-    Answer(Response<Full<Bytes>>, RequestOutcome, Option<f64>),
+    Answer(Response<Full<Bytes>>, OutcomeLabel, Option<f64>),
     /// A problem, and a value for the `idempotency-key` header.
     Problem(Problem, Option<HeaderValue>),
 }
@@ -36,9 +36,9 @@
     match outcome {
         Outcome::Answered(answer) => {
             let ended = if answer.missing.is_empty() {
-                RequestOutcome::Complete
+                OutcomeLabel::Complete
             } else {
-                RequestOutcome::Partial
+                OutcomeLabel::Partial
             };
             Reply::Answer(
                 answer_response(request, answer),
@@ -48,7 +48,7 @@
         }
         Outcome::Executed(value) => Reply::Answer(
             executed_response(request, value),
-            RequestOutcome::Executed,
+            OutcomeLabel::Executed,
             None,
         ),
         Outcome::NotRun {
@@ -92,7 +92,7 @@
     if let Ok(key) = HeaderValue::from_str(key) {
         response.headers_mut().insert(header::IDEMPOTENCY_KEY, key);
     }
-    Reply::Answer(response, RequestOutcome::Issued, None)
+    Reply::Answer(response, OutcomeLabel::Issued, None)
 }
 
 fn answer_response(request: RequestId, answer: &Answer) -> Response<Full<Bytes>> {
--- a/crates/daemon/src/caller/request_log.rs
+++ b/crates/daemon/src/caller/request_log.rs
@@ -7,7 +7,7 @@
 use super::header::request_text;
 use super::problem::{Problem, RunStatus};
 use crate::metrics::Metrics;
-use crate::metrics::label::{ClassLabel, RequestOutcome};
+use crate::metrics::label::{ClassLabel, OutcomeLabel};
 use crate::server::stop::{Stage, Watch};
 use monsoonring_configuration::document::Class;
 use monsoonring_configuration::id::RouteId;
@@ -99,7 +99,7 @@
     }
 
     /// Closes the entry of a request that was answered.
-    pub(crate) fn record_answer(mut self, ended: RequestOutcome, coverage: Option<f64>) {
+    pub(crate) fn record_answer(mut self, ended: OutcomeLabel, coverage: Option<f64>) {
         if let Some(coverage) = coverage {
             let front = &self.request_log.shared.metrics.front;
             front.record_coverage(self.route.as_ref(), self.class, coverage);
@@ -110,16 +110,16 @@
     /// Closes the entry of a request that was refused or failed.
     pub(crate) fn record_problem(mut self, problem: &Problem) {
         let ended = match problem.run_status {
-            RunStatus::NotRun => RequestOutcome::NotRun,
-            RunStatus::Failed => RequestOutcome::Failed,
-            RunStatus::Unknown => RequestOutcome::Unknown,
+            RunStatus::NotRun => OutcomeLabel::NotRun,
+            RunStatus::Failed => OutcomeLabel::Failed,
+            RunStatus::Unknown => OutcomeLabel::Unknown,
         };
         let front = &self.request_log.shared.metrics.front;
         front.record_refusal(self.route.as_ref(), self.class, problem.kind);
         self.close(ended, problem.kind);
     }
 
-    fn close(&mut self, ended: RequestOutcome, reason: &'static str) {
+    fn close(&mut self, ended: OutcomeLabel, reason: &'static str) {
         self.ended = true;
         self.record_metrics(ended);
         let shared = &self.request_log.shared;
@@ -135,7 +135,7 @@
         );
     }
 
-    fn record_metrics(&self, outcome: RequestOutcome) {
+    fn record_metrics(&self, outcome: OutcomeLabel) {
         let front = &self.request_log.shared.metrics.front;
         let duration = self.arrived.elapsed();
         front.record_outcome(self.route.as_ref(), self.class, outcome, duration);
@@ -146,9 +146,9 @@
         let shared = &self.request_log.shared;
         let ended = if shared.stop.stage() == Stage::Cut {
             shared.cut.fetch_add(1, Ordering::Relaxed);
-            RequestOutcome::Cut
+            OutcomeLabel::Cut
         } else {
-            RequestOutcome::Abandoned
+            OutcomeLabel::Abandoned
         };
         self.record_metrics(ended);
         warn!(
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -8,7 +8,7 @@
 use super::{Ingress, RequestInfo};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::metrics::label::RequestOutcome;
+use crate::metrics::label::OutcomeLabel;
 use crate::server::{Handler, LimitStatus};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -45,7 +45,7 @@
 /// A response, with the outcome and reason for the log.
 struct Reply {
     response: Response<Full<Bytes>>,
-    outcome: RequestOutcome,
+    outcome: OutcomeLabel,
     reason: String,
 }
 
@@ -175,7 +175,7 @@
         let reply = match (&self.origin, &outcome) {
             (Origin::Peer, Outcome::NotRun { reason, .. }) if is_host_specific(*reason) => Reply {
                 response: relay::decline("not able to"),
-                outcome: RequestOutcome::NotRun,
+                outcome: OutcomeLabel::NotRun,
                 reason: format!("declined: {reason}"),
             },
             _ => self.reply(outcome, &route, only_keys.as_ref()),
@@ -261,24 +261,24 @@
             Outcome::Executed(server_response) => Reply {
                 reason: format!("status {}", server_response.status.as_u16()),
                 response: self.ingress.single(server_response),
-                outcome: RequestOutcome::Complete,
+                outcome: OutcomeLabel::Complete,
             },
             Outcome::NotRun {
                 reason,
                 retry_after,
             } => Reply {
                 response: self.retry_later(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
-                outcome: RequestOutcome::NotRun,
+                outcome: OutcomeLabel::NotRun,
                 reason: reason.to_string(),
             },
             Outcome::Failed { reason, .. } => Reply {
                 response: empty_response(failure_status(reason)),
-                outcome: RequestOutcome::Failed,
+                outcome: OutcomeLabel::Failed,
                 reason: reason.to_string(),
             },
             Outcome::Unknown { reason } => Reply {
                 response: empty_response(failure_status(reason)),
-                outcome: RequestOutcome::Unknown,
+                outcome: OutcomeLabel::Unknown,
                 reason: reason.to_string(),
             },
         }
@@ -294,8 +294,8 @@
         let missing = missing_keys.len() as usize;
         let version = answer.index_version;
         let outcome = match missing {
-            0 => RequestOutcome::Complete,
-            _ => RequestOutcome::Partial,
+            0 => OutcomeLabel::Complete,
+            _ => OutcomeLabel::Partial,
         };
         let mut parts: Vec<ServerResponse> =
             answer.items.into_iter().map(|item| item.value).collect();
@@ -352,7 +352,7 @@
         retry_after: Duration,
     ) -> Response<Full<Bytes>> {
         self.metrics.front.record_refusal(None, None, reason);
-        info!(self.log, "request"; "id" => &info.id, "outcome" => RequestOutcome::NotRun.to_string(),
+        info!(self.log, "request"; "id" => &info.id, "outcome" => OutcomeLabel::NotRun.to_string(),
             "why" => reason, "come_back_ms" => retry_after.as_millis());
         self.retry_later(retry_after)
     }
@@ -389,7 +389,7 @@
 }
 
 impl LogLine<'_> {
-    fn write(&mut self, outcome: RequestOutcome, status: Option<u16>, reason: &str) {
+    fn write(&mut self, outcome: OutcomeLabel, status: Option<u16>, reason: &str) {
         self.written = true;
         let Context {
             info,
@@ -412,7 +412,7 @@
 impl Drop for LogLine<'_> {
     fn drop(&mut self) {
         if !self.written {
-            self.write(RequestOutcome::Abandoned, None, "the client disconnected");
+            self.write(OutcomeLabel::Abandoned, None, "the client disconnected");
         }
     }
 }
--- a/crates/daemon/src/gateway/front/offload.rs
+++ b/crates/daemon/src/gateway/front/offload.rs
@@ -5,7 +5,7 @@
 use crate::gateway::content::Opaque;
 use crate::gateway::front::Origin;
 use crate::gateway::relay::{self, DelegationResult, PendingDelegation};
-use crate::metrics::label::RequestOutcome;
+use crate::metrics::label::OutcomeLabel;
 use crate::route;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -204,7 +204,7 @@
         if !self.written {
             info!(self.log, "relay"; "id" => &self.context.info.id,
                 "took_us" => self.context.arrived.elapsed().as_micros(),
-                "outcome" => RequestOutcome::Abandoned.to_string(), "why" => "the client disconnected");
+                "outcome" => OutcomeLabel::Abandoned.to_string(), "why" => "the client disconnected");
         }
     }
 }
--- a/crates/daemon/src/metrics/control.rs
+++ b/crates/daemon/src/metrics/control.rs
@@ -1,4 +1,4 @@
-//! Members, facts and configuration.
+//! Metrics of members, facts and configuration.
 
 use super::gauge_value;
 use super::label::{ConfigurationEvent, Fact, Member, MemberState};
@@ -22,7 +22,7 @@
     changes: Family<Member, Counter>,
     isolated: Gauge,
     ready: Gauge,
-    /// Times that the process found out that it had been paused.
+    /// Detected pauses of the process.
     pub pauses: Counter,
     facts: Family<Fact, Counter>,
 }
@@ -87,19 +87,19 @@
         );
     }
 
-    /// Sets the revision in force.
+    /// Sets the revision of the configuration in force.
     pub fn set_revision(&self, revision: Revision) {
         self.revision
             .set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
 
-    /// Counts a decision on a document.
+    /// Records what was decided on a configuration document.
     pub fn record_configuration_event(&self, event: &'static str) {
         let label = ConfigurationEvent { event };
         self.configuration.get_or_create(&label).inc();
     }
 
-    /// Counts a change of a member.
+    /// Records a member's change to the given state.
     pub fn record_member_change(&self, state: State) {
         let state = member_state(state);
         self.changes.get_or_create(&Member { state }).inc();
@@ -114,7 +114,7 @@
             (MemberState::Dead, 0),
         ];
         for state in states.map(member_state) {
-            for (_, count) in counts.iter_mut().filter(|(of, _)| *of == state) {
+            for (_, count) in counts.iter_mut().filter(|(counted, _)| *counted == state) {
                 *count += 1;
             }
         }
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Sets what the daemon knows to be wrong with itself.
+    /// Sets whether the daemon is ready and isolated, and the number of conflicting documents seen.
     pub fn set_readiness(&self, ready: bool, isolated: bool, conflicts: u64) {
         self.ready.set(i64::from(ready));
         self.isolated.set(i64::from(isolated));
@@ -132,7 +132,7 @@
             .set(i64::try_from(conflicts).unwrap_or(i64::MAX));
     }
 
-    /// Counts a fact that was new here: `learned` by this daemon or `heard` from another.
+    /// Records a new fact, `learned` by this daemon or `heard` from another.
     pub fn record_fact(&self, key: &fact::Key, source: &'static str) {
         let kind = match key {
             fact::Key::Leaving(_) => "leaving",
--- a/crates/daemon/src/metrics/front.rs
+++ b/crates/daemon/src/metrics/front.rs
@@ -1,6 +1,6 @@
-//! What callers see: outcomes, latency, coverage, refusals.
+//! Metrics of callers' requests: outcomes, latency, coverage and refusals.
 
-use super::label::{ByClass, ClassLabel, Delegation, Refusal, Request, RequestOutcome};
+use super::label::{ByClass, ClassLabel, Delegation, Refusal, Request, OutcomeLabel};
 use super::registrar::Registrar;
 use super::routes::Routes;
 use monsoonring_configuration::document::Class;
@@ -13,13 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Upper bounds of the latency buckets, in seconds; close together around a second's third, where
-/// the deadlines are.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.36, 0.5, 1.0, 2.5, 10.0,
 ];
 
-/// Upper bounds of the coverage buckets; the last but one holds what is almost complete.
+/// Upper bounds of the coverage buckets; the last bucket holds only complete answers.
 const COVERAGE_BUCKETS: [f64; 9] = [0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999_999, 1.0];
 
 /// Metrics of callers' requests.
@@ -31,9 +30,9 @@
     coverage: Family<ByClass, Histogram>,
     refused: Family<Refusal, Counter>,
     relays: Family<Delegation, Counter>,
-    /// Requests in flight.
+    /// Callers' requests in flight.
     pub in_flight: Gauge,
-    /// Connections above the limit.
+    /// Callers' connections above the limit.
     pub excess_connections: Counter,
 }
 
@@ -89,12 +88,12 @@
         front
     }
 
-    /// Counts a request that ended. Its time is measured where it came as far as its route.
+    /// Records the outcome of a request, and its duration if its route was determined.
     pub fn record_outcome(
         &self,
         route: Option<&RouteId>,
         class: Option<Class>,
-        outcome: RequestOutcome,
+        outcome: OutcomeLabel,
         took: Duration,
     ) {
         let label = Request {
@@ -110,19 +109,19 @@
         }
     }
 
-    /// Measures the coverage of an answer, from 0 to 1.
+    /// Records the coverage of an answer, from 0 to 1, if its route is known.
     pub fn record_coverage(&self, route: Option<&RouteId>, class: Option<Class>, coverage: f64) {
         if let Some(label) = self.by_class(route, class) {
             self.coverage.get_or_create(&label).observe(coverage);
         }
     }
 
-    /// Counts a search that was handed to another host.
+    /// Records a search that was delegated to another host.
     pub fn record_delegation(&self, outcome: &'static str) {
         self.relays.get_or_create(&Delegation { outcome }).inc();
     }
 
-    /// Counts a refusal or failure.
+    /// Records a refused or failed request.
     pub fn record_refusal(
         &self,
         route: Option<&RouteId>,
--- a/crates/daemon/src/metrics/home.rs
+++ b/crates/daemon/src/metrics/home.rs
@@ -1,4 +1,4 @@
-//! Work at backend servers, by route: what the extra load consists of, and what each mechanism did.
+//! Metrics of homes, by route: attempts, hedges, retries, search results and backend servers.
 
 use super::gauge_value;
 use super::label::{Attempt, AttemptKind, ByRoute, Discard, FailedAttempt, Hedge, ServerEvent};
@@ -39,16 +39,16 @@
     longest_wait: Family<ByRoute, Gauge>,
 }
 
-/// How a home stands at a moment.
+/// Current values of a home's gauges.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
     /// Requests in progress.
     pub in_progress: usize,
     /// Backend servers that are leaving.
     pub leaving: usize,
-    /// Parts of searches that wait here for room at a server.
+    /// Parts of searches that are queued here because their backend servers are at capacity.
     pub parts_waiting: usize,
-    /// The longest time that an attempt would wait at the servers of a group, by their reports.
+    /// Longest queueing delay among the groups, from the load reports of their backend servers.
     pub longest_wait: Duration,
 }
 
@@ -163,7 +163,7 @@
         );
     }
 
-    /// Counts a decision of a home by its name in the log.
+    /// Records a home's decision, identified by its label in the log. Other labels are ignored.
     pub fn record_decision(&self, route: &RouteId, what: &str) {
         match what {
             "send" | "execute" => self.record_attempt(route, AttemptKind::First),
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Counts a failed attempt.
+    /// Records a failed attempt.
     pub fn record_failure(&self, route: &RouteId, failure: &Failure) {
         let label = FailedAttempt {
             route: self.routes.label(route),
@@ -197,17 +197,17 @@
         }
     }
 
-    /// Counts a cancelled attempt.
+    /// Records an attempt that was cancelled at its backend server.
     pub fn record_cancellation(&self, route: &RouteId) {
         self.inc(&self.cancelled, route);
     }
 
-    /// Counts a connection that was opened.
+    /// Records an opened connection to a backend server.
     pub fn record_connection(&self, route: &RouteId) {
         self.inc(&self.opened, route);
     }
 
-    /// Counts what a home has counted since `before`.
+    /// Adds the difference between two readings of a home's counters.
     pub fn add_counts(&self, route: &RouteId, before: Counts, now: Counts) {
         if before == now {
             return;
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Sets how a home stands.
+    /// Sets the gauges of a home.
     pub fn set_gauges(&self, route: &RouteId, snapshot: &Snapshot) {
         let label = ByRoute {
             route: self.routes.label(route),
@@ -276,7 +276,7 @@
     }
 }
 
-/// Names the reason of a failure.
+/// Returns the label value of a failure.
 fn reason(failure: &Failure) -> &'static str {
     match failure {
         Failure::Refused { refusal, .. } => match refusal {
--- a/crates/daemon/src/metrics/label.rs
+++ b/crates/daemon/src/metrics/label.rs
@@ -1,4 +1,4 @@
-//! Labels of the metrics.
+//! Label sets and label values of the metrics.
 
 use derive_more::Display;
 use monsoonring_configuration::document::Class;
@@ -7,34 +7,34 @@
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 use std::fmt::{self, Write};
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
-pub enum RequestOutcome {
-    /// Answered from all of the data.
+pub enum OutcomeLabel {
+    /// A search answered from all of the data.
     #[display("complete")]
     Complete,
-    /// Answered from a part of the data.
+    /// A search answered from part of the data.
     #[display("partial")]
     Partial,
-    /// Executed.
+    /// A non-idempotent request that was executed.
     #[display("executed")]
     Executed,
-    /// A key was issued.
+    /// An idempotency key was issued.
     #[display("issued")]
     Issued,
-    /// It did not run.
+    /// The request did not run at a backend server.
     #[display("not_run")]
     NotRun,
-    /// It ran and failed.
+    /// The request ran and failed.
     #[display("failed")]
     Failed,
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
-    /// The caller went away.
+    /// The caller disconnected before the answer.
     #[display("abandoned")]
     Abandoned,
-    /// A stop cut it off.
+    /// The daemon's stop timeout expired first.
     #[display("cut")]
     Cut,
 }
@@ -42,15 +42,15 @@
 /// Labels of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Request {
-    /// The route; empty where it was refused before one was known.
+    /// The route; empty if the request was refused before its route was determined.
     pub route: RouteId,
-    /// The caller's class; empty where it was refused before the caller was known.
+    /// The caller's class; empty if the request was refused before the caller was identified.
     pub class: ClassLabel,
-    /// How it ended.
-    pub outcome: RequestOutcome,
+    /// The outcome.
+    pub outcome: OutcomeLabel,
 }
 
-/// A caller's class, or none.
+/// A caller's class, displayed as an empty text if unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClassLabel(pub Option<Class>);
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Label of what is kept by route.
+/// Label of metrics by route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByRoute {
     /// The route.
@@ -75,16 +75,16 @@
 /// Why an attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum AttemptKind {
-    /// For the first time.
+    /// The first attempt for its keys.
     #[display("first")]
     First,
-    /// Beside a straggler.
+    /// Sent in parallel with a slow attempt.
     #[display("hedge")]
     Hedge,
-    /// After a failure.
+    /// Sent after a failed attempt.
     #[display("retry")]
     Retry,
-    /// For keys that an attempt did not leave for, or that its reply did not cover.
+    /// For keys that an earlier attempt was not sent for or that its reply did not cover.
     #[display("rest")]
     Rest,
 }
@@ -94,29 +94,29 @@
 pub struct Attempt {
     /// The route.
     pub route: RouteId,
-    /// Why it was sent.
+    /// Why the attempt was sent.
     pub kind: AttemptKind,
 }
 
 /// Labels of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Refusal {
-    /// The route; empty where it was refused before one was known.
+    /// The route; empty if the request was refused before its route was determined.
     pub route: RouteId,
-    /// The caller's class; empty where it was refused before the caller was known.
+    /// The caller's class; empty if the request was refused before the caller was identified.
     pub class: ClassLabel,
-    /// Why it was refused: the last part of the problem's type.
+    /// The reason: the last segment of the problem's type.
     pub reason: &'static str,
 }
 
-/// Label of a search that was handed to another host.
+/// Label of a search that was delegated to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Delegation {
-    /// How that ended.
+    /// Outcome of the delegation.
     pub outcome: &'static str,
 }
 
-/// Labels of what is measured by route and class.
+/// Labels of metrics by route and class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByClass {
     /// The route.
@@ -130,7 +130,7 @@
 pub struct FailedAttempt {
     /// The route.
     pub route: RouteId,
-    /// Why it failed.
+    /// Why the attempt failed.
     pub reason: &'static str,
 }
 
@@ -139,7 +139,7 @@
 pub struct Hedge {
     /// The route.
     pub route: RouteId,
-    /// `won` or `lost`.
+    /// `won` if the hedge's reply was used, else `lost`.
     pub result: &'static str,
 }
 
@@ -148,50 +148,50 @@
 pub struct Discard {
     /// The route.
     pub route: RouteId,
-    /// Why it was not merged.
+    /// Why the reply was not merged.
     pub reason: &'static str,
 }
 
-/// Labels of what was found of backend servers.
+/// Labels of a status change of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServerEvent {
     /// The route.
     pub route: RouteId,
-    /// `leaving`, `unreachable` or `back_off`.
+    /// `leaving`, `unreachable`, `back_off` or `unopened`.
     pub event: &'static str,
 }
 
-/// Label of requests passed on.
+/// Label of requests forwarded to other daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Forward {
-    /// `answered`, `declined` or `lost`.
+    /// Result of the forwarded request: `answered`, `declined` or `lost`.
     pub result: &'static str,
 }
 
-/// Label of decisions on keys.
+/// Label of the ledger's decisions on idempotency keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KeyDecision {
-    /// The decision.
+    /// The decision, such as `run`.
     pub decision: &'static str,
 }
 
-/// Label of decisions on documents.
+/// Label of received configuration documents.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ConfigurationEvent {
-    /// `adopted`, `rejected`, `stale` or `conflict`.
+    /// What was decided: `adopted`, `rejected`, `stale` or `conflict`.
     pub event: &'static str,
 }
 
-/// Labels of facts.
+/// Labels of new facts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Fact {
-    /// What they are about.
+    /// `leaving` or `crashing_request`.
     pub kind: &'static str,
-    /// `learned` or `heard`.
+    /// `learned` by this daemon or `heard` from another.
     pub source: &'static str,
 }
 
-/// Who is at the other end of a connection.
+/// The kind of peer at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum Side {
     /// A caller.
@@ -211,23 +211,23 @@
 /// Label of connections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Connection {
-    /// Who is at the other end.
+    /// The kind of peer.
     pub side: Side,
 }
 
-/// What a member is taken to be.
+/// State of a member, without its details.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers.
     #[display("alive")]
     Alive,
-    /// It may be dead.
+    /// The member may be dead.
     #[display("suspect")]
     Suspect,
-    /// It left gracefully.
+    /// The member left gracefully.
     #[display("left")]
     Left,
-    /// It is dead.
+    /// The member is dead.
     #[display("dead")]
     Dead,
 }
@@ -235,13 +235,12 @@
 /// Label of members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Member {
-    /// What they are taken to be.
+    /// Their state.
     pub state: MemberState,
 }
 
-/// Writes label values as they are displayed; the library's derive would write the names of the
-/// variants.
-macro_rules! displayed {
+/// Encodes label values with their `Display` text; the library's derive would write variant names.
+macro_rules! encode_with_display {
     ($($value:ty),+) => {
         $(impl EncodeLabelValue for $value {
             fn encode(&self, encoder: &mut LabelValueEncoder<'_>) -> Result<(), fmt::Error> {
@@ -251,9 +250,9 @@
     };
 }
 
-displayed!(RequestOutcome, ClassLabel, AttemptKind, Side, MemberState);
+encode_with_display!(OutcomeLabel, ClassLabel, AttemptKind, Side, MemberState);
 
-/// Name of an outcome's reason.
+/// Returns the label value of an outcome's reason.
 pub(crate) fn reason(reason: Reason) -> &'static str {
     match reason {
         Reason::Deadline => "deadline",
--- a/crates/daemon/src/metrics/mod.rs
+++ b/crates/daemon/src/metrics/mod.rs
@@ -1,13 +1,12 @@
-//! What the daemon counts and measures of itself, in the form that Prometheus reads.
+//! Prometheus metrics of the daemon.
 //!
-//! Labels take their values from the configuration (routes) or from fixed sets, never from what a
-//! caller sends, so that no caller can make the registry grow. Routes come and go with the
-//! configuration, and a series stays until the process ends; so their number is bounded too
-//! ([`routes`]).
+//! Label values come from the configuration (routes) or from fixed sets, never from requests, so a
+//! caller can't add series to the registry. A series lives until the process ends, although routes
+//! come and go with the configuration; [`routes`] therefore limits the number of route labels.
 //!
-//! The parts follow the daemon's: [`front`] for what callers see, [`home`] for the work at backend
-//! servers, [`node`] for what is passed on and run at most once, [`control`] for members and
-//! configuration, `process` for the process.
+//! [`front`] covers requests of callers, [`home`] attempts at backend servers, [`node`] forwarded
+//! requests and idempotency keys, [`control`] members and configuration, and `process` the resource
+//! usage of the process.
 
 pub mod control;
 pub mod front;
@@ -29,24 +28,24 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// All that the daemon counts and measures.
+/// The registry and the metrics in it.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     names: Vec<String>,
-    /// What callers see.
+    /// Requests of callers.
     pub front: front::Front,
-    /// Work at backend servers.
+    /// Attempts at backend servers, by route.
     pub home: home::Home,
-    /// What is passed on, and what runs at most once.
+    /// Forwarded requests and idempotency keys.
     pub node: node::Node,
     /// Members, facts and configuration.
     pub control: control::Control,
-    /// Open connections.
+    /// Open connections, by the kind of peer.
     pub connections: Family<Connection, Gauge>,
-    /// Log lines that did not fit into the queue.
+    /// Log lines dropped because the queue was full.
     pub log_dropped: Counter,
-    /// Bytes between daemons.
+    /// Bytes sent to and received from other daemons.
     pub peer_bytes: Meter,
 }
 
@@ -88,30 +87,30 @@
 }
 
 impl Metrics {
-    /// Writes everything in the OpenMetrics text format. Of what has not been counted yet, there is
-    /// no line.
+    /// Returns all metrics in the OpenMetrics text format. A series appears once it has been updated.
     ///
     /// # Errors
     ///
-    /// Never in practice, as writing to a string does not fail; the library's signature has it.
+    /// Returns the error of a metric that can't be encoded, such as the CPU time of the process if
+    /// `getrusage` fails.
     pub fn text(&self) -> Result<String, fmt::Error> {
         let mut output = String::new();
         prometheus_client::encoding::text::encode(&mut output, &self.registry)?;
         Ok(output)
     }
 
-    /// Returns the names of all metrics, without the suffixes that their types add.
+    /// Returns the names of all metrics, without type suffixes such as `_total`.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// Returns the number of open connections with one side.
+    /// Returns the gauge of open connections to the given kind of peer.
     pub fn open_connections(&self, side: Side) -> Gauge {
         self.connections.get_or_create_owned(&Connection { side })
     }
 }
 
-/// Converts a count for a gauge.
+/// Converts a count to a gauge value, saturating at `i64::MAX`.
 pub(crate) fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/daemon/src/metrics/node.rs
+++ b/crates/daemon/src/metrics/node.rs
@@ -1,4 +1,4 @@
-//! What a daemon passes on to homes, and the keys of non-idempotent requests.
+//! Metrics of forwarded requests and of the ledger of idempotency keys.
 
 use super::gauge_value;
 use super::label::{Forward, KeyDecision};
@@ -7,12 +7,12 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// Metrics of a daemon among others.
+/// Metrics of forwarded requests and idempotency keys.
 #[derive(Debug, Default)]
 pub struct Node {
     hops: Family<Forward, Counter>,
     decided: Family<KeyDecision, Counter>,
-    /// Keys issued by this daemon.
+    /// Idempotency keys issued by this daemon.
     pub keys_issued: Counter,
     kept: Gauge,
     running: Gauge,
@@ -45,17 +45,17 @@
         node
     }
 
-    /// Counts a request that was passed on: `answered`, `declined` or `lost`.
+    /// Records a request forwarded to another daemon: `answered`, `declined` or `lost`.
     pub fn record_forward(&self, result: &'static str) {
         self.hops.get_or_create(&Forward { result }).inc();
     }
 
-    /// Counts a decision of the ledger.
+    /// Records a decision of the ledger.
     pub fn record_key_decision(&self, decision: &'static str) {
         self.decided.get_or_create(&KeyDecision { decision }).inc();
     }
 
-    /// Sets the size of the ledger.
+    /// Sets the number of keys in the ledger and of those whose request is running.
     pub fn set_keys(&self, kept: usize, running: usize) {
         self.kept.set(gauge_value(kept));
         self.running.set(gauge_value(running));
--- a/crates/daemon/src/metrics/process.rs
+++ b/crates/daemon/src/metrics/process.rs
@@ -1,4 +1,4 @@
-//! The process itself, read when the metrics are.
+//! Metrics that are read on each scrape: CPU time of the process, and traffic between daemons.
 
 use super::registrar::Registrar;
 use monsoonring_wire::meter::Meter;
@@ -17,7 +17,7 @@
     registrar.collect(&names, Box::new(PeerBytes(peer_bytes)));
 }
 
-/// Bytes between daemons, read when the metrics are.
+/// Collects the bytes sent to and received from other daemons.
 #[derive(Debug)]
 struct PeerBytes(Meter);
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Processor time of the process, read when the metrics are.
+/// Collects the user and system CPU time of the process.
 #[derive(Debug)]
 struct ProcessorTime;
 
--- a/crates/daemon/src/metrics/registrar.rs
+++ b/crates/daemon/src/metrics/registrar.rs
@@ -1,11 +1,11 @@
-//! Registers metrics and keeps their names, for the page that explains them.
+//! Registers metrics and records their names, so that a test can compare them with the docs.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::registry::{Metric, Registry, Unit};
 
 const PREFIX: &str = "monsoonring";
 
-/// A registry in the making.
+/// A builder for the registry and the list of metric names.
 pub(super) struct Registrar {
     registry: Registry,
     names: Vec<String>,
@@ -40,14 +40,14 @@
         self.registry.register_with_unit(name, help, unit, metric);
     }
 
-    /// Registers a collector, which writes metrics of these names.
+    /// Registers a collector that writes the named metrics.
     pub(super) fn collect(&mut self, names: &[&str], collector: Box<dyn Collector>) {
         let names = names.iter().map(|name| format!("{PREFIX}_{name}"));
         self.names.extend(names);
         self.registry.register_collector(collector);
     }
 
-    /// Returns the registry and the names in it.
+    /// Returns the registry and the names of its metrics.
     pub(super) fn finish(self) -> (Registry, Vec<String>) {
         (self.registry, self.names)
     }
--- a/crates/daemon/src/metrics/routes.rs
+++ b/crates/daemon/src/metrics/routes.rs
@@ -1,25 +1,24 @@
-//! The routes that have series of their own.
+//! Limits the number of routes that appear as label values.
 
 use monsoonring_configuration::id::RouteId;
 use std::collections::HashSet;
 use std::sync::{PoisonError, RwLock};
 
-/// Most routes with series of their own in the life of a process. With thousands of changes a day,
-/// some of which rename routes, the series would otherwise fill the memory of a process that lives
-/// long.
+/// Maximum number of distinct route labels during the life of a process. Series are never removed,
+/// so renamed routes would otherwise make memory use grow without bound.
 pub const MAX_ROUTES: usize = 1_024;
 
-/// Label of all further routes; no route can have this name.
+/// Label shared by all further routes; not a valid route name.
 pub const OTHERS: &str = "~others";
 
-/// The routes seen since the start.
+/// The routes that have their own label.
 #[derive(Debug, Default)]
 pub struct Routes {
     known: RwLock<HashSet<RouteId>>,
 }
 
 impl Routes {
-    /// Returns the label of a route: its name, or [`OTHERS`] where there are too many.
+    /// Returns the label of a route: its name, or [`OTHERS`] if the limit has been reached.
     pub fn label(&self, route: &RouteId) -> RouteId {
         let known = self.known.read().unwrap_or_else(PoisonError::into_inner);
         if known.contains(route) {
--- a/crates/daemon/src/settings/baseline.rs
+++ b/crates/daemon/src/settings/baseline.rs
@@ -1,14 +1,14 @@
-//! Simpler decisions in place of the daemon's own, for measurements.
+//! Baseline policies for experiments.
 
 use clap::Args;
 use monsoonring_decision::policy::Policy;
 use std::time::Duration;
 
-/// Decisions that are replaced by simpler ones. They are for measurements only: hidden from the
-/// help, and without environment variables, so that none is left on by accident.
+/// Simple policies that replace the daemon's own in experiments. The flags are hidden from the help
+/// and have no environment variables, so that none stays enabled in production by accident.
 #[derive(Clone, Debug, Default, Args)]
 pub struct Baseline {
-    /// Choose between replicas at random.
+    /// Choose replicas at random.
     #[arg(long, hide = true)]
     policy_random_replica: bool,
 
@@ -16,21 +16,21 @@
     #[arg(long, hide = true)]
     policy_ignore_load: bool,
 
-    /// Milliseconds after which an attempt is hedged, in place of a learned time.
+    /// Fixed hedging delay in milliseconds, in place of the learned one.
     #[arg(long, hide = true, value_name = "MS")]
     policy_hedge_after_ms: Option<u64>,
 
-    /// Admit every request.
+    /// Admit every request, without load shedding.
     #[arg(long, hide = true)]
     policy_admit_all: bool,
 
-    /// Number of homes of each route, at most the members.
+    /// Number of homes of each route, limited to the number of members.
     #[arg(long, hide = true, value_name = "NUMBER")]
     policy_homes: Option<usize>,
 }
 
 impl Baseline {
-    /// Returns what homes decide in another way.
+    /// Returns the policy that homes follow.
     pub fn policy(&self) -> Policy {
         Policy {
             random_replica: self.policy_random_replica,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the number of homes, where it is not placement's own.
+    /// Returns the number of homes of each route; `None` leaves it to placement.
     pub fn homes(&self) -> Option<usize> {
         self.policy_homes
     }
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,17 +1,17 @@
-//! Checks that concern more than the form of one setting.
+//! Validation beyond the syntax of each setting: ranges, and conflicts between settings.
 
 use super::error::{InvalidSnafu, Problem, Result};
 use super::{Limits, Settings};
 use snafu::ensure;
 use std::net::SocketAddr;
 
-/// The library that reads request heads takes no smaller buffer.
+/// Smallest buffer that hyper accepts for request heads.
 const MIN_HEADER_BYTES: usize = 8 * 1_024;
 
-/// Names of data centres travel in every exchange between daemons.
+/// Limits the size of gossip messages, each of which carries data centre names.
 const MAX_DATA_CENTRE_BYTES: usize = 64;
 
-/// Finds everything that is wrong, so that an operator needs one round and not one for each.
+/// Checks the settings and reports all problems together, so that an operator can fix them in one go.
 pub(super) fn check(settings: &Settings) -> Result<()> {
     let mut problems = Vec::new();
     addresses(settings, &mut problems);
@@ -30,11 +30,11 @@
         ("--peer-listen", settings.peer_listen),
     ];
     for (index, (flag, address)) in listeners.iter().enumerate() {
-        let earlier = listeners
+        let duplicate = listeners
             .iter()
             .take(index)
             .find(|(_, other)| address.port() != 0 && other == address);
-        if let Some((other, _)) = earlier {
+        if let Some((other, _)) = duplicate {
             problems.push(Problem::new(flag, format!("is the same as {other}")));
         }
     }
--- a/crates/daemon/src/settings/error.rs
+++ b/crates/daemon/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with the settings, in words that name flag and variable.
+//! Errors of the settings, which name the flag and the environment variable.
 
 use super::Settings;
 use clap::CommandFactory;
@@ -7,20 +7,20 @@
 use snafu::Snafu;
 use std::error::Error as _;
 
-/// Why there are no settings.
+/// Why the settings could not be read.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Error {
-    /// Settings are missing or wrong.
+    /// Some settings are missing or invalid.
     #[snafu(display("wrong settings: {}", list(problems)))]
     Invalid {
-        /// What is wrong, at least one.
+        /// All problems found, at least one.
         problems: Vec<Problem>,
     },
-    /// Help or the version was asked for; the text belongs to standard output.
+    /// `--help` or `--version` was given; the text goes to standard output.
     #[snafu(display("{text}"))]
     Help {
-        /// The text asked for.
+        /// The help text or the version.
         text: String,
     },
 }
@@ -28,21 +28,21 @@
 /// Result of reading settings.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// One setting that is missing or wrong.
+/// A setting that is missing or invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{flag}{}: {detail}", variable.as_ref().map(|name| format!(" ({name})")).unwrap_or_default())]
 pub struct Problem {
     /// The flag, such as `--listen`.
     pub flag: String,
-    /// The environment variable, such as `MONSOONRING_LISTEN`; `None` for a flag that the daemon
-    /// does not have.
+    /// The environment variable, such as `MONSOONRING_LISTEN`; `None` if the flag is unknown or has
+    /// no variable.
     pub variable: Option<String>,
-    /// What is wrong with it.
+    /// Description of the problem, such as `is required`.
     pub detail: String,
 }
 
 impl Problem {
-    /// Describes what is wrong with the setting of this flag.
+    /// Creates a problem and looks up the environment variable of its flag.
     pub(crate) fn new(flag: &str, detail: impl Into<String>) -> Self {
         Self {
             flag: flag.to_owned(),
@@ -68,7 +68,7 @@
         .map(|variable| variable.to_string_lossy().into_owned())
 }
 
-/// Puts what the command line library found into the daemon's own words.
+/// Converts an error of clap.
 pub(super) fn parsed(source: &clap::Error) -> Error {
     if matches!(
         source.kind(),
@@ -89,7 +89,7 @@
     Error::Invalid { problems }
 }
 
-/// The flag in an argument such as `--listen <IP:PORT>`.
+/// Returns the flag of an argument such as `--listen <IP:PORT>`.
 fn flag(argument: &str) -> &str {
     argument.split([' ', '=']).next().unwrap_or(argument)
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// What is wrong with a value. The value of a key is left out, as the message goes to the log.
+/// Describes an invalid value. Omits the value of a key, because the message is logged.
 fn invalid(source: &clap::Error) -> String {
     let cause = match (source.source(), source.get(ContextKind::ValidValue)) {
         (Some(cause), _) => cause.to_string(),
--- a/crates/daemon/src/settings/limits.rs
+++ b/crates/daemon/src/settings/limits.rs
@@ -1,12 +1,13 @@
-//! Bounds on what callers can take of the process.
+//! Limits on the resources that clients can use.
 
 use clap::Args;
 use std::time::Duration;
 
-/// Bounds on what callers can take of the process, slow and hostile ones included.
+/// Limits on connections, request sizes and times, which protect the daemon from slow or hostile
+/// clients.
 #[derive(Clone, Debug, Args)]
 pub struct Limits {
-    /// Connections of callers at the same time; one more is refused.
+    /// Maximum number of concurrent connections of callers; further ones are refused.
     #[arg(
         long,
         env = "MONSOONRING_MAX_CONNECTIONS",
@@ -15,7 +16,7 @@
     )]
     pub max_connections: usize,
 
-    /// Connections of other daemons at the same time; one more is closed.
+    /// Maximum number of concurrent connections of other daemons; further ones are closed.
     #[arg(
         long,
         env = "MONSOONRING_MAX_PEER_CONNECTIONS",
@@ -24,7 +25,7 @@
     )]
     pub max_peer_connections: usize,
 
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[arg(
         long,
         env = "MONSOONRING_MAX_HEADER_BYTES",
@@ -33,7 +34,7 @@
     )]
     pub max_header_bytes: usize,
 
-    /// Milliseconds from the first byte of a request head to its last.
+    /// Time limit for receiving a request head, in milliseconds from its first byte.
     #[arg(
         long,
         env = "MONSOONRING_HEADER_TIMEOUT_MS",
@@ -42,7 +43,7 @@
     )]
     pub header_timeout_ms: u64,
 
-    /// Milliseconds from the end of a request head to the end of its body.
+    /// Time limit for receiving a request body, in milliseconds from the end of the head.
     #[arg(
         long,
         env = "MONSOONRING_BODY_TIMEOUT_MS",
@@ -51,7 +52,7 @@
     )]
     pub body_timeout_ms: u64,
 
-    /// Milliseconds that a caller's connection may stay open without a request.
+    /// Time after which an idle connection of a caller is closed, in milliseconds.
     #[arg(
         long,
         env = "MONSOONRING_IDLE_TIMEOUT_MS",
@@ -60,7 +61,8 @@
     )]
     pub idle_timeout_ms: u64,
 
-    /// Milliseconds that a caller may leave an answer unread before its connection is closed.
+    /// Time after which a connection is closed if the caller does not read the answer, in
+    /// milliseconds.
     #[arg(
         long,
         env = "MONSOONRING_WRITE_TIMEOUT_MS",
@@ -71,22 +73,22 @@
 }
 
 impl Limits {
-    /// Returns the time that a request head may take.
+    /// Returns the time limit for receiving a request head.
     pub fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms)
     }
 
-    /// Returns the time that a request body may take.
+    /// Returns the time limit for receiving a request body.
     pub fn body_timeout(&self) -> Duration {
         Duration::from_millis(self.body_timeout_ms)
     }
 
-    /// Returns the time that a connection may stay open without a request.
+    /// Returns the time after which an idle connection is closed.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.idle_timeout_ms)
     }
 
-    /// Returns the time that an answer may stay unread.
+    /// Returns the time after which a connection with an unread answer is closed.
     pub fn write_timeout(&self) -> Duration {
         Duration::from_millis(self.write_timeout_ms)
     }
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,10 +1,9 @@
-//! Settings of the process, from flags and environment variables.
+//! Command-line flags and environment variables of the daemon.
 //!
-//! A setting says what this host alone can know: its addresses, its data centre, its keys and the
-//! limits that protect it. All that is the same on every host belongs into the configuration
-//! document. Each flag has an environment variable, `MONSOONRING_` and the flag's name; the flag
-//! wins. Settings are checked as a whole before anything starts, so that a wrong one ends the
-//! process at once and not in the middle of the first stop.
+//! Settings are specific to a host: its addresses, data centre, keys and resource limits. Everything
+//! that all hosts share belongs in the configuration document. Each flag has an environment variable,
+//! `MONSOONRING_` followed by the flag's name; the flag takes precedence. All settings are validated
+//! before the daemon starts.
 
 mod baseline;
 mod check;
@@ -22,30 +21,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Exit code of a process whose settings are wrong.
+/// Exit code of the process if the settings are invalid.
 pub const EXIT_CODE: u8 = 2;
 
 /// Query tier daemon.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "monsoonringd", version, about)]
 pub struct Settings {
-    /// Address on which callers are served.
+    /// Address to listen on for callers.
     #[arg(long, env = "MONSOONRING_LISTEN", value_name = "IP:PORT")]
     pub listen: SocketAddr,
 
-    /// Address on which operators are served.
+    /// Address to listen on for operators.
     #[arg(long, env = "MONSOONRING_OPERATOR_LISTEN", value_name = "IP:PORT")]
     pub operator_listen: SocketAddr,
 
-    /// Address on which other daemons are served.
+    /// Address to listen on for other daemons.
     #[arg(long, env = "MONSOONRING_PEER_LISTEN", value_name = "IP:PORT")]
     pub peer_listen: SocketAddr,
 
-    /// Address under which other daemons reach this one; the peer address if absent.
+    /// Address at which other daemons reach this one; defaults to the peer address.
     #[arg(long, env = "MONSOONRING_ADVERTISE", value_name = "IP:PORT")]
     pub advertise: Option<SocketAddr>,
 
-    /// Name of the data centre that this host is in.
+    /// Name of this host's data centre.
     #[arg(long, env = "MONSOONRING_DATA_CENTRE", value_name = "NAME")]
     pub data_centre: DataCentreId,
 
@@ -57,11 +56,11 @@
     )]
     pub configuration_service: SocketAddr,
 
-    /// Address of the host list.
+    /// Address of the host list service.
     #[arg(long, env = "MONSOONRING_HOST_LIST", value_name = "IP:PORT")]
     pub host_list: SocketAddr,
 
-    /// Peer addresses of daemons to try before the host list has answered.
+    /// Peer addresses of daemons to contact before the host list has been read.
     #[arg(
         long,
         env = "MONSOONRING_PEERS",
@@ -70,8 +69,8 @@
     )]
     pub peers: Vec<SocketAddr>,
 
-    /// Key between daemons, 64 hexadecimal digits; better given in the environment, since flags
-    /// are seen by everyone on the host.
+    /// Key shared by the daemons, 64 hexadecimal digits; prefer the environment variable, because
+    /// other users of the host can see flags.
     #[arg(
         long,
         env = "MONSOONRING_KEY",
@@ -80,7 +79,7 @@
     )]
     pub key: Option<Key>,
 
-    /// A further key that is accepted, the next or the previous one, 64 hexadecimal digits.
+    /// Additional key to accept while keys are rotated, 64 hexadecimal digits.
     #[arg(
         long,
         env = "MONSOONRING_PREVIOUS_KEY",
@@ -89,7 +88,8 @@
     )]
     pub previous_key: Option<Key>,
 
-    /// Milliseconds between "not ready" and the end of accepting in a planned stop.
+    /// Time during a planned stop between reporting "not ready" and closing the listeners, in
+    /// milliseconds.
     #[arg(
         long,
         env = "MONSOONRING_DRAIN_WAIT_MS",
@@ -98,7 +98,7 @@
     )]
     pub drain_wait_ms: u64,
 
-    /// Milliseconds after which a planned stop cuts off what is still in flight.
+    /// Time after which a planned stop cancels the requests still in flight, in milliseconds.
     #[arg(
         long,
         env = "MONSOONRING_STOP_BOUND_MS",
@@ -107,15 +107,15 @@
     )]
     pub stop_bound_ms: u64,
 
-    /// Bounds on what callers can take of the process.
+    /// Limits on the resources that clients can use.
     #[command(flatten)]
     pub limits: Limits,
 
-    /// Decisions that are replaced for a measurement.
+    /// Baseline policies for experiments.
     #[command(flatten)]
     pub baseline: Baseline,
 
-    /// Form of the log lines.
+    /// Format of the log lines.
     #[arg(
         long,
         env = "MONSOONRING_LOG_FORMAT",
@@ -124,7 +124,7 @@
     )]
     pub log_format: LogFormat,
 
-    /// Least severe level that is logged.
+    /// Minimum severity of logged events.
     #[arg(
         long,
         env = "MONSOONRING_LOG_LEVEL",
@@ -133,41 +133,40 @@
     )]
     pub log_level: LogLevel,
 
-    /// Seed of the random choices, for tests; from the operating system if absent.
+    /// Seed of the random number generator, for tests; defaults to entropy of the operating system.
     #[arg(long, env = "MONSOONRING_SEED", value_name = "NUMBER")]
     pub seed: Option<u64>,
 }
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For a person at a terminal.
+    /// Human-readable text.
     Text,
 }
 
-/// Least severe level that is logged.
+/// Minimum severity of logged events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogLevel {
-    /// Something failed that should not.
+    /// Unexpected failures.
     Error,
-    /// Something failed that the daemon copes with.
+    /// Failures that the daemon recovers from.
     Warning,
-    /// Each request, each decision, starts and stops.
+    /// Each request and decision, and starts and stops of the daemon.
     Info,
-    /// Ends of connections and other detail.
+    /// Closed connections and other details.
     Debug,
 }
 
 impl Settings {
-    /// Reads the settings from the arguments, the first of which is the program's name, and the
-    /// environment, and checks them.
+    /// Reads and validates the settings from the environment and the arguments, the first of which is
+    /// the program's name.
     ///
     /// # Errors
     ///
-    /// Every setting that is missing or wrong, by flag and variable; or the text that was asked
-    /// for by `--help` or `--version`.
+    /// Returns all missing or invalid settings, or the text for `--help` or `--version`.
     pub fn read<I, T>(arguments: I) -> Result<Self>
     where
         I: IntoIterator<Item = T>,
@@ -178,17 +177,17 @@
         Ok(settings)
     }
 
-    /// Returns the address under which other daemons reach this one.
+    /// Returns the address at which other daemons reach this one.
     pub fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.peer_listen)
     }
 
-    /// Returns the time between "not ready" and the end of accepting.
+    /// Returns the time between reporting "not ready" and closing the listeners.
     pub fn drain_wait(&self) -> Duration {
         Duration::from_millis(self.drain_wait_ms)
     }
 
-    /// Returns the time that a planned stop takes at most.
+    /// Returns the time after which a planned stop cancels the requests still in flight.
     pub fn stop_timeout(&self) -> Duration {
         Duration::from_millis(self.stop_bound_ms)
     }
