--- a/crates/daemon/src/metrics/front.rs
+++ b/crates/daemon/src/metrics/front.rs
@@ -1,6 +1,6 @@
 //! Metrics of callers' requests: outcomes, latency, coverage and refusals.
 
-use super::label::{ByClass, ClassLabel, Delegation, Refusal, Request, OutcomeLabel};
+use super::label::{ByClass, ClassLabel, Delegation, OutcomeLabel, Refusal, Request};
 use super::registrar::Registrar;
 use super::routes::Routes;
 use monsoonring_configuration::document::Class;
--- a/crates/daemon/src/operator/console/draft.rs
+++ b/crates/daemon/src/operator/console/draft.rs
@@ -1,8 +1,7 @@
-//! The document that an operator is working on.
+//! The configuration document that an operator is editing.
 //!
-//! It travels in the form and may be anything that is JSON: a field that was filled in wrongly is
-//! kept as it was typed, so that its fault can be shown beside it. Only the check makes a document
-//! of it.
+//! A draft may be any JSON value. An invalid field keeps the text that was typed, so that the page can
+//! show the fault beside it. [`Draft::check`] converts a valid draft to a document.
 
 use super::form::Form;
 use super::pointer;
@@ -10,31 +9,31 @@
 use monsoonring_configuration::{Document, limit, schema};
 use serde_json::{Map, Number, Value, json};
 
-/// Largest draft taken, in bytes. A draft may be larger than a document may be, as long as it is
-/// shown as a fault and can be made smaller.
+/// Maximum size of a draft in bytes. A draft may exceed the size limit of a document, so that an
+/// operator can open one that is too large and shorten it.
 const MAX_BYTES: usize = 2 * limit::VALUE_BYTES;
 
-/// A document in the making.
+/// A document that is being edited.
 #[derive(Clone, Debug)]
 pub(super) struct Draft {
     value: Value,
 }
 
 impl Draft {
-    /// Starts from a document, or from an empty one.
-    pub(super) fn of(document: Option<&Document>) -> Self {
+    /// Creates a draft from a document, or an empty draft.
+    pub(super) fn new(document: Option<&Document>) -> Self {
         let value = document.and_then(|document| serde_json::to_value(document).ok());
         Self {
             value: value.unwrap_or_else(|| json!({ "callers": [], "routes": [] })),
         }
     }
 
-    /// Reads a draft from a form or from a text that an operator pasted.
+    /// Parses a draft from a form field, which holds the current draft or a pasted text.
     ///
     /// # Errors
     ///
-    /// Returns the faults of a text that is no JSON, or too long.
-    pub(super) fn read(text: &str) -> Result<Self, Vec<Fault>> {
+    /// Returns the faults of a text that is not JSON or is too long.
+    pub(super) fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let value = match text.len() <= MAX_BYTES {
             true => serde_json::from_str(text).ok(),
             false => None,
@@ -45,12 +44,12 @@
         }
     }
 
-    /// Returns the text that travels in the form.
+    /// Returns the draft as JSON, for the hidden form field.
     pub(super) fn text(&self) -> String {
         self.value.to_string()
     }
 
-    /// Checks the draft as a published document is checked.
+    /// Validates the draft in the same way as a published document.
     ///
     /// # Errors
     ///
@@ -59,7 +58,7 @@
         check::parse(self.text().as_bytes()).map_err(|error| error.faults)
     }
 
-    /// Returns the value at a place.
+    /// Returns the value at a JSON pointer.
     pub(super) fn at(&self, pointer: &str) -> Option<&Value> {
         self.value.pointer(pointer)
     }
@@ -68,28 +67,28 @@
         self.value.pointer_mut(pointer)
     }
 
-    /// Returns the items of a list; none where there is something else.
+    /// Returns the items of a list, or an empty slice if the value is not a list.
     pub(super) fn items(&self, pointer: &str) -> &[Value] {
         let value = self.at(pointer).and_then(Value::as_array);
         value.map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Returns the texts of the field `name` in all items of a list.
+    /// Returns the `name` fields of all items of a list.
     pub(super) fn names(&self, pointer: &str) -> Vec<&str> {
         let items = self.items(pointer).iter();
         items.filter_map(|item| item["name"].as_str()).collect()
     }
 
-    /// Takes over what a form says of the place, and leaves alone what it doesn't mention.
+    /// Applies the form's fields at and below a pointer; fields that the form lacks are unchanged.
     pub(super) fn apply(&mut self, pointer: &str, form: &Form) {
-        let part = pointer::schema(pointer);
-        if let (Some(part), Some(value)) = (part, self.value.pointer_mut(pointer)) {
-            fill(value, part, pointer, form);
+        let subschema = pointer::schema(pointer);
+        if let (Some(subschema), Some(value)) = (subschema, self.value.pointer_mut(pointer)) {
+            fill(value, subschema, pointer, form);
         }
     }
 }
 
-/// Returns the faults of a text that wasn't taken; never none.
+/// Returns the faults of a text; empty if it is a valid document.
 pub(super) fn faults(text: &str) -> Vec<Fault> {
     match check::parse(text.as_bytes()) {
         Ok(_) => Vec::new(),
@@ -97,13 +96,13 @@
     }
 }
 
-/// Fills a place in from a form.
-fn fill(value: &mut Value, part: &'static Value, pointer: &str, form: &Form) {
-    let whole = schema::resolve(part);
-    if let Some(fields) = whole.get("properties").and_then(Value::as_object) {
-        return fill_object(value, whole, fields, pointer, form);
+/// Updates a value from the form, following the schema.
+fn fill(value: &mut Value, subschema: &'static Value, pointer: &str, form: &Form) {
+    let resolved = schema::resolve(subschema);
+    if let Some(fields) = resolved.get("properties").and_then(Value::as_object) {
+        return fill_object(value, resolved, fields, pointer, form);
     }
-    match whole.get("items") {
+    match resolved.get("items") {
         Some(items) if schema::resolve(items).get("properties").is_some() => {
             let present = value.as_array_mut().into_iter().flatten().enumerate();
             for (index, item) in present {
@@ -122,7 +121,7 @@
         }
         None => {
             if let Some(text) = form.value(pointer) {
-                *value = scalar(whole, text);
+                *value = scalar(resolved, text);
             }
         }
     }
@@ -130,7 +129,7 @@
 
 fn fill_object(
     value: &mut Value,
-    whole: &'static Value,
+    resolved: &'static Value,
     fields: &'static Map<String, Value>,
     pointer: &str,
     form: &Form,
@@ -139,22 +138,22 @@
         Value::Object(object) => object,
         _ => Map::new(),
     };
-    for (name, part) in fields {
-        let place = pointer::child(pointer, name);
-        if !form.concerns(&place) {
+    for (name, subschema) in fields {
+        let child = pointer::child(pointer, name);
+        if !form.contains(&child) {
             continue;
         }
         let mut field = object.remove(name).unwrap_or_default();
-        fill(&mut field, part, &place, form);
-        if !is_absent(&field, is_required(whole, name)) {
+        fill(&mut field, subschema, &child, form);
+        if !is_absent(&field, is_required(resolved, name)) {
             object.insert(name.clone(), field);
         }
     }
     *value = Value::Object(object);
 }
 
-/// Tells whether a field that was left empty is absent from the document. A required object stays, so
-/// that each of its fields is shown as missing.
+/// Returns whether an empty field is left out of the document. A required object is kept, so that
+/// each of its fields is reported as missing.
 fn is_absent(field: &Value, required: bool) -> bool {
     match field {
         Value::Null => true,
@@ -163,18 +162,18 @@
     }
 }
 
-/// Tells whether an object must have a field.
-pub(super) fn is_required(whole: &Value, name: &str) -> bool {
-    let names = whole.get("required").and_then(Value::as_array);
+/// Returns whether the schema requires a field of an object.
+pub(super) fn is_required(resolved: &Value, name: &str) -> bool {
+    let names = resolved.get("required").and_then(Value::as_array);
     names.is_some_and(|names| names.iter().any(|found| found.as_str() == Some(name)))
 }
 
-/// Reads a number where the schema wants one; what can't be read stays as it was typed.
-fn scalar(whole: &Value, text: &str) -> Value {
+/// Parses a number if the schema requires one. Any other text, or an invalid number, stays a string.
+fn scalar(resolved: &Value, text: &str) -> Value {
     if text.is_empty() {
         return Value::Null;
     }
-    let kind = whole.get("type").and_then(Value::as_str);
+    let kind = resolved.get("type").and_then(Value::as_str);
     let number = match kind {
         Some("integer" | "number") => number(text),
         _ => None,
@@ -183,6 +182,6 @@
 }
 
 fn number(text: &str) -> Option<Number> {
-    let whole = text.parse::<u64>().ok().map(Number::from);
-    whole.or_else(|| Number::from_f64(text.parse().ok()?))
+    let integer = text.parse::<u64>().ok().map(Number::from);
+    integer.or_else(|| Number::from_f64(text.parse().ok()?))
 }
--- a/crates/daemon/src/operator/console/editor.rs
+++ b/crates/daemon/src/operator/console/editor.rs
@@ -1,35 +1,35 @@
-//! The page that edits one caller or one route.
+//! Renders the page that edits a caller or a route.
 
-use super::field::{Place, input, object, strings, unknown};
+use super::field::{Field, input, object, strings, unknown};
 use super::page::{MAX_ROWS, View, button, faults, hidden_rows, prose};
 use super::pointer;
 use maud::{Markup, html};
 use monsoonring_configuration::schema;
 use serde_json::Value;
 
-/// Shows the fields of a caller or a route.
+/// Renders the fields of a caller or a route.
 pub(super) fn show(view: &View<'_>, at: &str) -> Markup {
-    let Some(part) = pointer::schema(at) else {
+    let Some(subschema) = pointer::schema(at) else {
         return html! { p { "There is nothing to edit at this place." } };
     };
     let is_route = at.starts_with("/routes/");
     let name = view.draft.at(at).and_then(|value| value["name"].as_str());
-    let count = view.count(at);
+    let count = view.fault_count(at);
     html! {
         nav {
-            // The first button is the one that the enter key presses.
+            // The enter key submits the form with the first button.
             button.main name="do" value="check" { "Check" }
             button name="do" value="open:" { "Back to the overview" }
         }
         h2 { @if is_route { "Route " } @else { "Caller " } (name.unwrap_or("without a name")) }
-        p.help { (prose(&schema::description(part))) }
+        p.help { (prose(&schema::description(subschema))) }
         @match count {
             0 => p.verdict { "No faults here." },
             1 => p.verdict.bad { "One fault, beside its field." },
             count => p.verdict.bad { (count) " faults, each beside its field." },
         }
-        (faults(view.at(at)))
-        (object(view, at, part))
+        (faults(view.faults_at(at)))
+        (object(view, at, subschema))
         @if is_route { (groups(view, &pointer::child(at, "groups"))) }
         nav {
             button.main name="do" value="check" { "Check" }
@@ -40,11 +40,11 @@
 
 fn groups(view: &View<'_>, at: &str) -> Markup {
     let groups = view.draft.items(at).len();
-    let part = pointer::schema(at).unwrap_or(&Value::Null);
+    let subschema = pointer::schema(at).unwrap_or(&Value::Null);
     html! {
         h2 { "Groups" }
-        p.help { (prose(&schema::description(part))) " One address on each line." }
-        (faults(view.at(at)))
+        p.help { (prose(&schema::description(subschema))) " One address on each line." }
+        (faults(view.faults_at(at)))
         table {
             thead { tr {
                 th { "name" } th { "first key" } th { "key after the last" } th { "weight" }
@@ -62,21 +62,21 @@
 fn group(view: &View<'_>, at: &str) -> Markup {
     let keys = pointer::child(at, "keys");
     let cell = |parent: &str, name: &'static str| {
-        let place = pointer::child(parent, name);
-        let part = pointer::schema(&place).unwrap_or(&Value::Null);
-        let place = Place {
+        let target = pointer::child(parent, name);
+        let subschema = pointer::schema(&target).unwrap_or(&Value::Null);
+        let field = Field {
             view,
-            pointer: place,
+            pointer: target,
             name,
-            part,
+            subschema,
             required: true,
         };
-        match part.get("items") {
-            Some(_) => strings(&place),
-            None => input(&place, schema::resolve(part)),
+        match subschema.get("items") {
+            Some(_) => strings(&field),
+            None => input(&field, schema::resolve(subschema)),
         }
     };
-    let whole = pointer::schema(at)
+    let resolved = pointer::schema(at)
         .map(schema::resolve)
         .unwrap_or(&Value::Null);
     html! {
@@ -88,11 +88,11 @@
             td { (cell(at, "backend_servers")) }
             td { (button("remove", at, "remove")) }
         }
-        @if view.count(at) > 0 {
+        @if view.fault_count(at) > 0 {
             tr {
                 td colspan="6" {
                     (group_faults(view, at))
-                    @for (name, _) in unknown(view, at, whole) {
+                    @for (name, _) in unknown(view, at, resolved) {
                         (button("remove", &pointer::child(at, name), &format!("remove {name}")))
                     }
                 }
@@ -101,16 +101,16 @@
     }
 }
 
-/// The faults of a group with the fields that they are of: its cells are too narrow for them.
+/// Renders the faults of a group with their field names; the cells of its row are too narrow for them.
 fn group_faults(view: &View<'_>, at: &str) -> Markup {
     let depth = at.split('/').count() - 1;
     html! {
-        (faults(view.at(at)))
-        @for fault in view.below(at).take(super::page::MAX_SHOWN) {
+        (faults(view.faults_at(at)))
+        @for fault in view.faults_below(at).take(super::page::MAX_SHOWN) {
             @let steps = fault.path.steps().iter().skip(depth);
-            @let field: Vec<String> = steps.map(ToString::to_string).collect();
+            @let path: Vec<String> = steps.map(ToString::to_string).collect();
             p.fault {
-                code { (field.join(".").replace(".[", "[")) } ": "
+                code { (path.join(".").replace(".[", "[")) } ": "
                 (fault.wrong) "; right would be: " (fault.right)
             }
         }
--- a/crates/daemon/src/operator/console/field.rs
+++ b/crates/daemon/src/operator/console/field.rs
@@ -1,4 +1,4 @@
-//! One field of the document as a row of a form, as the schema describes it.
+//! Renders fields of the document as form rows, following the schema.
 
 use super::draft::is_required;
 use super::page::{View, button, faults, prose};
@@ -7,8 +7,8 @@
 use monsoonring_configuration::schema;
 use serde_json::{Map, Value};
 
-/// Fields in the order in which an operator thinks of them; others follow.
-const ORDER: [&str; 22] = [
+/// Display order of the fields; fields that are not listed follow in alphabetical order.
+const FIELD_ORDER: [&str; 22] = [
     "name",
     "kind",
     "class",
@@ -33,50 +33,50 @@
     "end",
 ];
 
-/// Most characters of a value of no known kind that are repeated.
-const EXCERPT: usize = 80;
+/// Maximum number of characters shown of a value that has no input of its own.
+const MAX_EXCERPT_LEN: usize = 80;
 
-/// One place of the document, with its part of the schema.
-pub(super) struct Place<'a> {
+/// A field of the document and its schema.
+pub(super) struct Field<'a> {
     pub(super) view: &'a View<'a>,
     pub(super) pointer: String,
     pub(super) name: &'a str,
-    pub(super) part: &'static Value,
+    pub(super) subschema: &'static Value,
     pub(super) required: bool,
 }
 
-/// Shows all fields of an object, and below them the fields that it should not have.
-pub(super) fn object(view: &View<'_>, at: &str, whole: &'static Value) -> Markup {
-    let whole = schema::resolve(whole);
-    let fields = properties(whole);
+/// Renders all fields of an object, followed by those that the schema doesn't have.
+pub(super) fn object(view: &View<'_>, at: &str, resolved: &'static Value) -> Markup {
+    let resolved = schema::resolve(resolved);
+    let fields = properties(resolved);
     html! {
-        @for (name, part) in &fields {
-            (show(&Place {
+        @for (name, subschema) in &fields {
+            (field(&Field {
                 view,
                 pointer: pointer::child(at, name),
                 name,
-                part,
-                required: is_required(whole, name),
+                subschema,
+                required: is_required(resolved, name),
             }))
         }
-        @for (name, value) in unknown(view, at, whole) {
-            @let place = pointer::child(at, name);
+        @for (name, value) in unknown(view, at, resolved) {
+            @let pointer = pointer::child(at, name);
             div.field {
                 span.label { (name) }
                 code { (excerpt(value)) }
-                (button("remove", &place, "remove"))
-                (faults(view.at(&place)))
+                (button("remove", &pointer, "remove"))
+                (faults(view.faults_at(&pointer)))
             }
         }
     }
 }
 
-fn properties(whole: &'static Value) -> Vec<(&'static String, &'static Value)> {
-    let fields = whole.get("properties").and_then(Value::as_object);
+fn properties(resolved: &'static Value) -> Vec<(&'static String, &'static Value)> {
+    let fields = resolved.get("properties").and_then(Value::as_object);
     let mut fields: Vec<_> = fields.into_iter().flatten().collect();
-    let rank = |name: &str| ORDER.iter().position(|known| *known == name);
-    fields.sort_by_key(|(name, _)| (rank(name).unwrap_or(ORDER.len()), *name));
-    // The keys and the groups that tile them belong together, at the end.
+    let rank = |name: &str| FIELD_ORDER.iter().position(|known| *known == name);
+    fields.sort_by_key(|(name, _)| (rank(name).unwrap_or(FIELD_ORDER.len()), *name));
+    // The key range and the groups that divide it come last, next to each other.
     fields.sort_by_key(|(name, _)| ["keys", "groups"].contains(&name.as_str()));
     fields
 }
@@ -85,97 +85,97 @@
 pub(super) fn unknown<'a>(
     view: &'a View<'_>,
     at: &str,
-    whole: &'static Value,
+    resolved: &'static Value,
 ) -> Vec<(&'a String, &'a Value)> {
-    let known = whole.get("properties").and_then(Value::as_object);
+    let known = resolved.get("properties").and_then(Value::as_object);
     let is_known = |name: &str| known.is_some_and(|known| known.contains_key(name));
     let found = view.draft.at(at).and_then(Value::as_object);
     let found = found.into_iter().flatten();
     found.filter(|(name, _)| !is_known(name)).collect()
 }
 
-fn show(place: &Place<'_>) -> Markup {
-    let whole = schema::resolve(place.part);
-    if whole.get("properties").is_some() {
-        return inner_object(place, whole);
+fn field(field: &Field<'_>) -> Markup {
+    let resolved = schema::resolve(field.subschema);
+    if resolved.get("properties").is_some() {
+        return inner_object(field, resolved);
     }
-    if let Some(items) = whole.get("items") {
-        // Lists of objects have a table of their own.
+    if let Some(items) = resolved.get("items") {
+        // The page of the route renders lists of objects as tables.
         let is_table = schema::resolve(items).get("properties").is_some();
         return if is_table {
             html! {}
         } else {
-            row(place, &strings(place))
+            row(field, &strings(field))
         };
     }
-    row(place, &input(place, whole))
+    row(field, &input(field, resolved))
 }
 
-fn inner_object(place: &Place<'_>, whole: &'static Value) -> Markup {
-    let view = place.view;
+fn inner_object(field: &Field<'_>, resolved: &'static Value) -> Markup {
+    let view = field.view;
     html! {
         fieldset {
-            legend { (place.name) }
+            legend { (field.name) }
             p.help {
-                (prose(&schema::description(place.part)))
-                @if !place.required { " Leave all of it empty for " (default(place.part)) "." }
+                (prose(&schema::description(field.subschema)))
+                @if !field.required { " Leave all of it empty for " (default(field.subschema)) "." }
             }
-            (faults(view.at(&place.pointer)))
-            (object(view, &place.pointer, whole))
+            (faults(view.faults_at(&field.pointer)))
+            (object(view, &field.pointer, resolved))
         }
     }
 }
 
-fn default(part: &Value) -> String {
-    match part.get("default") {
+fn default(subschema: &Value) -> String {
+    match subschema.get("default") {
         Some(value) => format!("the default, {}", schema::shown(value)),
         None => "none".to_owned(),
     }
 }
 
-fn row(place: &Place<'_>, input: &Markup) -> Markup {
-    let unit = place.part.get("x-unit").and_then(Value::as_str);
-    let bounds = schema::bounds(place.part);
+fn row(field: &Field<'_>, input: &Markup) -> Markup {
+    let unit = field.subschema.get("x-unit").and_then(Value::as_str);
+    let bounds = schema::bounds(field.subschema);
     html! {
         div.field {
-            label for=(place.pointer) { (place.name) @if !place.required { " (optional)" } }
+            label for=(field.pointer) { (field.name) @if !field.required { " (optional)" } }
             div { (input) @if let Some(unit) = unit { " " span.unit { (unit) } } }
             span.help {
-                (prose(&schema::description(place.part)))
-                @if !bounds.is_empty() { " " (prose(&capital(&bounds))) "." }
+                (prose(&schema::description(field.subschema)))
+                @if !bounds.is_empty() { " " (prose(&capitalize(&bounds))) "." }
             }
-            (faults(place.view.at(&place.pointer)))
-            (faults(place.view.below(&place.pointer)))
+            (faults(field.view.faults_at(&field.pointer)))
+            (faults(field.view.faults_below(&field.pointer)))
         }
     }
 }
 
-fn capital(text: &str) -> String {
+fn capitalize(text: &str) -> String {
     let mut characters = text.chars();
     let first = characters.next().map(|first| first.to_ascii_uppercase());
     first.into_iter().chain(characters).collect()
 }
 
-/// Shows what a single value is typed into.
-pub(super) fn input(place: &Place<'_>, whole: &'static Value) -> Markup {
-    let value = place.view.draft.at(&place.pointer);
+/// Renders the input of a single value.
+pub(super) fn input(field: &Field<'_>, resolved: &'static Value) -> Markup {
+    let value = field.view.draft.at(&field.pointer);
     let text = value.map(text_of).unwrap_or_default();
-    let variants: Vec<_> = schema::variants(whole).collect();
-    let wrong = !place.view.at(&place.pointer).is_empty();
-    let class = wrong.then_some("wrong");
+    let variants: Vec<_> = schema::variants(resolved).collect();
+    let is_invalid = !field.view.faults_at(&field.pointer).is_empty();
+    let class = is_invalid.then_some("wrong");
     if !variants.is_empty() {
-        return choice(place, &text, &variants, class);
+        return select(field, &text, &variants, class);
     }
-    let default = place.part.get("default").map(schema::shown);
+    let default = field.subschema.get("default").map(schema::shown);
     html! {
-        input type="text" id=(place.pointer) name=(place.pointer) value=(text) class=[class]
+        input type="text" id=(field.pointer) name=(field.pointer) value=(text) class=[class]
             placeholder=[default] spellcheck="false" autocomplete="off"
-            aria-label=(place.name);
+            aria-label=(field.name);
     }
 }
 
-fn choice(
-    place: &Place<'_>,
+fn select(
+    field: &Field<'_>,
     chosen: &str,
     variants: &[(&'static Value, &'static str)],
     class: Option<&str>,
@@ -184,7 +184,7 @@
         .iter()
         .any(|(value, _)| value.as_str() == Some(chosen));
     html! {
-        select id=(place.pointer) name=(place.pointer) class=[class] {
+        select id=(field.pointer) name=(field.pointer) class=[class] {
             @if !known { option value=(chosen) selected { (chosen) } }
             @for (value, meaning) in variants {
                 @let name = value.as_str().unwrap_or_default();
@@ -194,44 +194,45 @@
     }
 }
 
-/// Shows a list of texts: names of callers as choices among those that there are, others as lines.
-pub(super) fn strings(place: &Place<'_>) -> Markup {
-    let items = place.view.draft.items(&place.pointer).iter();
+/// Renders a list of strings: callers as check boxes, other lists as one string per line.
+pub(super) fn strings(field: &Field<'_>) -> Markup {
+    let items = field.view.draft.items(&field.pointer).iter();
     let items: Vec<String> = items.map(text_of).collect();
-    if place.name == "callers" {
-        return callers(place, &items);
+    if field.name == "callers" {
+        return callers(field, &items);
     }
     let rows = items.len().clamp(3, 12);
-    let wrong = place.view.count(&place.pointer) > 0;
+    let is_invalid = field.view.fault_count(&field.pointer) > 0;
     html! {
-        textarea id=(place.pointer) name=(place.pointer) rows=(rows) spellcheck="false"
-            class=[wrong.then_some("wrong")] aria-label=(place.name) {
+        textarea id=(field.pointer) name=(field.pointer) rows=(rows) spellcheck="false"
+            class=[is_invalid.then_some("wrong")] aria-label=(field.name) {
             "\n" (items.join("\n"))
         }
     }
 }
 
-fn callers(place: &Place<'_>, chosen: &[String]) -> Markup {
-    let known = place.view.draft.names("/callers");
-    let strange = chosen.iter().filter(|name| !known.contains(&name.as_str()));
-    let strange: Vec<&str> = strange.map(String::as_str).collect();
+fn callers(field: &Field<'_>, chosen: &[String]) -> Markup {
+    let known = field.view.draft.names("/callers");
+    let undeclared = chosen.iter().filter(|name| !known.contains(&name.as_str()));
+    let undeclared: Vec<&str> = undeclared.map(String::as_str).collect();
     html! {
-        // Sent also where no box is ticked: the list is then empty, and not left as it was.
-        input type="hidden" name=(place.pointer) value="";
-        span.choices id=(place.pointer) {
-            @for name in known.iter().chain(&strange) {
+        // Ensures that the form has the field if no box is ticked, so that the list becomes empty
+        // rather than unchanged.
+        input type="hidden" name=(field.pointer) value="";
+        span.choices id=(field.pointer) {
+            @for name in known.iter().chain(&undeclared) {
                 label {
-                    input type="checkbox" name=(place.pointer) value=(name)
+                    input type="checkbox" name=(field.pointer) value=(name)
                         checked[chosen.iter().any(|chosen| chosen == name)];
                     " " (name)
                 }
             }
-            @if known.is_empty() && strange.is_empty() { "There are no callers yet." }
+            @if known.is_empty() && undeclared.is_empty() { "There are no callers yet." }
         }
     }
 }
 
-/// Returns a value as it is typed.
+/// Returns the text of a value in an input.
 pub(super) fn text_of(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -247,5 +248,5 @@
         Value::Object(fields) if *fields == empty => "{}".to_owned(),
         other => other.to_string(),
     };
-    text.chars().take(EXCERPT).collect()
+    text.chars().take(MAX_EXCERPT_LEN).collect()
 }
--- a/crates/daemon/src/operator/console/form.rs
+++ b/crates/daemon/src/operator/console/form.rs
@@ -1,20 +1,21 @@
-//! What a browser sends: fields by name, each with any number of values.
+//! A submitted form: fields by name, each with one or more values.
 
 use std::collections::BTreeMap;
 
-/// Most fields of one form; a route of the largest size needs five for each of its 4,096 groups.
+/// Maximum number of fields of a form. A route of the maximum size needs five for each of its 4,096
+/// groups.
 const MAX_FIELDS: usize = 50_000;
 
-/// A form that was sent.
+/// A submitted form.
 #[derive(Debug, Default)]
 pub(super) struct Form {
     fields: BTreeMap<String, Vec<String>>,
 }
 
 impl Form {
-    /// Reads a body of the type `application/x-www-form-urlencoded`; `None` where it has too many
-    /// fields. Bytes that aren't UTF-8 are replaced, so that every body can be read.
-    pub(super) fn read(body: &[u8]) -> Option<Self> {
+    /// Parses a body of the type `application/x-www-form-urlencoded`; returns `None` if it has too many
+    /// fields. Invalid UTF-8 is replaced, so no other error is possible.
+    pub(super) fn parse(body: &[u8]) -> Option<Self> {
         let mut fields: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (number, (name, value)) in form_urlencoded::parse(body).enumerate() {
             if number == MAX_FIELDS {
@@ -26,13 +27,13 @@
         Some(Self { fields })
     }
 
-    /// Returns the first value of a field, without the white space around it.
+    /// Returns the first value of a field, trimmed.
     pub(super) fn value(&self, name: &str) -> Option<&str> {
         let values = self.fields.get(name)?;
         values.first().map(|value| value.trim())
     }
 
-    /// Returns all lines of all values of a field, without empty ones.
+    /// Returns the non-empty lines of all values of a field, trimmed.
     pub(super) fn lines(&self, name: &str) -> Option<Vec<&str>> {
         let values = self.fields.get(name)?;
         let lines = values.iter().flat_map(|value| value.lines());
@@ -40,8 +41,8 @@
         Some(lines.collect())
     }
 
-    /// Tells whether a field of this name, or one below it, was sent.
-    pub(super) fn concerns(&self, name: &str) -> bool {
+    /// Returns whether the form has a field of this name, or one whose pointer is below it.
+    pub(super) fn contains(&self, name: &str) -> bool {
         let below = format!("{name}/");
         let first_below = self.fields.range(below.clone()..).next();
         self.fields.contains_key(name)
--- a/crates/daemon/src/operator/console/mod.rs
+++ b/crates/daemon/src/operator/console/mod.rs
@@ -1,12 +1,11 @@
-//! The console of forms, in which operators write the document.
+//! Web console in which operators edit the configuration document.
 //!
-//! The daemon keeps nothing of it: the draft travels in the form, from page to page, and ends as a
-//! file that the operator downloads and publishes. So any daemon can answer any step, a restart loses
-//! no work, and no page can change what is in force. The fields, their units and bounds come from the
-//! schema, and the faults from the check that the daemons run on a published document.
+//! The console is stateless: each page carries the draft in a hidden form field, and the operator
+//! downloads the result as a file and publishes it. Any daemon can therefore serve any step, a restart
+//! loses no work, and no page changes the configuration in force. Fields, units and bounds come from
+//! the schema; faults come from the same check that daemons run on a published document.
 //!
-//! Pages are plain HTML without scripts. Everything that isn't constant is escaped by the template
-//! library.
+//! Pages are plain HTML without scripts. The template library escapes all dynamic content.
 
 mod draft;
 mod edit;
@@ -31,20 +30,20 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// Largest form taken, in bytes: a draft of twice the size of a document, with half of its characters
-/// written as three.
+/// Maximum size of a form in bytes: a draft of up to twice the size of a document, half of whose
+/// characters are percent-encoded as three bytes.
 const MAX_FORM_BYTES: usize = 4 * limit::VALUE_BYTES;
 
-/// Pages made at the same time. A page of a large document takes some ten megabytes and up to a
-/// second of a core, which the queries need more; further operators wait.
-const PAGES: usize = 1;
+/// Maximum number of pages built at a time, which bounds the CPU time and memory that the console
+/// takes from queries. Further requests wait.
+const MAX_CONCURRENT_PAGES: usize = 1;
 
-/// Name of the file that is downloaded.
-const DOWNLOAD: &str = "attachment; filename=\"monsoonring.json\"";
+/// `Content-Disposition` header with the file name of the downloaded document.
+const CONTENT_DISPOSITION: &str = "attachment; filename=\"monsoonring.json\"";
 
-/// Nothing may be loaded or run, and forms go nowhere else: text in a draft that a template should
-/// fail to escape can't act.
-const POLICY: &str = "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; \
+/// `Content-Security-Policy` header. Forbids scripts, external resources and forms to other sites, in
+/// case a template fails to escape text of a draft.
+const SECURITY_POLICY: &str = "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; \
                       base-uri 'none'; frame-ancestors 'none'";
 
 const HTML_TYPE: &str = "text/html; charset=utf-8";
@@ -55,19 +54,19 @@
 /// Path of the console.
 pub(super) const PATH: &str = "/console";
 
-/// Path under which the document is downloaded.
+/// Path of the document download.
 pub(super) const DOCUMENT_PATH: &str = "/console/document";
 
-/// Why a form is not answered by a page.
-type Refused = (StatusCode, &'static str);
+/// Status and message of a rejected request.
+type Rejection = (StatusCode, &'static str);
 
-/// What a page answers with.
+/// Content of a successful response.
 enum Answer {
     Page(String),
     Document(String),
 }
 
-/// Answers the requests of the console.
+/// Handles the requests of the console.
 pub(super) struct Console {
     service: Arc<dyn Service>,
     body_timeout: Duration,
@@ -79,40 +78,42 @@
         Self {
             service,
             body_timeout,
-            pages: Semaphore::new(PAGES),
+            pages: Semaphore::new(MAX_CONCURRENT_PAGES),
         }
     }
 
-    /// Answers a request for one of the paths.
+    /// Handles a request for [`PATH`] or [`DOCUMENT_PATH`].
     pub(super) async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let answer = self.answer(request).await;
         match answer {
             Ok(Answer::Page(text)) => respond(StatusCode::OK, HTML_TYPE, text),
             Ok(Answer::Document(text)) => {
                 let mut response = respond(StatusCode::OK, JSON_TYPE, text);
-                let value = HeaderValue::from_static(DOWNLOAD);
+                let value = HeaderValue::from_static(CONTENT_DISPOSITION);
                 response
                     .headers_mut()
                     .insert(header::CONTENT_DISPOSITION, value);
                 response
             }
-            Err((status, why)) => respond(status, TEXT_TYPE, why.to_owned()),
+            Err((status, message)) => respond(status, TEXT_TYPE, message.to_owned()),
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Answer, Refused> {
+    async fn answer(&self, request: Request<Incoming>) -> Result<Answer, Rejection> {
         let is_download = request.uri().path() == DOCUMENT_PATH;
         let is_get = *request.method() == Method::GET;
         if is_get && is_download {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "the path takes POST"));
+            return Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                "only POST is allowed on this path",
+            ));
         }
-        // Held while the body is read too: else as many operators as there may be connections could
-        // fill the memory with forms.
-        let waiting = tokio::time::timeout(self.body_timeout, self.pages.acquire());
-        let Ok(Ok(_place)) = waiting.await else {
+        // Acquired before the body is read, so that at most one form at a time is held in memory.
+        let acquired = tokio::time::timeout(self.body_timeout, self.pages.acquire());
+        let Ok(Ok(_permit)) = acquired.await else {
             return Err((
                 StatusCode::SERVICE_UNAVAILABLE,
-                "others use the console; try again",
+                "the console is busy; try again",
             ));
         };
         let body = match is_get {
@@ -120,13 +121,13 @@
             false => Some(self.body(request).await?),
         };
         let base = self.base();
-        let working =
-            tokio::task::spawn_blocking(move || work(&base, body.as_deref(), is_download));
+        let task =
+            tokio::task::spawn_blocking(move || build_answer(&base, body.as_deref(), is_download));
         let failed = (
             StatusCode::INTERNAL_SERVER_ERROR,
-            "the page could not be made",
+            "the page could not be built",
         );
-        working.await.map_err(|_| failed)?
+        task.await.map_err(|_| failed)?
     }
 
     fn base(&self) -> Base {
@@ -138,27 +139,27 @@
         }
     }
 
-    async fn body(&self, request: Request<Incoming>) -> Result<Bytes, Refused> {
+    async fn body(&self, request: Request<Incoming>) -> Result<Bytes, Rejection> {
         check_origin(&request)?;
         let body = Limited::new(request.into_body(), MAX_FORM_BYTES).collect();
         match tokio::time::timeout(self.body_timeout, body).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(_)) => Err((
                 StatusCode::PAYLOAD_TOO_LARGE,
-                "the form is too large or broken",
+                "the form is too large or could not be read",
             )),
             Err(_) => Err((StatusCode::REQUEST_TIMEOUT, "the form took too long")),
         }
     }
 }
 
-/// Refuses what no form of the console sends. A page of another site could otherwise make an
-/// operator's browser show a draft that the operator never wrote, with the console's authority.
-fn check_origin(request: &Request<Incoming>) -> Result<(), Refused> {
+/// Rejects requests that don't come from a form of the console. Otherwise another site could make an
+/// operator's browser show a draft that the operator did not write.
+fn check_origin(request: &Request<Incoming>) -> Result<(), Rejection> {
     let headers = request.headers();
     let site = headers.get("sec-fetch-site");
     if site.is_some_and(|site| site == "cross-site") {
-        return Err((StatusCode::FORBIDDEN, "the form comes from another site"));
+        return Err((StatusCode::FORBIDDEN, "the form was sent from another site"));
     }
     let kind = headers.get(header::CONTENT_TYPE).map(HeaderValue::as_bytes);
     if kind.is_some_and(|kind| kind.starts_with(FORM_TYPE.as_bytes())) {
@@ -166,21 +167,21 @@
     }
     Err((
         StatusCode::UNSUPPORTED_MEDIA_TYPE,
-        "the path takes a form, application/x-www-form-urlencoded",
+        "the body must be a form, application/x-www-form-urlencoded",
     ))
 }
 
-/// What is in force here.
+/// The configuration in force at this daemon, which drafts are compared with.
 struct Base {
     revision: Option<u64>,
     document: Option<Document>,
     not_ready: Option<&'static str>,
 }
 
-/// Makes the answer to a form, or the first page.
-fn work(base: &Base, body: Option<&[u8]>, is_download: bool) -> Result<Answer, Refused> {
+/// Builds the response to a form, or the first page if there is no form.
+fn build_answer(base: &Base, body: Option<&[u8]>, is_download: bool) -> Result<Answer, Rejection> {
     let Some(body) = body else {
-        let draft = Draft::of(base.document.as_ref());
+        let draft = Draft::new(base.document.as_ref());
         return Ok(Answer::Page(page::show(
             &View::new(base, &draft, base.revision),
             "",
@@ -190,32 +191,32 @@
         StatusCode::PAYLOAD_TOO_LARGE,
         "the form has too many fields",
     );
-    let form = Form::read(body).ok_or(too_many)?;
+    let form = Form::parse(body).ok_or(too_many)?;
     let text = form.value("draft").unwrap_or_default();
-    let mut draft = match Draft::read(text) {
+    let mut draft = match Draft::parse(text) {
         Ok(draft) => draft,
         Err(faults) => return Ok(Answer::Page(page::unreadable(base, text, &faults))),
     };
-    let started = match form.value("revision") {
+    let initial_revision = match form.value("revision") {
         Some(revision) => revision.parse().ok(),
         None => base.revision,
     };
-    let place = edit::run(&mut draft, &form);
-    let mut view = View::new(base, &draft, started);
+    let pointer = edit::run(&mut draft, &form);
+    let mut view = View::new(base, &draft, initial_revision);
     if form.value("do") == Some("load") {
-        view.note_lost(draft::faults(text));
+        view.set_dropped_faults(draft::faults(text));
     }
     match (&view.checked, is_download) {
-        (Ok(document), true) => Ok(Answer::Document(file(document))),
-        _ => Ok(Answer::Page(page::show(&view, &place))),
+        (Ok(document), true) => Ok(Answer::Document(serialize(document))),
+        _ => Ok(Answer::Page(page::show(&view, &pointer))),
     }
 }
 
-/// Writes the document as it is published: on many lines, as long as it fits.
-fn file(document: &Document) -> String {
-    let spaced = serde_json::to_string_pretty(document).unwrap_or_default();
-    match spaced.len() <= limit::VALUE_BYTES {
-        true => spaced,
+/// Serializes the document for publication: pretty-printed unless that exceeds the size limit.
+fn serialize(document: &Document) -> String {
+    let pretty = serde_json::to_string_pretty(document).unwrap_or_default();
+    match pretty.len() <= limit::VALUE_BYTES {
+        true => pretty,
         false => serde_json::to_string(document).unwrap_or_default(),
     }
 }
@@ -226,7 +227,7 @@
     let headers: [(HeaderName, &'static str); 5] = [
         (header::CONTENT_TYPE, media_type),
         (header::CACHE_CONTROL, "no-store"),
-        (header::CONTENT_SECURITY_POLICY, POLICY),
+        (header::CONTENT_SECURITY_POLICY, SECURITY_POLICY),
         (header::X_CONTENT_TYPE_OPTIONS, "nosniff"),
         (header::REFERRER_POLICY, "no-referrer"),
     ];
--- a/crates/daemon/src/operator/console/overview.rs
+++ b/crates/daemon/src/operator/console/overview.rs
@@ -1,4 +1,4 @@
-//! The page of the whole document: callers, routes, faults, and what the change does.
+//! Renders the overview page: callers, routes, faults and the changes to the configuration in force.
 
 use super::page::{MAX_ROWS, MAX_SHOWN, View, button, faults, hidden_rows, list};
 use super::{DOCUMENT_PATH, pointer};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
-/// Shows the whole draft.
+/// Renders the overview of a draft.
 pub(super) fn show(view: &View<'_>) -> Markup {
     html! {
         (verdict(view))
@@ -19,7 +19,7 @@
         h2 { "Routes" }
         (routes(view))
         @match &view.checked {
-            Ok(document) => (change(view, document)),
+            Ok(document) => (changes(view, document)),
             Err(faults) => (all_faults(faults)),
         }
     }
@@ -45,21 +45,21 @@
 }
 
 fn notices(view: &View<'_>) -> Markup {
-    let moved = view.started != view.base.revision;
+    let is_outdated = view.initial_revision != view.base.revision;
     html! {
-        @if let (true, Some(now)) = (moved, view.base.revision) {
+        @if let (true, Some(now)) = (is_outdated, view.base.revision) {
             p.notice {
                 "Revision " (now) " has come into force since this draft was begun"
-                @if let Some(started) = view.started { " from revision " (started) }
+                @if let Some(initial_revision) = view.initial_revision { " from revision " (initial_revision) }
                 ". The comparison below is with revision " (now)
                 "; where it undoes what you have not changed, somebody else has."
             }
         }
-        @if !view.lost.is_empty() {
+        @if !view.dropped_faults.is_empty() {
             div.notice {
                 "The text that you pasted has faults that the draft has no more; of two fields with \
                  the same name it has kept the last."
-                (list(&view.lost))
+                (list(&view.dropped_faults))
             }
         }
     }
@@ -68,7 +68,7 @@
 fn callers(view: &View<'_>) -> Markup {
     let routes = routes_by_caller(view);
     html! {
-        (faults(view.at("/callers")))
+        (faults(view.faults_at("/callers")))
         table {
             thead { tr { th { "name" } th { "class" } th { "token" } th { "routes" } th {} } }
             tbody {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the names of the routes that each caller may use.
+/// Returns the names of the routes that each caller may use, at most [`MAX_SHOWN`] of them.
 fn routes_by_caller<'a>(view: &'a View<'_>) -> BTreeMap<&'a str, Vec<&'a str>> {
     let mut found: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for route in view.draft.items("/routes") {
@@ -113,7 +113,7 @@
 
 fn routes(view: &View<'_>) -> Markup {
     html! {
-        (faults(view.at("/routes")))
+        (faults(view.faults_at("/routes")))
         table {
             thead { tr {
                 th { "name" } th { "kind" } th { "callers" } th.number { "deadline" }
@@ -143,7 +143,7 @@
 }
 
 fn badge(view: &View<'_>, at: &str) -> Markup {
-    let count = view.count(at);
+    let count = view.fault_count(at);
     html! {
         @if count > 0 {
             span.fault { (count) @if count == 1 { " fault" } @else { " faults" } }
@@ -183,7 +183,7 @@
                     tr {
                         td { code { (fault.path) } }
                         td { (self::faults([fault])) }
-                        td { (mend(fault)) }
+                        td { (fix_button(fault)) }
                     }
                 }
             }
@@ -192,9 +192,9 @@
     }
 }
 
-/// Shows the button to the page of a fault. A field that no page has can only be removed.
-fn mend(fault: &Fault) -> Markup {
-    let at = pointer::of(&fault.path);
+/// Renders the button that opens the page of a fault, or removes a field that the schema doesn't have.
+fn fix_button(fault: &Fault) -> Markup {
+    let at = pointer::from_path(&fault.path);
     let page = pointer::page(&at);
     html! {
         @if !page.is_empty() {
@@ -205,7 +205,7 @@
     }
 }
 
-fn change(view: &View<'_>, document: &Document) -> Markup {
+fn changes(view: &View<'_>, document: &Document) -> Markup {
     let empty = Document::default();
     let old = view.base.document.as_ref().unwrap_or(&empty);
     let difference = difference::between(old, document);
--- a/crates/daemon/src/operator/console/page.rs
+++ b/crates/daemon/src/operator/console/page.rs
@@ -1,4 +1,4 @@
-//! What all pages have in common.
+//! Page layout and the elements shared by all pages.
 
 use super::draft::Draft;
 use super::{Base, PATH, editor, overview, pointer};
@@ -9,101 +9,102 @@
 
 const STYLE: &str = include_str!("style.css");
 
-/// Most faults shown beside one place or in one list; a broken file can have one for each of its
-/// bytes.
+/// Maximum number of entries shown in a list. A broken file can have as many faults as bytes.
 pub(super) const MAX_SHOWN: usize = 200;
 
-/// Most rows of a table: as many as a route may have groups. A document with more rows than that can
-/// be edited as a file and pasted.
+/// Maximum number of rows of a table, equal to the maximum number of groups of a route. A longer
+/// document can be edited as a file and pasted.
 pub(super) const MAX_ROWS: usize = limit::GROUPS;
 
-/// A draft as the pages show it.
+/// A draft and the result of its check.
 pub(super) struct View<'a> {
-    /// What is in force here.
+    /// The configuration in force at this daemon.
     pub(super) base: &'a Base,
-    /// The draft.
+    /// The draft to show.
     pub(super) draft: &'a Draft,
-    /// Revision that was in force when the draft was begun.
-    pub(super) started: Option<u64>,
-    /// The document that the draft makes, or its faults.
+    /// Revision that was in force when the draft was started.
+    pub(super) initial_revision: Option<u64>,
+    /// The valid document, or the faults of the draft.
     pub(super) checked: Result<Document, Vec<Fault>>,
-    /// Faults of a pasted text that the draft doesn't have any more.
-    pub(super) lost: Vec<Fault>,
-    /// The faults by the pointers to their places.
-    places: BTreeMap<String, Vec<Fault>>,
+    /// Faults of the pasted text that the draft no longer has, such as duplicate keys.
+    pub(super) dropped_faults: Vec<Fault>,
+    /// The faults of the draft by JSON pointer.
+    by_pointer: BTreeMap<String, Vec<Fault>>,
 }
 
 impl<'a> View<'a> {
-    /// Checks a draft.
-    pub(super) fn new(base: &'a Base, draft: &'a Draft, started: Option<u64>) -> Self {
+    /// Checks a draft and creates its view.
+    pub(super) fn new(base: &'a Base, draft: &'a Draft, initial_revision: Option<u64>) -> Self {
         let checked = draft.check();
-        let mut places: BTreeMap<String, Vec<Fault>> = BTreeMap::new();
+        let mut by_pointer: BTreeMap<String, Vec<Fault>> = BTreeMap::new();
         for fault in checked.as_ref().err().into_iter().flatten() {
-            let place = places.entry(pointer::of(&fault.path)).or_default();
-            place.push(fault.clone());
+            let entry = by_pointer
+                .entry(pointer::from_path(&fault.path))
+                .or_default();
+            entry.push(fault.clone());
         }
         Self {
             base,
             draft,
-            started,
+            initial_revision,
             checked,
-            lost: Vec::new(),
-            places,
+            dropped_faults: Vec::new(),
+            by_pointer,
         }
     }
 
-    /// Keeps the faults of the text that the draft was read from, where the draft has lost them: of
-    /// two equal keys it holds the last.
-    pub(super) fn note_lost(&mut self, faults: Vec<Fault>) {
+    /// Records the faults of the pasted text that parsing removed: of two equal keys, the draft holds
+    /// only the last.
+    pub(super) fn set_dropped_faults(&mut self, faults: Vec<Fault>) {
         let kept: BTreeSet<&Fault> = self.faults().iter().collect();
-        let lost = faults.into_iter().filter(|fault| !kept.contains(fault));
-        let lost = lost.take(MAX_SHOWN).collect();
-        self.lost = lost;
+        let dropped_faults = faults.into_iter().filter(|fault| !kept.contains(fault));
+        let dropped_faults = dropped_faults.take(MAX_SHOWN).collect();
+        self.dropped_faults = dropped_faults;
     }
 
-    /// Returns all faults.
+    /// Returns all faults of the draft.
     pub(super) fn faults(&self) -> &[Fault] {
         self.checked.as_ref().err().map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the faults at a place.
-    pub(super) fn at(&self, place: &str) -> &[Fault] {
-        self.places.get(place).map_or(&[], Vec::as_slice)
+    /// Returns the faults at a pointer.
+    pub(super) fn faults_at(&self, pointer: &str) -> &[Fault] {
+        self.by_pointer.get(pointer).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the faults below a place.
-    pub(super) fn below(&self, place: &str) -> impl Iterator<Item = &Fault> {
-        let prefix = format!("{place}/");
-        let from = self.places.range(prefix.clone()..);
-        let places = from.take_while(move |(found, _)| found.starts_with(&prefix));
-        places.flat_map(|(_, faults)| faults)
+    /// Returns the faults below a pointer.
+    pub(super) fn faults_below(&self, pointer: &str) -> impl Iterator<Item = &Fault> {
+        let prefix = format!("{pointer}/");
+        let from = self.by_pointer.range(prefix.clone()..);
+        let entries = from.take_while(move |(found, _)| found.starts_with(&prefix));
+        entries.flat_map(|(_, faults)| faults)
     }
 
-    /// Returns the number of faults at and below a place.
-    pub(super) fn count(&self, place: &str) -> usize {
-        self.at(place).len() + self.below(place).count()
+    /// Returns the number of faults at and below a pointer.
+    pub(super) fn fault_count(&self, pointer: &str) -> usize {
+        self.faults_at(pointer).len() + self.faults_below(pointer).count()
     }
 }
 
-/// Shows the page that edits a place, or the overview.
-pub(super) fn show(view: &View<'_>, place: &str) -> String {
-    let body = match place {
+/// Renders the page of a caller or route, or the overview if the pointer is empty.
+pub(super) fn show(view: &View<'_>, pointer: &str) -> String {
+    let body = match pointer {
         "" => overview::show(view),
-        place => editor::show(view, place),
+        pointer => editor::show(view, pointer),
     };
     let form = html! {
         form method="post" action=(PATH) novalidate {
             input type="hidden" name="draft" value=(view.draft.text());
-            input type="hidden" name="part" value=(place);
-            input type="hidden" name="revision" value=(revision(view.started));
+            input type="hidden" name="part" value=(pointer);
+            input type="hidden" name="revision" value=(revision(view.initial_revision));
             (body)
         }
-        @if place.is_empty() { (paste("")) }
+        @if pointer.is_empty() { (paste("")) }
     };
-    whole(view.base, &form)
+    layout(view.base, &form)
 }
 
-/// Shows why a text can't be a draft, with the text, so that it can be mended.
+/// Renders the faults of a text that can't be parsed, and the text in an input for correction.
 pub(super) fn unreadable(base: &Base, text: &str, faults: &[Fault]) -> String {
     let body = html! {
         h2 { "The text can't be read" }
@@ -111,7 +112,7 @@
         (paste(text))
         p { a href=(PATH) { "Start from the configuration in force" } }
     };
-    whole(base, &body)
+    layout(base, &body)
 }
 
 fn paste(text: &str) -> Markup {
@@ -121,7 +122,7 @@
             form method="post" action=(PATH) {
                 p { label for="paste" { "Paste a whole document; it takes the place of the draft above." } }
                 textarea id="paste" name="draft" rows="12" spellcheck="false" {
-                    // A browser drops the first line break of a text area.
+                    // Browsers ignore a line break at the start of a text area.
                     "\n" (text)
                 }
                 p { button name="do" value="load" { "Start from this text" } }
@@ -130,7 +131,7 @@
     }
 }
 
-fn whole(base: &Base, body: &Markup) -> String {
+fn layout(base: &Base, body: &Markup) -> String {
     html! {
         (DOCTYPE)
         html lang="en" {
@@ -148,9 +149,9 @@
                         None => span { "nothing is in force here yet" },
                     }
                 }
-                @if let Some(why) = base.not_ready {
+                @if let Some(reason) = base.not_ready {
                     p.notice {
-                        "This daemon is not ready (" (why) "): what it takes to be in force may be \
+                        "This daemon is not ready (" (reason) "): what it takes to be in force may be \
                          old. Compare with another daemon before you publish."
                     }
                 }
@@ -161,14 +162,14 @@
     .into_string()
 }
 
-/// Shows a revision as it travels in the form.
+/// Returns the value of the hidden form field for a revision; empty if there is none.
 fn revision(revision: Option<u64>) -> String {
     revision
         .map(|revision| revision.to_string())
         .unwrap_or_default()
 }
 
-/// Shows faults beside their field.
+/// Renders faults without their paths.
 pub(super) fn faults<'a>(faults: impl IntoIterator<Item = &'a Fault>) -> Markup {
     html! {
         @for fault in faults.into_iter().take(MAX_SHOWN) {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Shows faults with their paths.
+/// Renders faults with their paths.
 pub(super) fn list(faults: &[Fault]) -> Markup {
     html! {
         ul {
@@ -189,7 +190,7 @@
     }
 }
 
-/// Says how many rows a table lacks.
+/// Renders the number of rows that exceed [`MAX_ROWS`], if any.
 pub(super) fn hidden_rows(all: usize) -> Markup {
     html! {
         @if all > MAX_ROWS {
@@ -198,12 +199,12 @@
     }
 }
 
-/// Shows a button that does something to a place.
-pub(super) fn button(verb: &str, place: &str, text: &str) -> Markup {
-    html! { button.link name="do" value=(format!("{verb}:{place}")) { (text) } }
+/// Renders a button that applies a command to the value at a pointer.
+pub(super) fn button(verb: &str, pointer: &str, text: &str) -> Markup {
+    html! { button.link name="do" value=(format!("{verb}:{pointer}")) { (text) } }
 }
 
-/// Shows a description of the schema, with its code set as such.
+/// Renders a text in which backquotes mark code.
 pub(super) fn prose(text: &str) -> Markup {
     html! {
         @for (index, part) in text.split('`').enumerate() {
--- a/crates/daemon/src/operator/console/pointer.rs
+++ b/crates/daemon/src/operator/console/pointer.rs
@@ -1,4 +1,4 @@
-//! JSON pointers (RFC 6901), which name the fields of the forms.
+//! JSON pointers (RFC 6901), used as names of the form fields.
 
 use monsoonring_configuration::check::{Path, Step};
 use monsoonring_configuration::schema;
@@ -10,8 +10,8 @@
     format!("{parent}/{name}")
 }
 
-/// Returns the pointer to the place that a path names.
-pub(super) fn of(path: &Path) -> String {
+/// Converts a path to a pointer.
+pub(super) fn from_path(path: &Path) -> String {
     path.steps()
         .iter()
         .fold(String::new(), |parent, step| match step {
@@ -20,13 +20,13 @@
         })
 }
 
-/// Cuts the last segment off, and returns both parts; `None` for the whole document.
+/// Splits off the last segment and decodes it; returns `None` for the whole document.
 pub(super) fn split(pointer: &str) -> Option<(&str, String)> {
     let (parent, name) = pointer.rsplit_once('/')?;
     Some((parent, name.replace("~1", "/").replace("~0", "~")))
 }
 
-/// Returns the pointer of the page that edits the place: a caller, a route, or the overview.
+/// Returns the pointer of the caller or route whose page edits the value; empty for the overview.
 pub(super) fn page(pointer: &str) -> &str {
     let mut slashes = pointer.match_indices('/').map(|(at, _)| at);
     let is_list = ["/callers/", "/routes/"]
@@ -39,15 +39,15 @@
     }
 }
 
-/// Returns the part of the schema for a place of the document; `None` where there can't be one.
+/// Returns the subschema of the value at a pointer; `None` if the schema has no such value.
 pub(super) fn schema(pointer: &str) -> Option<&'static Value> {
-    let mut part = schema::value();
+    let mut subschema = schema::value();
     for name in pointer.split('/').skip(1) {
-        let whole = schema::resolve(part);
-        part = match whole.get("items") {
+        let resolved = schema::resolve(subschema);
+        subschema = match resolved.get("items") {
             Some(items) => items,
-            None => whole.get("properties")?.get(name)?,
+            None => resolved.get("properties")?.get(name)?,
         };
     }
-    Some(part)
+    Some(subschema)
 }
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The port of the operators.
+//! HTTP interface for operators: health, metrics, state, explanations and the console.
 
 mod console;
 mod query;
@@ -16,17 +16,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Path of the metrics.
+/// Path that serves the metrics.
 pub(crate) const METRICS_PATH: &str = "/metrics";
 
-/// Path of the state.
+/// Path that serves the daemon's state as JSON.
 pub(crate) const STATE_PATH: &str = "/state";
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const JSON_TYPE: &str = "application/json";
 const TEXT_TYPE: &str = "text/plain; charset=utf-8";
 
-/// The operators' side of the daemon.
+/// Handles the requests of operators.
 pub(crate) struct Front {
     service: Arc<dyn Service>,
     metrics: Arc<Metrics>,
@@ -40,7 +40,10 @@
             return self.console.handle(request).await;
         }
         if request.method() != Method::GET {
-            let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "the path takes GET");
+            let mut response = text(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "only GET is allowed on this path",
+            );
             let headers = response.headers_mut();
             headers.insert(ALLOW, HeaderValue::from_static("GET"));
             return response;
@@ -59,7 +62,7 @@
 }
 
 impl Front {
-    /// Makes the operators' side. A form's body may take `body_timeout`.
+    /// Creates the handler; `body_timeout` limits the time to receive a form of the console.
     pub(crate) fn new(
         service: Arc<dyn Service>,
         metrics: Arc<Metrics>,
@@ -83,23 +86,23 @@
     }
 }
 
-/// Writes the metrics.
+/// Returns a response with the metrics in the OpenMetrics text format.
 pub(crate) fn metrics(metrics: &Metrics) -> Response<Full<Bytes>> {
     match metrics.text() {
         Ok(output) => respond(StatusCode::OK, METRICS_TYPE, output),
         Err(_) => text(
             StatusCode::INTERNAL_SERVER_ERROR,
-            "the metrics cannot be written",
+            "the metrics could not be encoded",
         ),
     }
 }
 
-/// Writes JSON.
+/// Returns a JSON response.
 pub(crate) fn json(value: &serde_json::Value) -> Response<Full<Bytes>> {
     respond(StatusCode::OK, JSON_TYPE, value.to_string())
 }
 
-/// Writes a line of plain text.
+/// Returns a plain text response.
 pub(crate) fn text(status: StatusCode, body: &str) -> Response<Full<Bytes>> {
     respond(status, TEXT_TYPE, body.to_owned())
 }
--- a/crates/daemon/src/operator/render.rs
+++ b/crates/daemon/src/operator/render.rs
@@ -1,10 +1,10 @@
-//! Members and facts as operators see them.
+//! Renders members and facts as JSON for operators.
 
 use monsoonring_decision::fact;
 use monsoonring_decision::member::{Change, State};
 use serde_json::{Value, json};
 
-/// Describes a member.
+/// Renders a member.
 pub(crate) fn member(member: &Change) -> Value {
     let (state, successor) = match member.state {
         State::Alive => ("alive", None),
@@ -21,15 +21,15 @@
     })
 }
 
-/// Describes a fact.
+/// Renders a fact.
 pub(crate) fn fact(entry: &fact::Entry) -> Value {
-    let (what, of) = match &entry.key {
+    let (kind, subject) = match &entry.key {
         fact::Key::Leaving(server) => ("leaving backend server", server.to_string()),
         fact::Key::Suspect(fingerprint) => ("crashing request", format!("{fingerprint:016x}")),
     };
     json!({
-        "what": what,
-        "of": of,
+        "what": kind,
+        "of": subject,
         "version": entry.stamp.version,
         "life_ms": entry.life.as_millis(),
     })
--- a/crates/daemon/tests/console.rs
+++ b/crates/daemon/tests/console.rs
@@ -398,7 +398,7 @@
 
 #[test]
 fn console_form_of_any_kind_is_answered() {
-    // Symptom: an operator sees "the page could not be made", or nothing at all.
+    // Symptom: an operator sees "the page could not be built", or nothing at all.
     // Events: a form whose draft, fields and buttons don't fit together.
     // Cause: a panic on a place that isn't there, or that holds something else than expected.
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
