--- a/crates/daemon/src/metrics/front.rs
+++ b/crates/daemon/src/metrics/front.rs
@@ -28,7 +28,7 @@
     requests: Family<Request, Counter>,
     latency: Family<ByClass, Histogram>,
     coverage: Family<ByClass, Histogram>,
-    refused: Family<Refusal, Counter>,
+    refusals: Family<Refusal, Counter>,
     relays: Family<Delegation, Counter>,
     /// Callers' requests in flight.
     pub in_flight: Gauge,
@@ -43,7 +43,7 @@
             requests: Family::default(),
             latency: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS)),
             coverage: Family::new_with_constructor(|| Histogram::new(COVERAGE_BUCKETS)),
-            refused: Family::default(),
+            refusals: Family::default(),
             relays: Family::default(),
             in_flight: Gauge::default(),
             excess_connections: Counter::default(),
@@ -68,7 +68,7 @@
         registrar.add(
             "refusals",
             "Requests refused or failed, by route, class of the caller and reason",
-            front.refused.clone(),
+            front.refusals.clone(),
         );
         registrar.add(
             "relays",
@@ -94,7 +94,7 @@
         route: Option<&RouteId>,
         class: Option<Class>,
         outcome: OutcomeLabel,
-        took: Duration,
+        duration: Duration,
     ) {
         let label = Request {
             route: self.label(route),
@@ -105,7 +105,7 @@
         if let Some(label) = self.by_class(route, class) {
             self.latency
                 .get_or_create(&label)
-                .observe(took.as_secs_f64());
+                .observe(duration.as_secs_f64());
         }
     }
 
@@ -133,7 +133,7 @@
             class: ClassLabel(class),
             reason,
         };
-        self.refused.get_or_create(&label).inc();
+        self.refusals.get_or_create(&label).inc();
     }
 
     fn label(&self, route: Option<&RouteId>) -> RouteId {
--- a/crates/daemon/src/metrics/home.rs
+++ b/crates/daemon/src/metrics/home.rs
@@ -23,15 +23,15 @@
     denied: Family<Attempt, Counter>,
     withdrawn: ByRouteCounter,
     cancelled: ByRouteCounter,
-    failed: Family<FailedAttempt, Counter>,
+    failures: Family<FailedAttempt, Counter>,
     hedges: Family<Hedge, Counter>,
     discarded: Family<Discard, Counter>,
     restarts: ByRouteCounter,
-    given_up: ByRouteCounter,
-    pins: ByRouteCounter,
-    opened: ByRouteCounter,
-    silent: ByRouteCounter,
-    crashing: ByRouteCounter,
+    ranges_given_up: ByRouteCounter,
+    pin_changes: ByRouteCounter,
+    connections_opened: ByRouteCounter,
+    connections_silent: ByRouteCounter,
+    crashing_requests: ByRouteCounter,
     server_events: Family<ServerEvent, Counter>,
     leaving: Family<ByRoute, Gauge>,
     in_progress: Family<ByRoute, Gauge>,
@@ -88,7 +88,7 @@
         registrar.add(
             "attempts_failed",
             "Attempts that ended without a reply, by route and reason",
-            self.failed.clone(),
+            self.failures.clone(),
         );
         registrar.add(
             "hedges",
@@ -126,12 +126,12 @@
         registrar.add(
             "ranges_given_up",
             "Ranges of keys that no backend server could be asked for, by route",
-            self.given_up.clone(),
+            self.ranges_given_up.clone(),
         );
         registrar.add(
             "pin_changes",
             "Changes of the index version that new searches pin, by route",
-            self.pins.clone(),
+            self.pin_changes.clone(),
         );
     }
 
@@ -139,17 +139,17 @@
         registrar.add(
             "connections_opened",
             "Connections opened to backend servers, by route",
-            self.opened.clone(),
+            self.connections_opened.clone(),
         );
         registrar.add(
             "connections_silent",
             "Connections given up because nothing came on them any more, by route",
-            self.silent.clone(),
+            self.connections_silent.clone(),
         );
         registrar.add(
             "crashing_requests",
             "Fingerprints of requests found here to crash backend servers, by route",
-            self.crashing.clone(),
+            self.crashing_requests.clone(),
         );
         registrar.add(
             "backend_server_events",
@@ -173,10 +173,10 @@
             "withdraw" => self.inc(&self.withdrawn, route),
             "discard" => self.record_discard(route, "index_version"),
             "restart" => self.inc(&self.restarts, route),
-            "give_up" => self.inc(&self.given_up, route),
-            "pin" => self.inc(&self.pins, route),
-            "silent" => self.inc(&self.silent, route),
-            "suspect" => self.inc(&self.crashing, route),
+            "give_up" => self.inc(&self.ranges_given_up, route),
+            "pin" => self.inc(&self.pin_changes, route),
+            "silent" => self.inc(&self.connections_silent, route),
+            "suspect" => self.inc(&self.crashing_requests, route),
             "leave" => self.record_server_event(route, "leaving"),
             "unreachable" => self.record_server_event(route, "unreachable"),
             "back_off" => self.record_server_event(route, "back_off"),
@@ -191,7 +191,7 @@
             route: self.routes.label(route),
             reason: reason(failure),
         };
-        self.failed.get_or_create(&label).inc();
+        self.failures.get_or_create(&label).inc();
         if matches!(failure, Failure::Mismatched) {
             self.record_discard(route, "mismatched");
         }
@@ -204,7 +204,7 @@
 
     /// Records an opened connection to a backend server.
     pub fn record_connection(&self, route: &RouteId) {
-        self.inc(&self.opened, route);
+        self.inc(&self.connections_opened, route);
     }
 
     /// Adds the difference between two readings of a home's counters.
--- a/crates/daemon/src/metrics/node.rs
+++ b/crates/daemon/src/metrics/node.rs
@@ -10,11 +10,11 @@
 /// Metrics of forwarded requests and idempotency keys.
 #[derive(Debug, Default)]
 pub struct Node {
-    hops: Family<Forward, Counter>,
-    decided: Family<KeyDecision, Counter>,
+    forwards: Family<Forward, Counter>,
+    decisions: Family<KeyDecision, Counter>,
     /// Idempotency keys issued by this daemon.
     pub keys_issued: Counter,
-    kept: Gauge,
+    recorded: Gauge,
     running: Gauge,
 }
 
@@ -24,19 +24,19 @@
         registrar.add(
             "hops",
             "Requests passed on to other daemons, by how that ended",
-            node.hops.clone(),
+            node.forwards.clone(),
         );
         registrar.add(
             "key_decisions",
             "Sends of non-idempotent requests, by what the ledger decided",
-            node.decided.clone(),
+            node.decisions.clone(),
         );
         registrar.add(
             "keys_issued",
             "Keys issued for non-idempotent requests",
             node.keys_issued.clone(),
         );
-        registrar.add("keys_kept", "Keys in the ledger", node.kept.clone());
+        registrar.add("keys_kept", "Keys in the ledger", node.recorded.clone());
         registrar.add(
             "keys_running",
             "Keys whose request is running",
@@ -47,17 +47,19 @@
 
     /// Records a request forwarded to another daemon: `answered`, `declined` or `lost`.
     pub fn record_forward(&self, result: &'static str) {
-        self.hops.get_or_create(&Forward { result }).inc();
+        self.forwards.get_or_create(&Forward { result }).inc();
     }
 
     /// Records a decision of the ledger.
     pub fn record_key_decision(&self, decision: &'static str) {
-        self.decided.get_or_create(&KeyDecision { decision }).inc();
+        self.decisions
+            .get_or_create(&KeyDecision { decision })
+            .inc();
     }
 
     /// Sets the number of keys in the ledger and of those whose request is running.
-    pub fn set_keys(&self, kept: usize, running: usize) {
-        self.kept.set(gauge_value(kept));
+    pub fn set_keys(&self, recorded: usize, running: usize) {
+        self.recorded.set(gauge_value(recorded));
         self.running.set(gauge_value(running));
     }
 }
--- a/crates/daemon/src/operator/console/edit.rs
+++ b/crates/daemon/src/operator/console/edit.rs
@@ -133,29 +133,29 @@
 }
 
 /// Renames a caller in the routes that list it, which would otherwise refer to an unknown caller.
-fn propagate_rename(draft: &mut Draft, current: &str, before: Option<String>) {
+fn propagate_rename(draft: &mut Draft, current: &str, old_name: Option<String>) {
     let is_caller = current.starts_with("/callers/");
-    let after = name_at(draft, current);
-    if let (true, Some(before), Some(after)) = (is_caller, before, after) {
-        replace_caller(draft, &before, Some(&after));
+    let new_name = name_at(draft, current);
+    if let (true, Some(old_name), Some(new_name)) = (is_caller, old_name, new_name) {
+        replace_caller(draft, &old_name, Some(&new_name));
     }
 }
 
 /// Replaces or removes a caller in the lists of all routes, unless another caller has the same name.
-fn replace_caller(draft: &mut Draft, before: &str, after: Option<&str>) {
-    if draft.names("/callers").contains(&before) {
+fn replace_caller(draft: &mut Draft, old_name: &str, new_name: Option<&str>) {
+    if draft.names("/callers").contains(&old_name) {
         return;
     }
     let routes = draft.at_mut("/routes").and_then(Value::as_array_mut);
     for route in routes.into_iter().flatten() {
         let callers = route.get_mut("callers").and_then(Value::as_array_mut);
         let Some(callers) = callers else { continue };
-        match after {
-            Some(after) => callers
+        match new_name {
+            Some(new_name) => callers
                 .iter_mut()
-                .filter(|caller| caller.as_str() == Some(before))
-                .for_each(|caller| *caller = Value::from(after)),
-            None => callers.retain(|caller| caller.as_str() != Some(before)),
+                .filter(|caller| caller.as_str() == Some(old_name))
+                .for_each(|caller| *caller = Value::from(new_name)),
+            None => callers.retain(|caller| caller.as_str() != Some(old_name)),
         }
     }
 }
--- a/crates/daemon/src/operator/console/editor.rs
+++ b/crates/daemon/src/operator/console/editor.rs
@@ -10,7 +10,7 @@
 /// Renders the fields of a caller or a route.
 pub(super) fn show(view: &View<'_>, at: &str) -> Markup {
     let Some(subschema) = pointer::schema(at) else {
-        return html! { p { "There is nothing to edit at this place." } };
+        return html! { p { "There is nothing to edit here." } };
     };
     let is_route = at.starts_with("/routes/");
     let name = view.draft.at(at).and_then(|value| value["name"].as_str());
--- a/crates/daemon/src/operator/console/form.rs
+++ b/crates/daemon/src/operator/console/form.rs
@@ -43,9 +43,9 @@
 
     /// Returns whether the form has a field of this name, or one whose pointer is below it.
     pub(super) fn contains(&self, name: &str) -> bool {
-        let below = format!("{name}/");
-        let first_below = self.fields.range(below.clone()..).next();
+        let prefix = format!("{name}/");
+        let first_below = self.fields.range(prefix.clone()..).next();
         self.fields.contains_key(name)
-            || first_below.is_some_and(|(found, _)| found.starts_with(&below))
+            || first_below.is_some_and(|(found, _)| found.starts_with(&prefix))
     }
 }
--- a/crates/daemon/src/operator/console/overview.rs
+++ b/crates/daemon/src/operator/console/overview.rs
@@ -38,7 +38,7 @@
             },
             Err(faults) => div.verdict.bad {
                 "The draft has " (faults.len()) @if faults.len() == 1 { " fault" } @else { " faults" }
-                ", listed below. It can be downloaded when all are mended."
+                ", listed below. It can be downloaded once they are fixed."
             },
         }
     }
@@ -52,12 +52,12 @@
                 "Revision " (now) " has come into force since this draft was begun"
                 @if let Some(initial_revision) = view.initial_revision { " from revision " (initial_revision) }
                 ". The comparison below is with revision " (now)
-                "; where it undoes what you have not changed, somebody else has."
+                "; a change that it undoes and that you did not make is somebody else's."
             }
         }
         @if !view.dropped_faults.is_empty() {
             div.notice {
-                "The text that you pasted has faults that the draft has no more; of two fields with \
+                "The pasted text had faults that the draft no longer has; of two fields with \
                  the same name it has kept the last."
                 (list(&view.dropped_faults))
             }
@@ -217,7 +217,7 @@
             (lines(&difference.changes))
             h2 { "What the changes do" }
             @if difference.effects.is_empty() {
-                p { "No caller, key or backend server is concerned." }
+                p { "No caller, key or backend server is affected." }
             }
             (lines(&difference.effects))
         }
--- a/crates/daemon/src/operator/console/page.rs
+++ b/crates/daemon/src/operator/console/page.rs
@@ -56,8 +56,10 @@
     /// Records the faults of the pasted text that parsing removed: of two equal keys, the draft holds
     /// only the last.
     pub(super) fn set_dropped_faults(&mut self, faults: Vec<Fault>) {
-        let kept: BTreeSet<&Fault> = self.faults().iter().collect();
-        let dropped_faults = faults.into_iter().filter(|fault| !kept.contains(fault));
+        let remaining: BTreeSet<&Fault> = self.faults().iter().collect();
+        let dropped_faults = faults
+            .into_iter()
+            .filter(|fault| !remaining.contains(fault));
         let dropped_faults = dropped_faults.take(MAX_SHOWN).collect();
         self.dropped_faults = dropped_faults;
     }
@@ -151,8 +153,8 @@
                 }
                 @if let Some(reason) = base.not_ready {
                     p.notice {
-                        "This daemon is not ready (" (reason) "): what it takes to be in force may be \
-                         old. Compare with another daemon before you publish."
+                        "This daemon is not ready (" (reason) "): its configuration may be outdated. \
+                         Compare with another daemon before you publish."
                     }
                 }
                 (body)
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -8,22 +8,22 @@
 /// Smallest buffer that hyper accepts for request heads.
 const MIN_HEADER_BYTES: usize = 8 * 1_024;
 
-/// Limits the size of gossip messages, each of which carries data centre names.
+/// Maximum length of a data centre name, which is part of every message between daemons.
 const MAX_DATA_CENTRE_BYTES: usize = 64;
 
 /// Checks the settings and reports all problems together, so that an operator can fix them in one go.
 pub(super) fn check(settings: &Settings) -> Result<()> {
     let mut problems = Vec::new();
-    addresses(settings, &mut problems);
-    platform(settings, &mut problems);
-    identity(settings, &mut problems);
-    stop(settings, &mut problems);
-    limits(&settings.limits, &mut problems);
+    check_addresses(settings, &mut problems);
+    check_platform(settings, &mut problems);
+    check_identity(settings, &mut problems);
+    check_stop(settings, &mut problems);
+    check_limits(&settings.limits, &mut problems);
     ensure!(problems.is_empty(), InvalidSnafu { problems });
     Ok(())
 }
 
-fn addresses(settings: &Settings, problems: &mut Vec<Problem>) {
+fn check_addresses(settings: &Settings, problems: &mut Vec<Problem>) {
     let listeners = [
         ("--listen", settings.listen),
         ("--operator-listen", settings.operator_listen),
@@ -43,23 +43,23 @@
         problems.push(Problem::new("--advertise", detail));
     }
     if let Some(address) = settings.advertise {
-        reachable("--advertise", address, problems);
+        check_reachable("--advertise", address, problems);
     }
 }
 
-fn platform(settings: &Settings, problems: &mut Vec<Problem>) {
-    reachable(
+fn check_platform(settings: &Settings, problems: &mut Vec<Problem>) {
+    check_reachable(
         "--configuration-service",
         settings.configuration_service,
         problems,
     );
-    reachable("--host-list", settings.host_list, problems);
+    check_reachable("--host-list", settings.host_list, problems);
     for peer in &settings.peers {
-        reachable("--peers", *peer, problems);
+        check_reachable("--peers", *peer, problems);
     }
 }
 
-fn reachable(flag: &str, address: SocketAddr, problems: &mut Vec<Problem>) {
+fn check_reachable(flag: &str, address: SocketAddr, problems: &mut Vec<Problem>) {
     if address.ip().is_unspecified() || address.port() == 0 {
         problems.push(Problem::new(
             flag,
@@ -68,7 +68,7 @@
     }
 }
 
-fn identity(settings: &Settings, problems: &mut Vec<Problem>) {
+fn check_identity(settings: &Settings, problems: &mut Vec<Problem>) {
     let name = &settings.data_centre;
     if name.is_empty() || name.len() > MAX_DATA_CENTRE_BYTES {
         let detail = format!("must have 1 to {MAX_DATA_CENTRE_BYTES} bytes");
@@ -82,14 +82,14 @@
     }
 }
 
-fn stop(settings: &Settings, problems: &mut Vec<Problem>) {
+fn check_stop(settings: &Settings, problems: &mut Vec<Problem>) {
     if settings.stop_bound_ms <= settings.drain_wait_ms {
         let detail = "must be above --drain-wait-ms";
         problems.push(Problem::new("--stop-bound-ms", detail));
     }
 }
 
-fn limits(limits: &Limits, problems: &mut Vec<Problem>) {
+fn check_limits(limits: &Limits, problems: &mut Vec<Problem>) {
     let positive = [
         ("--header-timeout-ms", limits.header_timeout_ms),
         ("--body-timeout-ms", limits.body_timeout_ms),
--- a/crates/daemon/src/settings/error.rs
+++ b/crates/daemon/src/settings/error.rs
@@ -12,7 +12,7 @@
 #[snafu(visibility(pub(super)))]
 pub enum Error {
     /// Some settings are missing or invalid.
-    #[snafu(display("wrong settings: {}", list(problems)))]
+    #[snafu(display("wrong settings: {}", join(problems)))]
     Invalid {
         /// All problems found, at least one.
         problems: Vec<Problem>,
@@ -52,7 +52,7 @@
     }
 }
 
-fn list(problems: &[Problem]) -> String {
+fn join(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
     lines.join("; ")
 }
@@ -69,7 +69,7 @@
 }
 
 /// Converts an error of clap.
-pub(super) fn parsed(source: &clap::Error) -> Error {
+pub(super) fn from_clap(source: &clap::Error) -> Error {
     if matches!(
         source.kind(),
         ErrorKind::DisplayHelp | ErrorKind::DisplayVersion
@@ -99,13 +99,13 @@
         ErrorKind::MissingRequiredArgument => "is required".to_owned(),
         ErrorKind::UnknownArgument => "there is no such setting".to_owned(),
         ErrorKind::ArgumentConflict => "is given more than once".to_owned(),
-        ErrorKind::InvalidValue | ErrorKind::ValueValidation => invalid(source),
+        ErrorKind::InvalidValue | ErrorKind::ValueValidation => invalid_value(source),
         kind => kind.to_string(),
     }
 }
 
 /// Describes an invalid value. Omits the value of a key, because the message is logged.
-fn invalid(source: &clap::Error) -> String {
+fn invalid_value(source: &clap::Error) -> String {
     let cause = match (source.source(), source.get(ContextKind::ValidValue)) {
         (Some(cause), _) => cause.to_string(),
         (None, Some(valid)) => format!("must be one of {valid}"),
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -172,7 +172,8 @@
         I: IntoIterator<Item = T>,
         T: Into<OsString> + Clone,
     {
-        let settings = Self::try_parse_from(arguments).map_err(|source| error::parsed(&source))?;
+        let settings =
+            Self::try_parse_from(arguments).map_err(|source| error::from_clap(&source))?;
         check::check(&settings)?;
         Ok(settings)
     }
