--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -183,7 +183,7 @@
     host % DATA_CENTRES != usize::from(server) % DATA_CENTRES
 }
 
-/// Returns homes of which a tenth are strong, and keep most of the connections.
+/// Returns a host's view of the homes, of which a tenth are strong and the others weak.
 fn strong_and_weak(host: usize) -> Homes {
     let role = match host / DATA_CENTRES % 10 {
         0 => Role::Strong,
--- a/crates/decision/tests/home_wakeup.rs
+++ b/crates/decision/tests/home_wakeup.rs
@@ -10,6 +10,7 @@
 
 /// Longest delay of a tick, in milliseconds.
 const MAX_TICK_DELAY: u64 = 20;
+
 /// Number of events other than ticks.
 const EVENT_COUNT: usize = 30;
 
--- a/crates/decision/tests/many_hosts.rs
+++ b/crates/decision/tests/many_hosts.rs
@@ -12,6 +12,7 @@
 use support::{ms, route, server};
 use test_case::test_case;
 
+/// Kinds of work, each with its service time in milliseconds.
 const SHORT_WORK: u64 = 9;
 const LONG_WORK: u64 = 28;
 
@@ -69,7 +70,7 @@
     for step in 0..(60 + seconds * 2) {
         let now = ms(step * REQUEST_INTERVAL);
         let choice = fleet.choose(&servers, &[], None, now, &mut rng);
-        let chosen = choice.expect("all are open").server;
+        let chosen = choice.expect("all servers are available").server;
         let is_slow = step >= 60;
         let latency = match chosen == server(0) && is_slow {
             true => 10 * LONG_WORK,
@@ -111,7 +112,7 @@
     answer(&mut fleet, 0, 60, (1, 200), ms(60 * REQUEST_INTERVAL));
     let now = ms(61 * REQUEST_INTERVAL);
     let choice = fleet.choose(&servers, &[], None, now, &mut rng);
-    assert_eq!(choice.expect("all are open").server, server(0));
+    assert_eq!(choice.expect("all servers are available").server, server(0));
 }
 
 /// Carries out the pool's commands. Returns the number of connections to each server.
--- a/crates/decision/tests/overload.rs
+++ b/crates/decision/tests/overload.rs
@@ -11,7 +11,7 @@
 
 // Guards against two log lines per request in a surge, when refusals and admissions alternate.
 #[test]
-fn overload_surge_is_reported_twice() {
+fn overload_surge_is_reported_at_start_and_end() {
     let mut overload = Overload::default();
     let mut changes = Vec::new();
     for now in 0..3_000 {
