--- a/crates/daemon/src/operator/console/editor.rs
+++ b/crates/daemon/src/operator/console/editor.rs
@@ -107,8 +107,8 @@
     html! {
         (faults(view.faults_at(at)))
         @for fault in view.faults_below(at).take(super::page::MAX_SHOWN) {
-            @let steps = fault.path.steps().iter().skip(depth);
-            @let path: Vec<String> = steps.map(ToString::to_string).collect();
+            @let segments = fault.path.segments().iter().skip(depth);
+            @let path: Vec<String> = segments.map(ToString::to_string).collect();
             p.fault {
                 code { (path.join(".").replace(".[", "[")) } ": "
                 (fault.wrong) "; right would be: " (fault.right)
--- a/crates/daemon/src/operator/console/field.rs
+++ b/crates/daemon/src/operator/console/field.rs
@@ -128,7 +128,7 @@
 
 fn default(subschema: &Value) -> String {
     match subschema.get("default") {
-        Some(value) => format!("the default, {}", schema::shown(value)),
+        Some(value) => format!("the default, {}", schema::render(value)),
         None => "none".to_owned(),
     }
 }
@@ -166,7 +166,7 @@
     if !variants.is_empty() {
         return select(field, &text, &variants, class);
     }
-    let default = field.subschema.get("default").map(schema::shown);
+    let default = field.subschema.get("default").map(schema::render);
     html! {
         input type="text" id=(field.pointer) name=(field.pointer) value=(text) class=[class]
             placeholder=[default] spellcheck="false" autocomplete="off"
@@ -238,7 +238,7 @@
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
         Value::Object(_) | Value::Array(_) => excerpt(value),
-        other => schema::shown(other),
+        other => schema::render(other),
     }
 }
 
--- a/crates/daemon/src/operator/console/pointer.rs
+++ b/crates/daemon/src/operator/console/pointer.rs
@@ -1,6 +1,6 @@
 //! JSON pointers (RFC 6901), used as names of the form fields.
 
-use monsoonring_configuration::check::{Path, Step};
+use monsoonring_configuration::check::{Path, Segment};
 use monsoonring_configuration::schema;
 use serde_json::Value;
 
@@ -12,11 +12,11 @@
 
 /// Converts a path to a pointer.
 pub(super) fn from_path(path: &Path) -> String {
-    path.steps()
+    path.segments()
         .iter()
-        .fold(String::new(), |parent, step| match step {
-            Step::Index(index) => child(&parent, &index.to_string()),
-            Step::Field(name) => child(&parent, name),
+        .fold(String::new(), |parent, segment| match segment {
+            Segment::Index(index) => child(&parent, &index.to_string()),
+            Segment::Field(name) => child(&parent, name),
         })
 }
 
