--- a/crates/daemon/src/metrics/home.rs
+++ b/crates/daemon/src/metrics/home.rs
@@ -1,4 +1,4 @@
-//! Work at backend servers, by route: what the extra load consists of, and what each mechanism did.
+//! Metrics of homes, by route: attempts, hedges, retries, search results and backend servers.
 
 use super::gauge_value;
 use super::label::{Attempt, AttemptKind, ByRoute, Discard, FailedAttempt, Hedge, ServerEvent};
@@ -23,15 +23,15 @@
     denied: Family<Attempt, Counter>,
     withdrawn: ByRouteCounter,
     cancelled: ByRouteCounter,
-    failed: Family<FailedAttempt, Counter>,
+    failures: Family<FailedAttempt, Counter>,
     hedges: Family<Hedge, Counter>,
     discarded: Family<Discard, Counter>,
     restarts: ByRouteCounter,
-    given_up: ByRouteCounter,
-    pins: ByRouteCounter,
-    opened: ByRouteCounter,
-    silent: ByRouteCounter,
-    crashing: ByRouteCounter,
+    ranges_given_up: ByRouteCounter,
+    pin_changes: ByRouteCounter,
+    connections_opened: ByRouteCounter,
+    connections_silent: ByRouteCounter,
+    crashing_requests: ByRouteCounter,
     server_events: Family<ServerEvent, Counter>,
     leaving: Family<ByRoute, Gauge>,
     in_progress: Family<ByRoute, Gauge>,
@@ -39,16 +39,16 @@
     longest_wait: Family<ByRoute, Gauge>,
 }
 
-/// How a home stands at a moment.
+/// Current values of a home's gauges.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
     /// Requests in progress.
     pub in_progress: usize,
     /// Backend servers that are leaving.
     pub leaving: usize,
-    /// Parts of searches that wait here for room at a server.
+    /// Parts of searches that are queued here because their backend servers are at capacity.
     pub parts_waiting: usize,
-    /// The longest time that an attempt would wait at the servers of a group, by their reports.
+    /// Longest queueing delay among the groups, from the load reports of their backend servers.
     pub longest_wait: Duration,
 }
 
@@ -88,7 +88,7 @@
         registrar.add(
             "attempts_failed",
             "Attempts that ended without a reply, by route and reason",
-            self.failed.clone(),
+            self.failures.clone(),
         );
         registrar.add(
             "hedges",
@@ -126,12 +126,12 @@
         registrar.add(
             "ranges_given_up",
             "Ranges of keys that no backend server could be asked for, by route",
-            self.given_up.clone(),
+            self.ranges_given_up.clone(),
         );
         registrar.add(
             "pin_changes",
             "Changes of the index version that new searches pin, by route",
-            self.pins.clone(),
+            self.pin_changes.clone(),
         );
     }
 
@@ -139,17 +139,17 @@
         registrar.add(
             "connections_opened",
             "Connections opened to backend servers, by route",
-            self.opened.clone(),
+            self.connections_opened.clone(),
         );
         registrar.add(
             "connections_silent",
             "Connections given up because nothing came on them any more, by route",
-            self.silent.clone(),
+            self.connections_silent.clone(),
         );
         registrar.add(
             "crashing_requests",
             "Fingerprints of requests found here to crash backend servers, by route",
-            self.crashing.clone(),
+            self.crashing_requests.clone(),
         );
         registrar.add(
             "backend_server_events",
@@ -163,7 +163,7 @@
         );
     }
 
-    /// Counts a decision of a home by its name in the log.
+    /// Records a home's decision, identified by its label in the log. Other labels are ignored.
     pub fn record_decision(&self, route: &RouteId, what: &str) {
         match what {
             "send" | "execute" => self.record_attempt(route, AttemptKind::First),
@@ -173,10 +173,10 @@
             "withdraw" => self.inc(&self.withdrawn, route),
             "discard" => self.record_discard(route, "index_version"),
             "restart" => self.inc(&self.restarts, route),
-            "give_up" => self.inc(&self.given_up, route),
-            "pin" => self.inc(&self.pins, route),
-            "silent" => self.inc(&self.silent, route),
-            "suspect" => self.inc(&self.crashing, route),
+            "give_up" => self.inc(&self.ranges_given_up, route),
+            "pin" => self.inc(&self.pin_changes, route),
+            "silent" => self.inc(&self.connections_silent, route),
+            "suspect" => self.inc(&self.crashing_requests, route),
             "leave" => self.record_server_event(route, "leaving"),
             "unreachable" => self.record_server_event(route, "unreachable"),
             "back_off" => self.record_server_event(route, "back_off"),
@@ -185,29 +185,29 @@
         }
     }
 
-    /// Counts a failed attempt.
+    /// Records a failed attempt.
     pub fn record_failure(&self, route: &RouteId, failure: &Failure) {
         let label = FailedAttempt {
             route: self.routes.label(route),
             reason: reason(failure),
         };
-        self.failed.get_or_create(&label).inc();
+        self.failures.get_or_create(&label).inc();
         if matches!(failure, Failure::Mismatched) {
             self.record_discard(route, "mismatched");
         }
     }
 
-    /// Counts a cancelled attempt.
+    /// Records an attempt that was cancelled at its backend server.
     pub fn record_cancellation(&self, route: &RouteId) {
         self.inc(&self.cancelled, route);
     }
 
-    /// Counts a connection that was opened.
+    /// Records an opened connection to a backend server.
     pub fn record_connection(&self, route: &RouteId) {
-        self.inc(&self.opened, route);
+        self.inc(&self.connections_opened, route);
     }
 
-    /// Counts what a home has counted since `before`.
+    /// Adds the difference between two readings of a home's counters.
     pub fn add_counts(&self, route: &RouteId, before: Counts, now: Counts) {
         if before == now {
             return;
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Sets how a home stands.
+    /// Sets the gauges of a home.
     pub fn set_gauges(&self, route: &RouteId, snapshot: &Snapshot) {
         let label = ByRoute {
             route: self.routes.label(route),
@@ -276,7 +276,7 @@
     }
 }
 
-/// Names the reason of a failure.
+/// Returns the label value of a failure.
 fn reason(failure: &Failure) -> &'static str {
     match failure {
         Failure::Refused { refusal, .. } => match refusal {
--- a/crates/daemon/src/metrics/node.rs
+++ b/crates/daemon/src/metrics/node.rs
@@ -1,4 +1,4 @@
-//! What a daemon passes on to homes, and the keys of non-idempotent requests.
+//! Metrics of forwarded requests and of the ledger of idempotency keys.
 
 use super::gauge_value;
 use super::label::{Forward, KeyDecision};
@@ -7,14 +7,14 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// Metrics of a daemon among others.
+/// Metrics of forwarded requests and idempotency keys.
 #[derive(Debug, Default)]
 pub struct Node {
-    hops: Family<Forward, Counter>,
-    decided: Family<KeyDecision, Counter>,
-    /// Keys issued by this daemon.
+    forwards: Family<Forward, Counter>,
+    decisions: Family<KeyDecision, Counter>,
+    /// Idempotency keys issued by this daemon.
     pub keys_issued: Counter,
-    kept: Gauge,
+    recorded: Gauge,
     running: Gauge,
 }
 
@@ -24,19 +24,19 @@
         registrar.add(
             "hops",
             "Requests passed on to other daemons, by how that ended",
-            node.hops.clone(),
+            node.forwards.clone(),
         );
         registrar.add(
             "key_decisions",
             "Sends of non-idempotent requests, by what the ledger decided",
-            node.decided.clone(),
+            node.decisions.clone(),
         );
         registrar.add(
             "keys_issued",
             "Keys issued for non-idempotent requests",
             node.keys_issued.clone(),
         );
-        registrar.add("keys_kept", "Keys in the ledger", node.kept.clone());
+        registrar.add("keys_kept", "Keys in the ledger", node.recorded.clone());
         registrar.add(
             "keys_running",
             "Keys whose request is running",
@@ -45,19 +45,21 @@
         node
     }
 
-    /// Counts a request that was passed on: `answered`, `declined` or `lost`.
+    /// Records a request forwarded to another daemon: `answered`, `declined` or `lost`.
     pub fn record_forward(&self, result: &'static str) {
-        self.hops.get_or_create(&Forward { result }).inc();
+        self.forwards.get_or_create(&Forward { result }).inc();
     }
 
-    /// Counts a decision of the ledger.
+    /// Records a decision of the ledger.
     pub fn record_key_decision(&self, decision: &'static str) {
-        self.decided.get_or_create(&KeyDecision { decision }).inc();
+        self.decisions
+            .get_or_create(&KeyDecision { decision })
+            .inc();
     }
 
-    /// Sets the size of the ledger.
-    pub fn set_keys(&self, kept: usize, running: usize) {
-        self.kept.set(gauge_value(kept));
+    /// Sets the number of keys in the ledger and of those whose request is running.
+    pub fn set_keys(&self, recorded: usize, running: usize) {
+        self.recorded.set(gauge_value(recorded));
         self.running.set(gauge_value(running));
     }
 }
