--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams between hosts, well-formed and not.
+//! Property tests of valid and damaged datagrams between hosts.
 
 use monsoonring_decision::fact::{Entry, Key, Stamp};
 use monsoonring_decision::gateway::members::Datagram;
@@ -54,27 +54,26 @@
 proptest! {
     #[test]
     fn decode_any_datagram_is_what_was_encoded(datagram in any_datagram()) {
-        let bytes = encode(&datagram).expect("it is small enough");
+        let bytes = encode(&datagram).expect("the datagram is small enough");
         prop_assert!(bytes.len() <= MAX_BYTES);
-        let decoded: Datagram = decode(&bytes).expect("it is one");
+        let decoded: Datagram = decode(&bytes).expect("the datagram is valid");
         prop_assert_eq!(decoded, datagram);
     }
 
-    // Symptom: a host runs out of memory or ends after one stray datagram.
-    // Events: bytes arrive that are no datagram, or one that was cut or changed on the way.
-    // Cause: a length in it is believed.
+    // Guards against a panic or a huge allocation from a forged or damaged datagram, such as one with a
+    // wrong length.
     #[test]
-    fn decode_any_bytes_neither_ends_nor_fills_the_process(
+    fn decode_any_bytes_neither_panics_nor_exhausts_memory(
         bytes in prop::collection::vec(any::<u8>(), 0..2_000),
     ) {
         let _: Result<Datagram, _> = decode(&bytes);
     }
 
     #[test]
-    fn decode_cut_datagram_is_an_error(datagram in any_datagram(), cut in 1_usize..12) {
-        let bytes = encode(&datagram).expect("it is small enough");
-        let kept = bytes.len().saturating_sub(cut);
-        let decoded: Result<Datagram, _> = decode(&bytes[..kept]);
+    fn decode_truncated_datagram_is_an_error(datagram in any_datagram(), cut in 1_usize..12) {
+        let bytes = encode(&datagram).expect("the datagram is small enough");
+        let len = bytes.len().saturating_sub(cut);
+        let decoded: Result<Datagram, _> = decode(&bytes[..len]);
         prop_assert!(decoded.is_err());
     }
 }
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Connections to peers that end.
+//! Tests of connections that the peer closes.
 
 use monsoonring_wire::channel::Endpoint;
 use monsoonring_wire::key::Ring;
@@ -9,11 +9,10 @@
 
 const LOCAL: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-// Symptom: after each planned stop some non-idempotent requests come to unknown.
-// Events: a peer ends; the next call to it is made on the connection of before.
-// Cause: nobody looks whether the connection has ended; a call on it fails like one that was lost.
+// Guards against non-idempotent requests that end as unknown after a planned stop of a peer, because
+// they were sent on a connection that had already closed.
 #[tokio::test]
-async fn is_closed_after_the_peer_ended() {
+async fn is_closed_after_the_peer_closed() {
     let listener = TcpListener::bind((LOCAL, 0)).await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     let endpoint = Endpoint::new(LOCAL, Ring::default(), Meter::default());
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! One of each message, with one of each case of what is in it.
+//! Sample messages that cover every method and every variant in the messages.
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::document::Class;
@@ -27,11 +27,11 @@
     text.parse().expect("an address")
 }
 
-fn near() -> SocketAddr {
+fn member_a() -> SocketAddr {
     address("10.0.0.1:7000")
 }
 
-fn far() -> SocketAddr {
+fn member_b() -> SocketAddr {
     address("[fd00::2]:7000")
 }
 
@@ -51,7 +51,7 @@
 
 fn change(state: State) -> Change {
     Change {
-        id: far(),
+        id: member_b(),
         incarnation: incarnation(),
         state,
         data_centre: "dobrich-2".into(),
@@ -59,7 +59,7 @@
 }
 
 fn changes() -> Vec<Change> {
-    let successor = Some(near());
+    let successor = Some(member_a());
     let states = [
         State::Alive,
         State::Suspect,
@@ -75,7 +75,10 @@
         version: 9,
         renewal: 1,
     };
-    let keys = [fact::Key::Leaving(near()), fact::Key::Suspect(FINGERPRINT)];
+    let keys = [
+        fact::Key::Leaving(member_a()),
+        fact::Key::Suspect(FINGERPRINT),
+    ];
     let entry = |key| fact::Entry {
         key,
         stamp,
@@ -86,7 +89,7 @@
 
 fn message() -> Message {
     Message {
-        from: near(),
+        from: member_a(),
         incarnation: incarnation(),
         data_centre: "tunis-1".into(),
         digest: Digest {
@@ -96,7 +99,7 @@
         changes: changes(),
         attachment: Attachment {
             contact: Some(Contact {
-                by: far(),
+                by: member_b(),
                 age: Duration::from_secs(2),
             }),
             configuration: Some(version()),
@@ -119,27 +122,27 @@
 
 fn fence() -> Fence {
     Fence {
-        member: near(),
+        member: member_a(),
         start: 5,
     }
 }
 
-fn fenced() -> Key {
+fn fenced_key() -> Key {
     let text = format!("m1.10.0.0.1~7000.5.6.700.{}", "ab".repeat(16));
     text.parse().expect("a key")
 }
 
-fn own() -> Key {
+fn own_key() -> Key {
     Key::Own("ticket-1".into())
 }
 
-/// A ledger with a key that was issued, one that ran and one of a caller's own.
+/// Returns the handover of a ledger with an issued key and a caller's own_key key, both in use.
 fn handover() -> Handover {
     let mut ledger = Ledger::new(fence(), [9; 32].into(), Limits::default());
     let now = Time::from_secs(1);
     let issued = ledger.mint(&"clerk".into(), &"ledger".into(), now);
     let issued = issued.expect("there is room");
-    for (key, send) in [(issued, None), (own(), Some(1))] {
+    for (key, send) in [(issued, None), (own_key(), Some(1))] {
         let request = idempotency::Request {
             id: 1,
             caller: "clerk".into(),
@@ -152,13 +155,13 @@
         drop(ledger.begin(&key, &request, now));
     }
     let heir = Fence {
-        member: far(),
+        member: member_b(),
         start: 6,
     };
     ledger.hand_over(heir, now).expect("the first")
 }
 
-/// One call of each method.
+/// Returns at least one call of each method, with its name in the snapshot.
 pub(crate) fn requests() -> Vec<(&'static str, PeerRequest)> {
     let section = Section::new(Name::Callers, *b"[]");
     let base = Base::of(&[section]);
@@ -168,13 +171,18 @@
         key,
         send,
     };
-    let own_key = Lookup::Own {
+    let own_lookup = Lookup::Own {
         caller: "clerk".into(),
         key: "ticket-1".into(),
         fingerprint: FINGERPRINT,
     };
-    let (key, handover) = (own().to_string(), handover());
-    let (least, message, target, span) = (version(), message(), far(), BucketRange { first, last });
+    let (key, handover) = (own_key().to_string(), handover());
+    let (least, message, target, span) = (
+        version(),
+        message(),
+        member_b(),
+        BucketRange { first, last },
+    );
     let normal = Request {
         class: Class::Normal,
         ..request()
@@ -199,13 +207,13 @@
         (
             "send_issued",
             PeerRequest::Send {
-                send: send(fenced(), None),
+                send: send(fenced_key(), None),
             },
         ),
         (
             "send_own",
             PeerRequest::Send {
-                send: send(own(), Some(2)),
+                send: send(own_key(), Some(2)),
             },
         ),
         (
@@ -215,7 +223,12 @@
                 key,
             },
         ),
-        ("ask_own", PeerRequest::Ask { question: own_key }),
+        (
+            "ask_own",
+            PeerRequest::Ask {
+                question: own_lookup,
+            },
+        ),
         (
             "ask_fence",
             PeerRequest::Ask {
@@ -227,7 +240,7 @@
             "hear",
             PeerRequest::Hear {
                 entry: facts().remove(0),
-                from: near(),
+                from: member_a(),
             },
         ),
     ]
@@ -315,7 +328,7 @@
     vec![sent(Name::Callers), Part::Held(300), sent(route)]
 }
 
-fn asked() -> Vec<(&'static str, Finding)> {
+fn findings() -> Vec<(&'static str, Finding)> {
     let reason = Reason::Lost;
     let done = |outcome| Finding::Done(outcome);
     let not_run = idempotency::Outcome::NotRun {
@@ -340,7 +353,7 @@
     ]
 }
 
-/// Answers of each method, and each case of what they can say.
+/// Returns responses of each method that cover every variant, with their names in the snapshot.
 pub(crate) fn responses() -> Vec<(&'static str, PeerResponse)> {
     let page = |rest| Page {
         changes: changes(),
@@ -364,7 +377,7 @@
             "search_not_home",
             PeerResponse::Search(Err(Rejection::NotHome)),
         ),
-        ("mint", PeerResponse::Mint(Ok(fenced()))),
+        ("mint", PeerResponse::Mint(Ok(fenced_key()))),
         ("send_conflict", PeerResponse::Send(SendReply::Conflict)),
         (
             "send_ended",
@@ -387,7 +400,7 @@
         all.push((name, PeerResponse::Mint(Err(Rejection::Ledger(refusal)))));
     }
     all.extend(
-        asked()
+        findings()
             .into_iter()
             .map(|(name, answer)| (name, PeerResponse::Ask(answer))),
     );
