--- a/crates/configuration/tests/difference.rs
+++ b/crates/configuration/tests/difference.rs
@@ -1,4 +1,4 @@
-//! What an operator reads before a change is published.
+//! Tests of the differences that an operator reviews before publishing a document.
 
 use monsoonring_configuration::difference::{self, Effect};
 use monsoonring_configuration::document::{Class, Document, Group};
@@ -55,8 +55,8 @@
     document.routes.remove(2);
 }
 
-/// Splits the first group of the gate desk: its third replica goes to the upper half, together with
-/// a new one.
+/// Splits the first group of the route `gate-desk`: its third replica moves to the upper half, which
+/// also gets a new one.
 fn split_group(document: &mut Document) {
     let group = &mut document.routes[0].groups[0];
     let moved = group.backend_servers.remove(2);
@@ -90,7 +90,7 @@
 #[test_case("split_group", split_group; "split_group")]
 #[test_case("replace_servers", replace_servers; "replace_servers")]
 #[test_case("grow_keys", grow_keys; "grow_keys")]
-fn between_tells_changes_and_effects(name: &str, edit: fn(&mut Document)) {
+fn between_lists_changes_and_effects(name: &str, edit: fn(&mut Document)) {
     insta::assert_snapshot!(name, after(edit));
 }
 
@@ -109,8 +109,7 @@
         .collect()
 }
 
-/// A group that only gets another name moves nothing: a change that reads like a move would make an
-/// operator wait for a copy of data.
+/// Renaming a group moves no keys. Reporting a move would make an operator copy data needlessly.
 #[test]
 fn between_renamed_group_moves_nothing() {
     let difference = after(|document| document.routes[3].groups[0].name = "renamed".into());
@@ -118,7 +117,7 @@
     assert_eq!(keys_moved(&difference), []);
 }
 
-/// Only the upper half of a group goes elsewhere.
+/// Only the upper half of a group moves to another backend server.
 #[test]
 fn between_split_group_moves_one_half() {
     let difference = after(|document| {
@@ -134,7 +133,8 @@
     assert_eq!(keys_moved(&difference), [upper]);
 }
 
-/// Two groups become one elsewhere: two moves, since the keys come from different backend servers.
+/// Merging two groups on a new backend server is two moves, because the keys come from different
+/// backend servers.
 #[test]
 fn between_merged_groups_moves_from_each() {
     let difference = after(|document| {
@@ -147,9 +147,9 @@
     assert_eq!(keys_moved(&difference), moved);
 }
 
-/// A group is cut in two, and both halves exchange the same replica: one move.
+/// Splitting a group whose halves both replace the same replica is one move.
 #[test]
-fn between_group_replaced_across_a_new_border_is_one_move() {
+fn between_split_group_with_replaced_server_is_one_move() {
     let old = document(example::BEET);
     let mut new = old.clone();
     let groups = &mut new.routes[3].groups;
--- a/crates/configuration/tests/examples.rs
+++ b/crates/configuration/tests/examples.rs
@@ -1,9 +1,10 @@
-//! The documents that operators start from.
+//! Tests of the example documents.
 
 use monsoonring_configuration::document::{Kind, Route};
 use monsoonring_configuration::{check, example};
 use test_case::test_case;
 
+/// Route name, groups, backend servers, slots, connections and connect time.
 type Size = (&'static str, usize, usize, u32, u32, u64);
 
 const HYDRANT: [Size; 4] = [
@@ -37,8 +38,8 @@
 #[test_case(example::BEET, &BEET; "beet")]
 fn parse_example_has_the_sizes(text: &str, sizes: &[Size]) {
     let document = check::parse(text.as_bytes()).expect("examples are valid");
-    let found: Vec<_> = document.routes.iter().map(size).collect();
-    assert_eq!(found, sizes);
+    let actual: Vec<_> = document.routes.iter().map(size).collect();
+    assert_eq!(actual, sizes);
 }
 
 #[test_case(example::HYDRANT, false; "hydrant_waits_for_the_last_shard")]
--- a/crates/configuration/tests/faults.rs
+++ b/crates/configuration/tests/faults.rs
@@ -1,10 +1,11 @@
-//! Each fault alone: a valid document with one edit, and the faults that must come of it.
+//! Tests of the faults that single edits of a valid document cause.
 
 use monsoonring_configuration::{check, limit};
 use serde_json::{Value, json};
 use test_case::test_case;
 
-/// Three callers, one without a route, a search over two groups, an execute route.
+/// Returns a document with three callers, one of them without a route, a search route with two groups
+/// and an execute route.
 fn valid() -> Value {
     json!({
         "callers": [
@@ -41,7 +42,7 @@
 
 fn faults(value: &Value) -> Vec<(String, String)> {
     let bytes = serde_json::to_vec(value).expect("a value is JSON");
-    let error = check::parse(&bytes).expect_err("the edit is a fault");
+    let error = check::parse(&bytes).expect_err("the edit makes the document invalid");
     error
         .faults
         .iter()
@@ -52,7 +53,7 @@
 #[test]
 fn parse_valid_is_accepted() {
     let bytes = serde_json::to_vec(&valid()).expect("a value is JSON");
-    check::parse(&bytes).expect("it is valid");
+    check::parse(&bytes).expect("the document is valid");
 }
 
 #[test_case("/callers/2/name", json!("a/b"), "callers[2].name", "wrong form"; "name_with_slash")]
@@ -94,7 +95,7 @@
 #[test_case("/routes/1/kind", json!("write"), "routes[1].kind", "known values"; "unknown_kind")]
 fn parse_fault_is_the_only_one(pointer: &str, value: Value, path: &str, wrong: &str) {
     let mut edited = valid();
-    *edited.pointer_mut(pointer).expect("the place exists") = value;
+    *edited.pointer_mut(pointer).expect("the value exists") = value;
     let found = faults(&edited);
     assert_eq!(found.len(), 1, "{found:?}");
     assert_eq!(found[0].0, path);
@@ -114,7 +115,7 @@
     wrong: &str,
 ) {
     let mut edited = valid();
-    edited.pointer_mut(pointer).expect("the place exists")[field] = value;
+    edited.pointer_mut(pointer).expect("the value exists")[field] = value;
     let found = faults(&edited);
     assert_eq!(found.len(), 1, "{found:?}");
     assert_eq!(found[0].0, path);
@@ -126,14 +127,14 @@
 #[test_case("/routes/0/capacity", "slots", "routes[0].capacity.slots"; "slots")]
 fn parse_missing_field_is_the_only_fault(pointer: &str, field: &str, path: &str) {
     let mut edited = valid();
-    let part = edited.pointer_mut(pointer).expect("the place exists");
-    part.as_object_mut().expect("it is an object").remove(field);
+    let part = edited.pointer_mut(pointer).expect("the value exists");
+    part.as_object_mut().expect("an object").remove(field);
     let missing = (path.to_owned(), "the field is missing".to_owned());
     assert_eq!(faults(&edited), [missing]);
 }
 
 #[test]
-fn parse_execute_with_two_groups_is_refused() {
+fn parse_execute_with_two_groups_is_rejected() {
     let mut edited = valid();
     edited["routes"][0]["kind"] = json!("execute");
     let found = faults(&edited);
@@ -160,21 +161,21 @@
 }
 
 #[test]
-fn parse_value_above_a_megabyte_is_refused() {
+fn parse_value_above_a_megabyte_is_rejected() {
     let mut text = serde_json::to_vec(&valid()).expect("a value is JSON");
     text.resize(limit::VALUE_BYTES, b' ');
-    check::parse(&text).expect("a value of the largest size is taken");
+    check::parse(&text).expect("a value of the maximum size is accepted");
     text.push(b' ');
-    let error = check::parse(&text).expect_err("it is a byte too long");
+    let error = check::parse(&text).expect_err("the value is one byte too long");
     assert!(error.faults[0].wrong.contains("1000001 bytes"), "{error}");
 }
 
 #[test]
 fn parse_execute_without_hedge_never_hedges() {
     let bytes = serde_json::to_vec(&valid()).expect("a value is JSON");
-    let document = check::parse(&bytes).expect("it is valid");
+    let document = check::parse(&bytes).expect("the document is valid");
     assert_eq!(document.routes[1].hedge.budget_percent, 0.0);
-    check::document(&document).expect("what was parsed passes again");
+    check::document(&document).expect("the parsed document is valid");
 }
 
 #[test]
@@ -182,13 +183,13 @@
     let text = serde_json::to_string(&valid()).expect("a value is JSON");
     let edited = text.replace(r#""deadline_ms":500"#, r#""deadline_ms":500.0"#);
     assert_ne!(text, edited);
-    let document = check::parse(edited.as_bytes()).expect("500.0 is 500");
+    let document = check::parse(edited.as_bytes()).expect("500.0 is accepted as 500");
     assert_eq!(document.routes[0].deadline_ms, 500);
 }
 
-/// The wide range comes first, so that each later one overlaps it without touching its neighbour.
+/// The first range contains the others, which do not overlap each other.
 #[test]
-fn parse_range_inside_another_is_refused() {
+fn parse_range_inside_another_is_rejected() {
     let mut edited = valid();
     let groups = [(0, 100), (10, 20), (50, 60)].map(|(start, end)| {
         json!({"name": format!("g{start}"), "keys": {"start": start, "end": end},
@@ -203,20 +204,20 @@
     );
 }
 
-/// One document with as many faults of different kinds as fit, so that a change of any message, or
-/// a fault that hides another, shows in the golden list.
+/// A document with many kinds of faults, so that the snapshot shows any change of a message and any
+/// fault that hides another.
 #[test]
 fn parse_very_bad_document_lists_all() {
-    let error = check::parse(include_bytes!("documents/very_bad.json")).expect_err("it is bad");
+    let error = check::parse(include_bytes!("documents/very_bad.json"))
+        .expect_err("the document has faults");
     insta::assert_snapshot!(error);
     insta::assert_json_snapshot!("very_bad_json", error.faults);
 }
 
-// Symptom: every daemon is killed for its use of memory at the same moment.
-// Events: an operator publishes a broken file of the largest size; each daemon checks it.
-// Cause: a list with a fault for every other byte of the file.
+// Guards against all daemons running out of memory when an operator publishes a broken file of the
+// maximum size, which can have a fault for every second byte.
 #[test_case("0", "routes"; "wrong_types")]
-#[test_case("{\"name\":\"a\",\"class\":\"normal\"}", "callers"; "names_that_stand_twice")]
+#[test_case("{\"name\":\"a\",\"class\":\"normal\"}", "callers"; "duplicate_names")]
 fn parse_many_faults_lists_the_first(item: &str, list: &str) {
     let items = vec![item; 900_000 / (item.len() + 1)].join(",");
     let other = if list == "routes" {
@@ -225,7 +226,7 @@
         "routes"
     };
     let text = format!("{{\"{list}\":[{items}],\"{other}\":[]}}");
-    let error = check::parse(text.as_bytes()).expect_err("it has faults");
+    let error = check::parse(text.as_bytes()).expect_err("the document has faults");
     assert_eq!(error.faults.len(), 1_001);
     let first = error.faults[0].to_string();
     assert!(
--- a/crates/configuration/tests/properties.rs
+++ b/crates/configuration/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of arbitrary and of damaged documents.
+//! Property tests of arbitrary and of damaged documents.
 
 use monsoonring_configuration::document::{Caller, Capacity, Class, Group, Hedge, Kind};
 use monsoonring_configuration::document::{Retry, Route, SoftDeadline};
@@ -18,7 +18,7 @@
     })
 }
 
-/// Groups that tile `0..sum of widths`, with backend servers of their own.
+/// Returns groups of these widths whose ranges tile the key space, each with its own backend servers.
 fn groups(widths: &[u64], replicas: usize) -> Vec<Group> {
     let mut start = 0;
     let mut groups = Vec::new();
@@ -84,7 +84,7 @@
         .prop_shuffle_parts()
 }
 
-/// Documents whose parts come in any order.
+/// Shuffles the callers and routes of documents.
 trait Shuffle: Strategy<Value = Document> + Sized {
     fn prop_shuffle_parts(self) -> impl Strategy<Value = Document> {
         self.prop_flat_map(|document| {
@@ -99,7 +99,7 @@
 
 impl<S: Strategy<Value = Document>> Shuffle for S {}
 
-/// Places of a JSON value, as pointers.
+/// Collects the JSON pointers of all values in `value`.
 fn pointers(value: &Value, prefix: &str, found: &mut Vec<String>) {
     found.push(prefix.to_owned());
     match value {
@@ -149,30 +149,30 @@
         end in any::<Pick>(),
     ) {
         let mut bytes = example::BEET.as_bytes().to_vec();
-        for (place, byte) in edits {
-            let place = place.index(bytes.len());
-            bytes[place] = byte;
+        for (pick, byte) in edits {
+            let position = pick.index(bytes.len());
+            bytes[position] = byte;
         }
         bytes.truncate(end.index(bytes.len()) + 1);
         let _ = check::parse(&bytes);
     }
 
-    /// A document with parts exchanged for odd ones either has faults or is read as a document
-    /// that passes again; it never fails in the last step, where only one fault would be told.
+    /// A document with random values replaced either has faults or parses to a valid document. It never
+    /// fails in `serde` after validation, where only one fault would be reported.
     #[test]
-    fn parse_mutated_document_tells_or_passes(
+    fn parse_mutated_document_has_faults_or_is_valid(
         edits in proptest::collection::vec((any::<Pick>(), select(odd_values())), 1..6),
     ) {
-        let mut value: Value = serde_json::from_str(example::HYDRANT).expect("it is JSON");
-        for (place, odd) in edits {
-            let mut places = Vec::new();
-            pointers(&value, "", &mut places);
-            let place = place.get(&places);
-            *value.pointer_mut(place).expect("the place was just found") = odd;
+        let mut value: Value = serde_json::from_str(example::HYDRANT).expect("the example is JSON");
+        for (pick, odd) in edits {
+            let mut found = Vec::new();
+            pointers(&value, "", &mut found);
+            let pointer = pick.get(&found);
+            *value.pointer_mut(pointer).expect("the pointer was just collected") = odd;
         }
         let bytes = serde_json::to_vec(&value).expect("a value is JSON");
         match check::parse(&bytes) {
-            Ok(document) => check::document(&document).expect("what passed passes again"),
+            Ok(document) => check::document(&document).expect("the parsed document is valid"),
             Err(error) => {
                 prop_assert!(!error.faults.is_empty());
                 for fault in &error.faults {
@@ -185,14 +185,14 @@
     #[test]
     fn parse_written_document_is_the_same(document in document()) {
         let bytes = serde_json::to_vec(&document).expect("a document can be written");
-        prop_assert_eq!(check::parse(&bytes).expect("it is valid"), document);
+        prop_assert_eq!(check::parse(&bytes).expect("the document is valid"), document);
     }
 
     #[test]
     fn assemble_split_document_is_canonical(document in document()) {
         let sections = section::split(&document).expect("a document can be written");
         let index = Index::of(&sections);
-        let assembled = section::assemble(&index, &sections).expect("it is whole");
+        let assembled = section::assemble(&index, &sections).expect("the sections are complete");
         prop_assert_eq!(&assembled, &canonical::form(&document));
         let again = section::split(&assembled).expect("a document can be written");
         prop_assert_eq!(Index::of(&again).digest(), index.digest());
@@ -204,8 +204,8 @@
         prop_assert!(difference.is_empty(), "{}", difference);
     }
 
-    /// Digests and differences must agree on what a change is: else a daemon would adopt what an
-    /// operator was told is no change, or the other way round.
+    /// Digests and differences agree on what is a change. Otherwise a daemon would adopt a document that
+    /// was shown to the operator as unchanged, or ignore one that was shown as changed.
     #[test]
     fn between_is_empty_where_digests_are_equal(old in document(), new in document()) {
         let digest = |document: &Document| {
--- a/crates/configuration/tests/reference.rs
+++ b/crates/configuration/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The committed reference is the generated one.
+//! Test that the committed reference documentation is up to date.
 
 use monsoonring_configuration::reference;
 
--- a/crates/configuration/tests/sections.rs
+++ b/crates/configuration/tests/sections.rs
@@ -1,4 +1,4 @@
-//! Sections and their digests.
+//! Tests of sections and their digests.
 
 use monsoonring_configuration::document::SoftDeadline;
 use monsoonring_configuration::section::{self, Digest, Error, Index, Name, Section};
@@ -18,8 +18,8 @@
     Name::Route(name.into())
 }
 
-/// The digests are part of the protocol between daemons of different builds: a change of the
-/// canonical form makes a fleet in the middle of a roll-out see a difference in every section.
+/// Digests are part of the protocol between daemons of different versions: if the canonical form
+/// changes, all sections differ between old and new daemons during a rolling upgrade.
 #[test]
 fn index_of_example_is_golden() {
     let index = Index::of(&sections());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn digest_of_nothing_is_the_standard_one() {
+fn digest_of_empty_input_is_sha256() {
     let empty = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
     assert_eq!(Digest::of(b"").to_string(), empty);
 }
@@ -90,7 +90,8 @@
 #[test]
 fn assemble_all_is_the_canonical_document() {
     let sections = sections();
-    let assembled = section::assemble(&Index::of(&sections), &sections).expect("it is whole");
+    let assembled =
+        section::assemble(&Index::of(&sections), &sections).expect("the sections are complete");
     assert_eq!(assembled, canonical::form(&document()));
 }
 
@@ -98,17 +99,17 @@
 fn assemble_selection_has_only_its_routes() {
     let sections = sections();
     let index = Index::of(&sections).select(|route| &**route == "dispatch-map");
-    let wanted: Vec<_> = sections
+    let selected: Vec<_> = sections
         .into_iter()
         .filter(|section| index.get(section.name()).is_some())
         .collect();
-    let assembled = section::assemble(&index, &wanted).expect("it is whole");
+    let assembled = section::assemble(&index, &selected).expect("the sections are complete");
     assert_eq!(assembled.callers.len(), 3);
     assert_eq!(assembled.routes.len(), 1);
     assert_eq!(&*assembled.routes[0].name, "dispatch-map");
 }
 
-/// What a peer sends.
+/// Index and sections as received from a peer.
 struct Transfer {
     index: Index,
     sections: Vec<Section>,
@@ -120,17 +121,17 @@
         self.sections[position] = Section::new(name, body);
     }
 
-    /// Makes the index match the damage, as a faulty peer would.
-    fn index_again(&mut self) {
+    /// Recomputes the index from the damaged sections, as a faulty peer would.
+    fn reindex(&mut self) {
         self.index = Index::of(&self.sections);
     }
 }
 
-fn drop_one(transfer: &mut Transfer) {
+fn drop_section(transfer: &mut Transfer) {
     transfer.sections.pop();
 }
 
-fn add_one(transfer: &mut Transfer) {
+fn add_section(transfer: &mut Transfer) {
     transfer.sections.push(Section::new(route("other"), *b"{}"));
 }
 
@@ -143,31 +144,32 @@
 fn swap_bodies(transfer: &mut Transfer) {
     let body = transfer.sections[2].body().clone();
     transfer.replace(1, body);
-    transfer.index_again();
+    transfer.reindex();
 }
 
-fn spoil(transfer: &mut Transfer) {
+fn corrupt_route(transfer: &mut Transfer) {
     transfer.replace(1, *b"{}");
-    transfer.index_again();
+    transfer.reindex();
 }
 
-fn lose_callers(transfer: &mut Transfer) {
+fn clear_callers(transfer: &mut Transfer) {
     transfer.replace(0, *b"[]");
-    transfer.index_again();
+    transfer.reindex();
 }
 
-#[test_case(drop_one, |error| matches!(error, Error::Missing { .. }); "section_missing")]
-#[test_case(add_one, |error| matches!(error, Error::Unexpected { .. }); "section_not_in_the_index")]
+#[test_case(drop_section, |error| matches!(error, Error::Missing { .. }); "section_missing")]
+#[test_case(add_section, |error| matches!(error, Error::Unexpected { .. }); "section_not_in_the_index")]
 #[test_case(flip_bit, |error| matches!(error, Error::Mismatch { .. }); "bit_flipped")]
 #[test_case(swap_bodies, |error| matches!(error, Error::WrongRoute { .. }); "route_under_another_name")]
-#[test_case(spoil, |error| matches!(error, Error::Decode { .. }); "body_is_no_route")]
-#[test_case(lose_callers, |error| matches!(error, Error::Invalid { .. }); "caller_of_a_route_is_gone")]
-fn assemble_damaged_is_refused(damage: fn(&mut Transfer), is_expected: fn(&Error) -> bool) {
+#[test_case(corrupt_route, |error| matches!(error, Error::Decode { .. }); "body_is_not_a_route")]
+#[test_case(clear_callers, |error| matches!(error, Error::Invalid { .. }); "caller_of_a_route_is_missing")]
+fn assemble_damaged_is_rejected(damage: fn(&mut Transfer), is_expected: fn(&Error) -> bool) {
     let sections = sections();
     let index = Index::of(&sections);
     let mut transfer = Transfer { index, sections };
     damage(&mut transfer);
-    let error = section::assemble(&transfer.index, &transfer.sections).expect_err("it is damaged");
+    let error = section::assemble(&transfer.index, &transfer.sections)
+        .expect_err("the sections are damaged");
     assert!(is_expected(&error), "{error}");
 }
 
--- a/crates/configuration/tests/transfer.rs
+++ b/crates/configuration/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! What one daemon makes of the parts that another sends.
+//! Tests of the delta encoding between daemons.
 
 use monsoonring_configuration::section::transfer::{Base, Part, join, parts};
 use monsoonring_configuration::section::{self, Digest, Error, Index, Section};
@@ -11,7 +11,7 @@
     check::parse(example::HYDRANT.as_bytes()).expect("examples are valid")
 }
 
-fn cut(document: &Document) -> Vec<Section> {
+fn sections_of(document: &Document) -> Vec<Section> {
     section::split(document).expect("a document can be written")
 }
 
@@ -22,40 +22,43 @@
 fn edited() -> Vec<Section> {
     let mut document = document();
     document.routes[0].deadline_ms += 1;
-    cut(&document)
+    sections_of(&document)
 }
 
-fn sent(parts: &[Part]) -> usize {
-    let sent = |part: &&Part| matches!(part, Part::Sent { .. });
-    parts.iter().filter(sent).count()
+fn count_sent(parts: &[Part]) -> usize {
+    let is_sent = |part: &&Part| matches!(part, Part::Sent { .. });
+    parts.iter().filter(is_sent).count()
 }
 
 #[test]
 fn parts_one_route_changed_sends_one_section() {
-    let held = cut(&document());
+    let held = sections_of(&document());
     let parts = parts(&edited(), &Base::of(&held));
-    assert_eq!(sent(&parts), 1);
-    assert_eq!(join(parts, &held).expect("all is held"), edited());
+    assert_eq!(count_sent(&parts), 1);
+    assert_eq!(
+        join(parts, &held).expect("all positions are held"),
+        edited()
+    );
 }
 
 #[test]
 fn parts_nothing_held_sends_all() {
     let parts = parts(&edited(), &Base::default());
-    assert_eq!(sent(&parts), edited().len());
-    assert_eq!(join(parts, &[]).expect("all was sent"), edited());
+    assert_eq!(count_sent(&parts), edited().len());
+    assert_eq!(join(parts, &[]).expect("all sections were sent"), edited());
 }
 
-fn lose(mut parts: Vec<Part>) -> Vec<Part> {
+fn drop_part(mut parts: Vec<Part>) -> Vec<Part> {
     parts.pop();
     parts
 }
 
-fn shift(mut parts: Vec<Part>) -> Vec<Part> {
+fn shift_position(mut parts: Vec<Part>) -> Vec<Part> {
     let held = parts.iter_mut().find_map(|part| match part {
         Part::Held(position) => Some(position),
         Part::Sent { .. } => None,
     });
-    *held.expect("a part is held") += 1;
+    *held.expect("a held part") += 1;
     parts
 }
 
@@ -64,16 +67,16 @@
         Part::Sent { body, .. } => Some(body),
         Part::Held(_) => None,
     });
-    body.expect("a part was sent")
+    body.expect("a sent part")
 }
 
-fn shorten(mut parts: Vec<Part>) -> Vec<Part> {
+fn truncate_body(mut parts: Vec<Part>) -> Vec<Part> {
     let body = body(&mut parts);
     *body = body[..body.len() / 2].into();
     parts
 }
 
-fn change(mut parts: Vec<Part>) -> Vec<Part> {
+fn change_body(mut parts: Vec<Part>) -> Vec<Part> {
     let body = body(&mut parts);
     let mut bytes = body.to_vec();
     let last = bytes.len() - 1;
@@ -82,23 +85,23 @@
     parts
 }
 
-// Symptom: a daemon serves a configuration that no operator wrote, and hands it on.
-// Events: a section is lost, cut short or changed on its way, or a position means another section.
-// Cause: parts taken for the document without a look at the digest of the whole.
-#[test_case(lose; "section_lost")]
-#[test_case(shift; "position_of_another")]
-#[test_case(shorten; "body_cut_short")]
-#[test_case(change; "body_changed")]
+// Guards against adopting a damaged configuration: a lost, truncated or modified section or a wrong
+// position must change the digest of the document.
+#[test_case(drop_part; "section_missing")]
+#[test_case(shift_position; "position_of_another_section")]
+#[test_case(truncate_body; "body_truncated")]
+#[test_case(change_body; "body_changed")]
 fn join_damaged_has_another_digest(damage: fn(Vec<Part>) -> Vec<Part>) {
-    let held = cut(&document());
+    let held = sections_of(&document());
     let parts = damage(parts(&edited(), &Base::of(&held)));
-    let joined = join(parts, &held).expect("each position is held");
+    let joined = join(parts, &held).expect("all positions are held");
     assert_ne!(digest(&joined), digest(&edited()));
 }
 
 #[test]
-fn join_position_not_held_is_refused() {
-    let error = join(vec![Part::Held(u32::MAX)], &cut(&document())).expect_err("not held");
+fn join_position_not_held_is_rejected() {
+    let error = join(vec![Part::Held(u32::MAX)], &sections_of(&document()))
+        .expect_err("the position is not held");
     assert!(matches!(
         error,
         Error::UnknownPosition { position: u32::MAX }
@@ -108,14 +111,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever part of either document is held, in any order, the whole comes out.
+    /// Joining restores the document whichever sections of the old and new documents are held.
     #[test]
     fn join_any_held_is_the_document(
         held in prop::sample::subsequence(
-            cut(&document()).into_iter().chain(edited()).collect::<Vec<_>>(), 0..8,
+            sections_of(&document()).into_iter().chain(edited()).collect::<Vec<_>>(), 0..8,
         ).prop_shuffle(),
     ) {
         let parts = parts(&edited(), &Base::of(&held));
-        prop_assert_eq!(join(parts, &held).expect("all is held or sent"), edited());
+        prop_assert_eq!(join(parts, &held).expect("all positions are held"), edited());
     }
 }
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -12,7 +12,7 @@
 // Guards against non-idempotent requests that end as unknown after a planned stop of a peer, because
 // they were sent on a connection that had already closed.
 #[tokio::test]
-async fn is_closed_after_the_peer_closed() {
+async fn is_closed_after_the_peer_ended() {
     let listener = TcpListener::bind((LOCAL, 0)).await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     let endpoint = Endpoint::new(LOCAL, Ring::default(), Meter::default());
