--- a/crates/configuration/src/check/rule.rs
+++ b/crates/configuration/src/check/rule.rs
@@ -104,7 +104,7 @@
     let text = server.read::<&str>()?;
     Some(server.fault(
         format!("{text:?} isn't an IP address with a port"),
-        "such as \"10.1.2.3:7100\" or \"[2001:db8::1]:7100\"",
+        "an address such as \"10.1.2.3:7100\" or \"[2001:db8::1]:7100\"",
     ))
 }
 
@@ -151,7 +151,7 @@
     }
     if let Some(soft) = route.field("soft_deadline") {
         faults.push(soft.fault(
-            "an execute route has no partial answers that could be given earlier",
+            "an execute route has no partial answers",
             "no `soft_deadline`",
         ));
     }
--- a/crates/configuration/src/check/tiling.rs
+++ b/crates/configuration/src/check/tiling.rs
@@ -20,15 +20,15 @@
 pub(super) fn faults(route: &Node<'_>) -> Vec<Fault> {
     let groups = route.items("groups");
     let mut tiles: Vec<Tile<'_>> = groups.iter().filter_map(tile).collect();
-    let readable = tiles.len() == groups.len();
+    let all_readable = tiles.len() == groups.len();
     let mut faults: Vec<Fault> = tiles
         .iter()
         .filter(|tile| tile.keys.is_empty())
         .map(|tile| empty_fault(&tile.node, tile.keys))
         .collect();
-    let whole = route.field("keys");
-    let space = whole.as_ref().and_then(Node::read::<Range>);
-    if let (Some(node), Some(keys)) = (&whole, space) {
+    let keys_field = route.field("keys");
+    let space = keys_field.as_ref().and_then(Node::read::<Range>);
+    if let (Some(node), Some(keys)) = (&keys_field, space) {
         if keys.is_empty() {
             faults.push(empty_fault(node, keys));
             return faults;
@@ -37,9 +37,9 @@
     tiles.retain(|tile| !tile.keys.is_empty());
     tiles.sort_by_key(|tile| tile.keys);
     faults.extend(overlaps(&tiles));
-    if let (Some(node), Some(space)) = (whole, space) {
+    if let (Some(node), Some(space)) = (keys_field, space) {
         faults.extend(outside(&tiles, space));
-        if readable && !tiles.is_empty() {
+        if all_readable && !tiles.is_empty() {
             faults.extend(holes(&tiles, space, &node));
         }
     }
@@ -82,7 +82,7 @@
             "the range {} overlaps {} ({}) in {common}",
             tile.keys, before.keys, before.node.path
         ),
-        "ranges of which no two hold the same key",
+        "ranges that don't overlap",
     ))
 }
 
--- a/crates/configuration/src/id.rs
+++ b/crates/configuration/src/id.rs
@@ -1,4 +1,6 @@
 //! Type aliases for the ids that all crates share.
+//!
+//! They are not newtypes because conversions between crates would not add any checks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/wire/examples/sections.rs
+++ b/crates/wire/examples/sections.rs
@@ -1,8 +1,8 @@
-//! Measures what it costs to fetch a document in which one route has changed: the whole text, as
-//! daemons did at first, and the sections that differ.
+//! Measures the bytes to fetch a document in which one route has changed, as the whole text and as the
+//! sections that differ.
 //!
-//! Bytes are counted at the sockets, both ways, with the handshake of the seal left out. Two sorts of
-//! documents: routes of 10 groups of 3 backend servers, and routes ten times as large.
+//! Bytes are counted at the sockets in both directions, without the handshake. Routes have 10 or 100
+//! groups of 3 backend servers.
 
 use futures::StreamExt;
 use monsoonring_configuration::document::{Document, Route};
@@ -102,14 +102,14 @@
     let before = total(&meter);
     let fetching = client.sections(context::current(), server.version, Base::of(held));
     let answer = fetching.await?.ok_or("an answer")?;
-    let sent = |part: &&Part| matches!(part, Part::Sent { .. });
-    assert!(held.is_empty() || answer.parts.iter().filter(sent).count() == 1);
+    let is_sent = |part: &&Part| matches!(part, Part::Sent { .. });
+    assert!(held.is_empty() || answer.parts.iter().filter(is_sent).count() == 1);
     let joined = transfer::join(answer.parts, held)?;
     assert_eq!(Index::of(&joined).digest().half(), server.version.digest);
     Ok(total(&meter) - before)
 }
 
-/// Opens a sealed connection; the meter counts the client's end.
+/// Opens an encrypted connection whose client counts its bytes in the returned meter.
 async fn open(server: &Server) -> Result<(FetchClient, Meter)> {
     let listener = TcpListener::bind((LOCAL, 0)).await?;
     let address = listener.local_addr()?;
