--- a/crates/cli/src/command/explain.rs
+++ b/crates/cli/src/command/explain.rs
@@ -4,7 +4,7 @@
 //! other's decisions. So several daemons can be asked at once, and their decisions are put in order.
 
 use crate::arguments::Explain;
-use crate::command::story;
+use crate::command::timeline;
 use crate::exit::Code;
 use crate::output::Output;
 use crate::peer::{self, Peer};
@@ -73,7 +73,7 @@
 /// Asks the daemons and reports their decisions.
 pub(crate) async fn run(explain: &Explain, output: Output) -> Code {
     if let (false, Some(id)) = (explain.logs.is_empty(), &explain.request) {
-        return story::run(explain, id, output);
+        return timeline::run(explain, id, output);
     }
     let timeout = Duration::from_millis(explain.timeout_ms);
     let mut exchanges = JoinSet::new();
--- a/crates/cli/src/command/mod.rs
+++ b/crates/cli/src/command/mod.rs
@@ -9,4 +9,4 @@
 mod request;
 mod state;
 pub(crate) mod status;
-pub(crate) mod story;
+pub(crate) mod timeline;
--- a/crates/cli/src/command/story.rs
+++ b/crates/cli/src/command/timeline.rs
@@ -1,4 +1,4 @@
-//! `monsoonring explain --log`: the story of one request, out of the daemons' logs.
+//! `monsoonring explain --log`: the timeline of one request, out of the daemons' logs.
 //!
 //! Whoever is on call after a complaint has the id that the client gave its request, and the logs. The
 //! line that ends a request holds that id beside the daemon's own, under which the decisions were
@@ -16,8 +16,8 @@
 use std::fmt::{self, Formatter};
 use std::net::SocketAddr;
 
-/// Time before the request within which what was learned of a server is part of the story.
-const BEFORE_NANOS: i128 = 5_000_000_000;
+/// Time before the request within which what was learned of a server is part of the timeline.
+const CONTEXT_NANOS: i128 = 5_000_000_000;
 
 /// Member of a line that says nothing of the request.
 const LEVEL: &str = "level";
@@ -46,9 +46,9 @@
     /// of each of several decisions in one line.
     fn servers(&self) -> Vec<&str> {
         let reason = self.rest.get("reason").and_then(Value::as_str);
-        let each = reason.unwrap_or_default().split("; ");
-        let named = each.filter_map(|one| one.split_once(": ").map(|(server, _)| server));
-        let addresses = named.filter(|server| server.parse::<SocketAddr>().is_ok());
+        let decisions = reason.unwrap_or_default().split("; ");
+        let prefixes = decisions.filter_map(|part| part.split_once(": ").map(|(server, _)| server));
+        let addresses = prefixes.filter(|server| server.parse::<SocketAddr>().is_ok());
         self.backend_server
             .as_deref()
             .into_iter()
@@ -57,9 +57,9 @@
     }
 }
 
-/// One line of the story.
+/// One line of the timeline.
 #[derive(Debug, Serialize)]
-struct Step {
+struct Entry {
     /// Milliseconds since the first line that names the request.
     after_ms: f64,
     host: String,
@@ -70,14 +70,14 @@
 
 /// What the logs tell of a request.
 #[derive(Debug, Serialize)]
-struct Story {
+struct Timeline {
     id: String,
     /// Lines that could not be read; logs may begin or end in the middle of one.
     unreadable: usize,
-    steps: Vec<Step>,
+    steps: Vec<Entry>,
 }
 
-/// Reads the logs and tells the story of the request with this id.
+/// Reads the logs and tells the timeline of the request with this id.
 pub(crate) fn run(explain: &Explain, id: &str, output: Output) -> Code {
     let mut text = String::new();
     for name in &explain.logs {
@@ -92,19 +92,19 @@
             }
         }
     }
-    let story = tell(&text, id);
-    if story.steps.is_empty() {
+    let timeline = build(&text, id);
+    if timeline.steps.is_empty() {
         output.notice(&format!(
             "explain: no line of the logs names {id}; its host may have written none, or dropped it \
              (monsoonring_log_lines_dropped_total)"
         ));
         return Code::Usage;
     }
-    output.report(&story);
+    output.report(&timeline);
     Code::Success
 }
 
-fn tell(text: &str, id: &str) -> Story {
+fn build(text: &str, id: &str) -> Timeline {
     let (mut lines, unreadable) = read(text);
     lines.sort_by_key(|line| line.at);
     let requests: BTreeSet<&str> = lines
@@ -112,41 +112,41 @@
         .filter(|line| line.id.as_deref() == Some(id) || line.request.as_deref() == Some(id))
         .filter_map(|line| line.request.as_deref())
         .collect();
-    let names = |line: &&Line| {
+    let is_named = |line: &&Line| {
         let request = line.request.as_deref();
-        line.id.as_deref() == Some(id) || request.is_some_and(|one| requests.contains(one))
+        line.id.as_deref() == Some(id) || request.is_some_and(|request| requests.contains(request))
     };
-    let own: Vec<&Line> = lines.iter().filter(names).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Story {
+    let named: Vec<&Line> = lines.iter().filter(is_named).collect();
+    let (Some(first), Some(last)) = (named.first(), named.last()) else {
+        return Timeline {
             id: id.to_owned(),
             unreadable,
             steps: Vec::new(),
         };
     };
     let start = first.at;
-    let span = Span {
-        from: start - BEFORE_NANOS,
+    let window = Window {
+        from: start - CONTEXT_NANOS,
         start,
         end: last.at,
-        hosts: own.iter().map(|line| &*line.host).collect(),
-        servers: own.iter().flat_map(|line| line.servers()).collect(),
+        hosts: named.iter().map(|line| &*line.host).collect(),
+        servers: named.iter().flat_map(|line| line.servers()).collect(),
     };
-    let told = lines
+    let selected = lines
         .iter()
-        .filter(|line| names(line) || span.concerns(line));
-    let mut told: Vec<&Line> = told.collect();
-    told.extend(span.known(&lines));
-    told.sort_by_key(|line| line.at);
-    Story {
+        .filter(|line| is_named(line) || window.includes(line));
+    let mut selected: Vec<&Line> = selected.collect();
+    selected.extend(window.context(&lines));
+    selected.sort_by_key(|line| line.at);
+    Timeline {
         id: id.to_owned(),
         unreadable,
-        steps: told.iter().map(|line| step(line, start)).collect(),
+        steps: selected.iter().map(|line| entry(line, start)).collect(),
     }
 }
 
 /// When, where and at which servers the request was.
-struct Span<'a> {
+struct Window<'a> {
     from: i128,
     start: i128,
     end: i128,
@@ -154,28 +154,28 @@
     servers: BTreeSet<&'a str>,
 }
 
-impl Span<'_> {
+impl Window<'_> {
     /// Tells whether a line is about a server that the request was sent to, by a host that sent it.
-    fn concerns(&self, line: &Line) -> bool {
+    fn includes(&self, line: &Line) -> bool {
         let server = line.backend_server.as_deref();
-        let is_there = server.is_some_and(|server| self.servers.contains(server));
-        let is_then = self.from <= line.at && line.at <= self.end;
-        line.request.is_none() && is_there && is_then && self.hosts.contains(&*line.host)
+        let is_same_server = server.is_some_and(|server| self.servers.contains(server));
+        let is_within = self.from <= line.at && line.at <= self.end;
+        line.request.is_none() && is_same_server && is_within && self.hosts.contains(&*line.host)
     }
 
     /// Returns the last lines before the request in which each host learned of the configuration, its
     /// servers and the store: what it went by, and since when.
-    fn known<'a>(&self, lines: &'a [Line]) -> Vec<&'a Line> {
-        let mut known = Vec::new();
+    fn context<'a>(&self, lines: &'a [Line]) -> Vec<&'a Line> {
+        let mut context = Vec::new();
         for host in &self.hosts {
             for message in ["configuration", "backend servers", "store"] {
-                let is_it = |line: &&Line| {
+                let is_match = |line: &&Line| {
                     line.msg == message && line.host == **host && line.at <= self.start
                 };
-                known.extend(lines.iter().rfind(is_it));
+                context.extend(lines.iter().rfind(is_match));
             }
         }
-        known
+        context
     }
 }
 
@@ -214,16 +214,16 @@
     seconds * 1_000_000_000 + fraction[..9].parse::<i128>().unwrap_or(0)
 }
 
-fn step(line: &Line, start: i128) -> Step {
+fn entry(line: &Line, start: i128) -> Entry {
     let what = match line.decision.as_str() {
         "" => line.msg.clone(),
         decision => decision.to_owned(),
     };
     let why = match line.rest.get("reason").and_then(Value::as_str) {
         Some(reason) if line.msg == "decision" => reason.to_owned(),
-        _ => members(line),
+        _ => fields(line),
     };
-    Step {
+    Entry {
         after_ms: (line.at - start) as f64 / 1e6,
         host: line.host.clone(),
         what,
@@ -235,7 +235,7 @@
     }
 }
 
-fn members(line: &Line) -> String {
+fn fields(line: &Line) -> String {
     let rest = line.rest.iter();
     let rest = rest.filter(|(name, value)| *name != LEVEL && !value.is_null());
     let texts: Vec<String> = rest
@@ -247,16 +247,16 @@
     texts.join(" ")
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let mut table = Table::new(&["after", "host", "what", "to", "why"]);
-        for step in &self.steps {
+        for entry in &self.steps {
             table.row(vec![
-                format!("{:.1} ms", step.after_ms),
-                step.host.clone(),
-                step.what.clone(),
-                step.to.clone(),
-                step.why.clone(),
+                format!("{:.1} ms", entry.after_ms),
+                entry.host.clone(),
+                entry.what.clone(),
+                entry.to.clone(),
+                entry.why.clone(),
             ]);
         }
         write!(f, "{table}")
