--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,20 +1,20 @@
-//! The command line.
+//! Command-line arguments.
 
 use crate::exit;
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time that an exchange with a daemon may take beyond the deadline of the request.
-const MARGIN: Duration = Duration::from_secs(2);
-/// Time that an exchange may take where the request names no deadline.
+/// Time that an exchange with a daemon may take beyond the request's deadline.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(2);
+/// Deadline assumed for the exchange's timeout if the request has none.
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
 
 /// Checks configurations, sends requests as a caller would, and shows what the daemons do.
 #[derive(Debug, Parser)]
 #[command(name = "monsoonring", version, after_help = exit::HELP)]
 pub(crate) struct Arguments {
-    /// Write JSON for scripts in place of text for people.
+    /// Write JSON instead of text.
     #[arg(long, global = true)]
     pub(crate) json: bool,
     #[command(subcommand)]
@@ -42,38 +42,38 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct Check {
-    /// The document, or `-` for the standard input.
+    /// File with the document, or `-` for standard input.
     pub(crate) file: String,
-    /// The document now in force, to show the difference to it.
+    /// The document in force; shows what the checked document would change in it.
     #[arg(long, value_name = "OTHER")]
     pub(crate) against: Option<String>,
-    /// Check a configuration as it is published in the store of the users' platform.
+    /// Check a configuration in the format that the users' platform publishes in its store.
     #[arg(long, conflicts_with = "against")]
     pub(crate) platform: bool,
 }
 
-/// Who asks which daemon, and for how long.
+/// Daemon that receives a request, and the caller that the request is sent as.
 #[derive(Clone, Debug, Args)]
 pub(crate) struct Caller {
-    /// The address on which a daemon takes requests.
+    /// Address on which the daemon serves requests.
     #[arg(long, value_name = "ADDR", env = "MONSOONRING_DAEMON")]
     pub(crate) daemon: SocketAddr,
-    /// The caller's name.
+    /// Name of the caller.
     #[arg(long = "caller", value_name = "NAME", env = "MONSOONRING_CALLER")]
     pub(crate) name: String,
-    /// The caller's bearer token, where it has one.
+    /// Bearer token of the caller, if it has one.
     #[arg(long, env = "MONSOONRING_TOKEN", hide_env_values = true)]
     pub(crate) token: Option<String>,
-    /// Time that remains for the request, in milliseconds; the route's deadline if absent.
+    /// Deadline of the request, in milliseconds from now; the route's deadline if absent.
     #[arg(long, value_name = "MS")]
     pub(crate) deadline_ms: Option<u64>,
 }
 
 impl Caller {
-    /// Returns the time after which no answer is expected any more.
+    /// Returns the timeout of one exchange: the request's deadline and a margin.
     pub(crate) fn timeout(&self) -> Duration {
         let remaining = self.deadline_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
-        Duration::from_millis(remaining).saturating_add(MARGIN)
+        Duration::from_millis(remaining).saturating_add(DEADLINE_MARGIN)
     }
 }
 
@@ -83,7 +83,7 @@
     pub(crate) caller: Caller,
     /// Name of the route.
     pub(crate) route: String,
-    /// The search, JSON text, or `-` for the standard input.
+    /// The search as JSON text, or `-` for standard input.
     pub(crate) body: String,
 }
 
@@ -91,32 +91,32 @@
 pub(crate) struct Execute {
     #[command(flatten)]
     pub(crate) caller: Caller,
-    /// Key of the request; one is fetched from the daemon if absent. Send a request again with the
+    /// Idempotency key of the request; fetched from the daemon if absent. Retry a request with the
     /// key of its first send, or it may run twice.
     #[arg(long, value_name = "KEY")]
     pub(crate) idempotency_key: Option<String>,
-    /// Number of the send, from 1, where the key is the caller's own.
+    /// Number of this send, from 1, if the caller chose the key itself.
     #[arg(long, value_name = "N", requires = "idempotency_key")]
     pub(crate) send: Option<u64>,
     /// Name of the route.
     pub(crate) route: String,
-    /// The request, JSON text, or `-` for the standard input.
+    /// The request as JSON text, or `-` for standard input.
     pub(crate) body: String,
 }
 
 #[derive(Debug, Args)]
 pub(crate) struct Status {
-    /// The operator address of a daemon; may be given several times.
+    /// Operator address of a daemon; may be given several times.
     #[arg(long = "daemon", value_name = "ADDR", required = true)]
     pub(crate) daemons: Vec<SocketAddr>,
-    /// Time to wait for each daemon, in milliseconds.
+    /// Timeout for each daemon, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 2_000)]
     pub(crate) timeout_ms: u64,
 }
 
 #[derive(Debug, Args)]
 pub(crate) struct Explain {
-    /// The operator address of a daemon; may be given several times.
+    /// Operator address of a daemon; may be given several times.
     #[arg(
         long = "daemon",
         value_name = "ADDR",
@@ -124,7 +124,7 @@
         conflicts_with = "logs"
     )]
     pub(crate) daemons: Vec<SocketAddr>,
-    /// Id of the request, 32 hexadecimal digits; with `--log` also the id that its client gave it.
+    /// Id of the request, 32 hexadecimal digits; with `--log`, the client's own id also works.
     #[arg(
         long,
         value_name = "ID",
@@ -132,8 +132,8 @@
         conflicts_with = "route"
     )]
     pub(crate) request: Option<String>,
-    /// The log of a daemon in place of the daemon, or `-` for the standard input; may be given
-    /// several times.
+    /// Log file of a daemon to read instead of asking a daemon, or `-` for standard input; may be
+    /// given several times.
     #[arg(long = "log", value_name = "FILE", requires = "request")]
     pub(crate) logs: Vec<String>,
     /// Name of the route.
@@ -142,7 +142,7 @@
     /// Address of a backend server of the route.
     #[arg(long, value_name = "ADDR", requires = "route")]
     pub(crate) backend_server: Option<SocketAddr>,
-    /// Time to wait for each daemon, in milliseconds.
+    /// Timeout for each daemon, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 2_000)]
     pub(crate) timeout_ms: u64,
 }
--- a/crates/cli/src/command/check.rs
+++ b/crates/cli/src/command/check.rs
@@ -1,7 +1,7 @@
-//! `monsoonring check`: whether a document may be published, and what it would change.
+//! `monsoonring check`: checks a configuration document and shows what it would change.
 //!
-//! The checks are those of the daemon and of the console; a document that passes here is in force
-//! after its publication, and one that fails here would be rejected whole.
+//! The checks are those of the daemon and the console: a document that passes here comes into force
+//! once it is published, and one that fails would be rejected as a whole.
 
 use crate::arguments::Check;
 use crate::command::input;
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use std::fmt::{self, Formatter};
 
-/// What a check found.
+/// Result of a check.
 #[derive(Debug, Serialize)]
 struct Report {
     document: String,
@@ -25,7 +25,7 @@
     difference: Option<Difference>,
 }
 
-/// Checks the document, and the other one if there is one, and reports faults and difference.
+/// Checks the document and reports its faults, or its difference from the `--against` document.
 pub(crate) fn run(check: &Check, output: Output) -> Code {
     match compare(check) {
         Ok(report) => {
@@ -41,7 +41,7 @@
 
 fn compare(check: &Check) -> input::Result<Report> {
     if check.platform {
-        return published(check);
+        return check_platform(check);
     }
     let new = parse(&check.file)?;
     let old = check.against.as_deref().map(parse).transpose()?;
@@ -49,8 +49,8 @@
         (Some(Ok(old)), Ok(new)) => Some(difference::between(old, new)),
         _ => None,
     };
-    // The document in force was checked before it came into force. Faults in it mean that OTHER is
-    // something else, and a difference to it would mislead.
+    // The document in force passed these checks when it was published. If OTHER has faults, it is not
+    // that document, and a difference from it would mislead: report its faults instead.
     let (document, faults) = match (new, old) {
         (Err(faults), _) => (&check.file, faults),
         (Ok(_), Some(Err(faults))) => (check.against.as_ref().unwrap_or(&check.file), faults),
@@ -65,8 +65,8 @@
     })
 }
 
-/// Checks a configuration as it is published in the platform's store.
-fn published(check: &Check) -> input::Result<Report> {
+/// Checks a configuration in the format of the platform's store.
+fn check_platform(check: &Check) -> input::Result<Report> {
     let faults = monsoonring_platform::document::faults(&input::file(&check.file)?);
     Ok(Report {
         document: check.file.clone(),
@@ -77,7 +77,7 @@
     })
 }
 
-/// Reads a document; the inner error has all its faults.
+/// Reads and parses a document. The inner error holds all its faults.
 fn parse(name: &str) -> input::Result<Result<Document, Vec<Fault>>> {
     let bytes = input::file(name)?;
     Ok(check::parse(&bytes).map_err(|error| error.faults))
--- a/crates/cli/src/command/disagreement.rs
+++ b/crates/cli/src/command/disagreement.rs
@@ -1,14 +1,16 @@
-//! Where daemons see things differently, in sentences.
+//! Describes where the states of several daemons differ.
 //!
-//! For some seconds after each change this is how news spreads. A disagreement that stays is a
-//! partition, a configuration that does not spread, or two documents under one revision.
+//! Daemons differ for some seconds after each change, until gossip has reached all of them. A lasting
+//! difference indicates a network partition, a configuration that does not spread, or two documents
+//! with the same revision.
 
 use super::state::State;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Says all that the daemons see differently, and what each of them knows to be wrong with itself.
-pub(super) fn among(states: &[(SocketAddr, &State)]) -> Vec<String> {
+/// Returns a line for each difference between the daemons, and for each problem that a daemon reports
+/// about itself.
+pub(super) fn describe(states: &[(SocketAddr, &State)]) -> Vec<String> {
     let mut lines = versions(states);
     lines.extend(members(states));
     lines.extend(homes(states));
@@ -16,18 +18,19 @@
     lines.extend(
         states
             .iter()
-            .flat_map(|(address, state)| own(*address, state)),
+            .flat_map(|(address, state)| reported(*address, state)),
     );
     lines
 }
 
+/// Returns a line for each configuration in force if there are several.
 fn versions(states: &[(SocketAddr, &State)]) -> Vec<String> {
-    let mut by: BTreeMap<_, Vec<SocketAddr>> = BTreeMap::new();
+    let mut versions: BTreeMap<_, Vec<SocketAddr>> = BTreeMap::new();
     for (address, state) in states {
         let version = (state.revision, state.digest.clone());
-        by.entry(version).or_default().push(*address);
+        versions.entry(version).or_default().push(*address);
     }
-    if by.len() <= 1 {
+    if versions.len() <= 1 {
         return Vec::new();
     }
     let line = |((revision, digest), at): ((Option<u64>, Option<String>), Vec<SocketAddr>)| {
@@ -37,29 +40,29 @@
         );
         format!("{revision}: in force at {}", list(&at))
     };
-    by.into_iter().map(line).collect()
+    versions.into_iter().map(line).collect()
 }
 
-/// Members that some daemons see in one state, and some in another or not at all.
+/// Returns a line for each member that daemons see in different states, or that only some know.
 fn members(states: &[(SocketAddr, &State)]) -> Vec<String> {
-    let mut seen: BTreeMap<SocketAddr, BTreeMap<&str, Vec<SocketAddr>>> = BTreeMap::new();
+    let mut views: BTreeMap<SocketAddr, BTreeMap<&str, Vec<SocketAddr>>> = BTreeMap::new();
     for (at, state) in states {
         for member in &state.members {
-            let by = seen.entry(member.address).or_default();
-            by.entry(&member.state).or_default().push(*at);
+            let by_state = views.entry(member.address).or_default();
+            by_state.entry(&member.state).or_default().push(*at);
         }
     }
-    for by in seen.values_mut() {
-        let known: BTreeSet<SocketAddr> = by.values().flatten().copied().collect();
+    for by_state in views.values_mut() {
+        let known: BTreeSet<SocketAddr> = by_state.values().flatten().copied().collect();
         let others = states.iter().map(|(at, _)| *at);
         let others: Vec<_> = others.filter(|at| !known.contains(at)).collect();
         if !others.is_empty() {
-            by.insert("not known", others);
+            by_state.insert("not known", others);
         }
     }
-    let differing = seen.into_iter().filter(|(_, by)| by.len() > 1);
-    let line = |(member, by): (SocketAddr, BTreeMap<&str, Vec<SocketAddr>>)| {
-        let parts = by
+    let differing = views.into_iter().filter(|(_, by_state)| by_state.len() > 1);
+    let line = |(member, by_state): (SocketAddr, BTreeMap<&str, Vec<SocketAddr>>)| {
+        let parts = by_state
             .into_iter()
             .map(|(state, at)| format!("{state} at {}", list(&at)));
         let parts: Vec<String> = parts.collect();
@@ -68,19 +71,19 @@
     differing.map(line).collect()
 }
 
-/// Routes whose homes some daemons compute differently: they may hold more connections than they
-/// should until they agree.
+/// Returns a line for each route whose homes the daemons compute differently. Until they agree, they
+/// may hold more connections than the route allows.
 fn homes(states: &[(SocketAddr, &State)]) -> Vec<String> {
     let mut views: BTreeMap<&str, BTreeMap<&[SocketAddr], Vec<SocketAddr>>> = BTreeMap::new();
     for (at, state) in states {
         for (route, homes) in &state.homes {
-            let by = views.entry(route).or_default();
-            by.entry(homes).or_default().push(*at);
+            let by_homes = views.entry(route).or_default();
+            by_homes.entry(homes).or_default().push(*at);
         }
     }
-    let differing = views.into_iter().filter(|(_, by)| by.len() > 1);
-    let line = |(route, by): (&str, BTreeMap<&[SocketAddr], Vec<SocketAddr>>)| {
-        let parts = by.into_iter();
+    let differing = views.into_iter().filter(|(_, by_homes)| by_homes.len() > 1);
+    let line = |(route, by_homes): (&str, BTreeMap<&[SocketAddr], Vec<SocketAddr>>)| {
+        let parts = by_homes.into_iter();
         let parts = parts.map(|(homes, at)| format!("{} at {}", list(homes), list(&at)));
         let parts: Vec<String> = parts.collect();
         format!("homes of {route}: {}", parts.join("; "))
@@ -88,7 +91,7 @@
     differing.map(line).collect()
 }
 
-/// Backend servers that some homes of a route give no new work, and other homes do.
+/// Returns a line for each backend server that only some of the homes that use it treat as leaving.
 fn leaving(states: &[(SocketAddr, &State)]) -> Vec<String> {
     let all: BTreeSet<SocketAddr> = states
         .iter()
@@ -96,22 +99,23 @@
         .collect();
     let line = |server: SocketAddr| {
         let serves = |state: &State| state.serves(server);
-        let (told, untold): (Vec<_>, Vec<_>) = states
+        let (aware, unaware): (Vec<_>, Vec<_>) = states
             .iter()
             .filter(|(_, state)| serves(state))
             .partition(|(_, state)| state.leaving.contains(&server));
         let addresses = |states: Vec<&(SocketAddr, &State)>| {
             list(&states.into_iter().map(|(at, _)| *at).collect::<Vec<_>>())
         };
-        (!untold.is_empty()).then(|| {
-            let (told, untold) = (addresses(told), addresses(untold));
-            format!("backend server {server}: leaving at {told}, not at {untold}")
+        (!unaware.is_empty()).then(|| {
+            let (aware, unaware) = (addresses(aware), addresses(unaware));
+            format!("backend server {server}: leaving at {aware}, not at {unaware}")
         })
     };
     all.into_iter().filter_map(line).collect()
 }
 
-fn own(address: SocketAddr, state: &State) -> Vec<String> {
+/// Returns the problems that a daemon reports about itself.
+fn reported(address: SocketAddr, state: &State) -> Vec<String> {
     let mut lines = Vec::new();
     if state.isolated {
         lines.push(format!(
@@ -120,7 +124,7 @@
     }
     if state.conflicts > 0 {
         lines.push(format!(
-            "{address} saw {} documents under a revision that another one has: publish again",
+            "{address} saw {} documents that share a revision with another one: publish again",
             state.conflicts
         ));
     }
--- a/crates/cli/src/command/execute.rs
+++ b/crates/cli/src/command/execute.rs
@@ -1,8 +1,8 @@
-//! `monsoonring execute`: one non-idempotent request.
+//! `monsoonring execute`: sends one non-idempotent request.
 //!
-//! The key is written to the standard error before the request leaves. If the command is stopped or
-//! the answer lost, the operator can then send the request again under the same key; without the key
-//! a second send would be a second request.
+//! The idempotency key is written to standard error before the request is sent. If the command is
+//! stopped or the answer is lost, the operator can retry with the same key; with another key, the
+//! request might run twice.
 
 use crate::arguments::Execute;
 use crate::command::input;
@@ -15,7 +15,7 @@
 const KEY_HEADER: &str = "idempotency-key";
 const SEND_HEADER: &str = "monsoonring-send";
 
-/// Sends the request, with a key fetched first where none was given, and reports the result.
+/// Sends the request and reports the result. Fetches a key first if none was given.
 pub(crate) async fn run(execute: Execute, output: Output) -> Code {
     let body = match input::body(&execute.body) {
         Ok(body) => body,
@@ -50,8 +50,7 @@
     report
 }
 
-/// Returns the given key, or one that the daemon issues. Fetching a key runs nothing, so whatever
-/// goes wrong here, the request did not run.
+/// Returns the given key, or fetches one from the daemon. If this fails, the request did not run.
 async fn key(execute: &Execute) -> Result<String, Box<Report>> {
     if let Some(key) = &execute.idempotency_key {
         return Ok(key.clone());
@@ -61,7 +60,7 @@
     let exchange = peer(&execute.caller)
         .post(&path, &headers, String::new())
         .await;
-    if let Some(key) = exchange.as_ref().ok().and_then(issued) {
+    if let Some(key) = exchange.as_ref().ok().and_then(issued_key) {
         return Ok(key);
     }
     let mut report = Report::new(execute.caller.daemon, Nature::Idempotent, exchange);
@@ -71,7 +70,7 @@
     Err(Box::new(report))
 }
 
-fn issued(answer: &Answer) -> Option<String> {
+fn issued_key(answer: &Answer) -> Option<String> {
     if answer.status != StatusCode::CREATED {
         return None;
     }
--- a/crates/cli/src/command/explain.rs
+++ b/crates/cli/src/command/explain.rs
@@ -1,7 +1,8 @@
-//! `monsoonring explain`: the decisions on a request or on a backend server.
+//! `monsoonring explain`: shows the decisions on a request or the state of a backend server.
 //!
-//! The daemon that took a request chose its home, and the home the backend servers; neither knows the
-//! other's decisions. So several daemons can be asked at once, and their decisions are put in order.
+//! The daemon that received a request chose its home, and the home chose the backend servers. Neither
+//! knows the other's decisions, so the command queries several daemons and merges their decisions by
+//! age.
 
 use crate::arguments::Explain;
 use crate::command::timeline;
@@ -20,7 +21,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// One decision, as far as the command shows it to people.
+/// The fields of a decision that the text output shows.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 struct Decision {
@@ -32,7 +33,7 @@
     reason: String,
 }
 
-/// What a daemon explains: a request by the decisions on it, a backend server by what is known of it.
+/// A daemon's explanation: the decisions on a request, or the state of a backend server.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Explanation {
@@ -40,21 +41,21 @@
     BackendServer { backend_server: Map<String, Value> },
 }
 
-/// What one daemon said.
+/// Answer of one daemon.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Answer {
-    /// It knows something.
+    /// It knows the request or backend server.
     Known(Known),
-    /// It knows nothing of it.
+    /// It does not know the request or backend server.
     Unknown,
-    /// Its answer could not be understood.
+    /// Its answer could not be parsed.
     Unreadable(String),
-    /// It gave no answer.
+    /// It did not answer.
     Unreachable(String),
 }
 
-/// An explanation, whole for scripts and as a table for people.
+/// An explanation: the complete JSON for scripts, and the parsed fields for text output.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 struct Known {
@@ -63,14 +64,14 @@
     explanation: Explanation,
 }
 
-/// What all daemons said.
+/// Answers of all daemons.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 struct Report {
     daemons: BTreeMap<SocketAddr, Answer>,
 }
 
-/// Asks the daemons and reports their decisions.
+/// Queries the daemons concurrently and reports their explanations; with `--log`, reads logs instead.
 pub(crate) async fn run(explain: &Explain, output: Output) -> Code {
     if let (false, Some(id)) = (explain.logs.is_empty(), &explain.request) {
         return timeline::run(explain, id, output);
@@ -83,7 +84,7 @@
     }
     let daemons = exchanges.join_all().await.into_iter().collect();
     let report = Report { daemons };
-    for line in report.silences() {
+    for line in report.errors() {
         output.notice(&line);
     }
     output.report(&report);
@@ -113,14 +114,14 @@
     if !answer.status.is_success() {
         return Answer::Unreadable(format!("status {}", answer.status.as_u16()));
     }
-    match (read(&answer.body), read(&answer.body)) {
+    match (parse(&answer.body), parse(&answer.body)) {
         (Ok(raw), Ok(explanation)) => Answer::Known(Known { raw, explanation }),
-        (Err(why), _) | (_, Err(why)) => Answer::Unreadable(why),
+        (Err(error), _) | (_, Err(error)) => Answer::Unreadable(error),
     }
 }
 
-fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, String> {
-    serde_json::from_slice(body).map_err(|error| format!("read the answer: {error}"))
+fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, String> {
+    serde_json::from_slice(body).map_err(|error| format!("parse the answer: {error}"))
 }
 
 impl Report {
@@ -132,8 +133,8 @@
         })
     }
 
-    /// Says of each daemon that explained nothing why.
-    fn silences(&self) -> Vec<String> {
+    /// Returns an error line for each daemon that gave no explanation.
+    fn errors(&self) -> Vec<String> {
         let answers = self.daemons.iter();
         let line = |(address, answer): (&SocketAddr, &Answer)| match answer {
             Answer::Known(_) => None,
@@ -141,22 +142,25 @@
                 "explain, daemon {address}: nothing is known of it here; ask the daemon that took \
                  the request, and the homes of its route"
             )),
-            Answer::Unreadable(why) => Some(format!("explain, daemon {address}: {why}")),
-            Answer::Unreachable(why) => Some(why.clone()),
+            Answer::Unreadable(error) => Some(format!("explain, daemon {address}: {error}")),
+            Answer::Unreachable(error) => Some(error.clone()),
         };
         answers.filter_map(line).collect()
     }
 
     fn code(&self) -> Code {
-        let is_silent = |answer: &Answer| matches!(answer, Answer::Unreachable(_));
-        match (self.known().next(), self.daemons.values().any(is_silent)) {
+        let is_unreachable = |answer: &Answer| matches!(answer, Answer::Unreachable(_));
+        match (
+            self.known().next(),
+            self.daemons.values().any(is_unreachable),
+        ) {
             (Some(_), _) => Code::Success,
             (None, true) => Code::Unreachable,
             (None, false) => Code::Usage,
         }
     }
 
-    /// Returns the decisions of all daemons on a request, the oldest first.
+    /// Returns the decisions of all daemons on a request, oldest first.
     fn decisions(&self) -> Vec<(SocketAddr, &Decision)> {
         let mut all = Vec::new();
         for (address, explanation) in self.known() {
@@ -173,32 +177,32 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let decisions = self.decisions();
         if !decisions.is_empty() {
-            write!(f, "{}", table_of(&decisions))?;
+            write!(f, "{}", decision_table(&decisions))?;
         }
         for (address, explanation) in self.known() {
             if let Explanation::BackendServer { backend_server } = explanation {
-                write!(f, "{}", fields(address, backend_server))?;
+                write!(f, "{}", server_table(address, backend_server))?;
             }
         }
         Ok(())
     }
 }
 
-fn table_of(decisions: &[(SocketAddr, &Decision)]) -> Table {
+fn decision_table(decisions: &[(SocketAddr, &Decision)]) -> Table {
     let mut table = Table::new(&["ago", "daemon", "route", "decision", "to", "reason"]);
     for (address, decision) in decisions {
-        table.row(decision.cells(*address));
+        table.add_row(decision.cells(*address));
     }
     table
 }
 
-fn fields(daemon: SocketAddr, server: &Map<String, Value>) -> Table {
+fn server_table(daemon: SocketAddr, server: &Map<String, Value>) -> Table {
     let mut table = Table::new(&["field", &format!("at {daemon}")]);
     for (name, value) in server {
         let text = value
             .as_str()
             .map_or_else(|| value.to_string(), str::to_owned);
-        table.row(vec![name.clone(), text]);
+        table.add_row(vec![name.clone(), text]);
     }
     table
 }
--- a/crates/cli/src/command/input.rs
+++ b/crates/cli/src/command/input.rs
@@ -1,37 +1,38 @@
-//! Reading what the operator hands over.
+//! Reads files, standard input and request bodies.
 
 use snafu::{ResultExt, Snafu};
 use std::io::Read;
 
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
 /// Result of reading input.
 pub(crate) type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why input could not be read.
+/// Error of reading input.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
-    /// The file or the standard input could not be read.
+    /// The file or standard input could not be read.
     #[snafu(display("read {name}: {source}"))]
     Read {
-        /// Name of the input.
+        /// File name, or a name for standard input.
         name: String,
-        /// What went wrong.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The body of a request is no JSON.
-    #[snafu(display("the body is no JSON: {source}"))]
+    /// The body of a request is not valid JSON.
+    #[snafu(display("the body is not valid JSON: {source}"))]
     Json {
-        /// What went wrong.
+        /// The parse error, with its position.
         source: serde_json::Error,
     },
 }
 
-/// Reads a file, or the standard input for `-`.
+/// Reads a file, or standard input for `-`.
 ///
 /// # Errors
 ///
-/// [`Error::Read`] where it cannot be read.
+/// Returns [`Error::Read`] if it cannot be read.
 pub(crate) fn file(name: &str) -> Result<Vec<u8>> {
     if name != STANDARD_INPUT {
         return std::fs::read(name).context(ReadSnafu { name });
@@ -40,16 +41,16 @@
     std::io::stdin()
         .read_to_end(&mut bytes)
         .context(ReadSnafu {
-            name: "the standard input",
+            name: "standard input",
         })?;
     Ok(bytes)
 }
 
-/// Returns the body of a request, the argument itself or the standard input for `-`.
+/// Returns the body of a request: the argument itself, or standard input for `-`.
 ///
 /// # Errors
 ///
-/// [`Error`] where it cannot be read or is no JSON.
+/// Returns [`Error`] if it cannot be read or is not valid JSON.
 pub(crate) fn body(argument: &str) -> Result<String> {
     let bytes = if argument == STANDARD_INPUT {
         file(argument)?
--- a/crates/cli/src/command/mod.rs
+++ b/crates/cli/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one module each.
+//! The subcommands, and what they share.
 
 pub(crate) mod check;
 mod disagreement;
--- a/crates/cli/src/command/query.rs
+++ b/crates/cli/src/command/query.rs
@@ -1,4 +1,4 @@
-//! `monsoonring query`: one search.
+//! `monsoonring query`: sends one search.
 
 use crate::arguments::Query;
 use crate::command::input;
--- a/crates/cli/src/command/request.rs
+++ b/crates/cli/src/command/request.rs
@@ -1,8 +1,8 @@
-//! What became of a caller's request.
+//! Outcome of a request that the command sent.
 //!
-//! The outcome is derived once, here, from the step at which an exchange failed or from the answer.
-//! An answer that cannot be understood, or none at all after the request had left, proves nothing:
-//! a non-idempotent request is then reported as unknown and never as not run.
+//! The outcome follows from the daemon's answer, or from the step at which the exchange failed. If a
+//! non-idempotent request may have been sent and there is no answer, or one that cannot be parsed, its
+//! outcome is unknown, never "not run".
 
 use crate::arguments::Caller;
 use crate::exit::Code;
@@ -13,46 +13,46 @@
 use std::fmt::{self, Formatter};
 use std::net::SocketAddr;
 
-const COVERAGE_PERCENT: f64 = 100.0;
+const PERCENT: f64 = 100.0;
 
-/// Whether a request may run twice without harm.
+/// Whether a request may safely run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Nature {
     /// A search.
     Idempotent,
-    /// A request that changes something.
+    /// A request with side effects.
     NonIdempotent,
 }
 
-/// The end of a request as its caller sees it.
+/// Outcome of a request, as its caller sees it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Outcome {
-    /// A search was answered from all of the data.
+    /// The search covered all of the data.
     #[display("complete")]
     Complete,
-    /// A search was answered from a part of the data.
+    /// The search covered part of the data.
     #[display("partial")]
     Partial,
-    /// A non-idempotent request ran.
+    /// The non-idempotent request ran.
     #[display("executed")]
     Executed,
-    /// Nothing of the request ran.
+    /// No part of the request ran.
     #[display("not run")]
     NotRun,
     /// The request failed.
     #[display("failed")]
     Failed,
-    /// The request may have run.
+    /// It is unknown whether the request ran.
     #[display("unknown")]
     Unknown,
-    /// The daemon could not be reached, or did not answer a search.
+    /// The daemon could not be reached, or did not answer a search in time.
     #[display("unreachable")]
     Unreachable,
 }
 
 impl Outcome {
-    /// Returns the exit code that stands for the outcome.
+    /// Returns the exit code for the outcome.
     pub(crate) fn code(self) -> Code {
         match self {
             Self::Complete | Self::Executed => Code::Success,
@@ -64,7 +64,8 @@
         }
     }
 
-    fn unclear(nature: Nature) -> Self {
+    /// Returns the outcome of a request whose answer gives no outcome that can be trusted.
+    fn indeterminate(nature: Nature) -> Self {
         match nature {
             Nature::Idempotent => Self::Failed,
             Nature::NonIdempotent => Self::Unknown,
@@ -72,7 +73,7 @@
     }
 }
 
-/// A problem document of a daemon (RFC 9457).
+/// Problem document in a daemon's error answer (RFC 9457).
 #[derive(Debug, Default, Deserialize)]
 struct Problem {
     #[serde(default)]
@@ -82,7 +83,7 @@
     outcome: Option<Outcome>,
 }
 
-/// An answer with status 200, as far as the command looks into it.
+/// The fields of a successful answer that the command shows.
 #[derive(Debug, Deserialize)]
 struct Success {
     status: Outcome,
@@ -91,41 +92,41 @@
     #[serde(default)]
     index_version: u64,
     #[serde(default)]
-    missing: Vec<Span>,
+    missing: Vec<KeyRange>,
     #[serde(default)]
-    items: Vec<Found>,
+    items: Vec<Item>,
     value: Option<Box<RawValue>>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Span {
+struct KeyRange {
     start: u64,
     end: u64,
 }
 
 #[derive(Debug, Deserialize)]
-struct Found {
+struct Item {
     key: u64,
     value: Box<RawValue>,
 }
 
-/// What became of a request.
+/// Report on a request that was sent.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
-    /// The daemon that was asked.
+    /// The daemon that the request was sent to.
     daemon: SocketAddr,
-    /// How the request ended.
+    /// Outcome of the request.
     pub(crate) outcome: Outcome,
-    /// Key of a non-idempotent request.
+    /// Idempotency key of a non-idempotent request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) idempotency_key: Option<String>,
-    /// Time after which the daemon suggests to come back.
+    /// Delay before a retry, as suggested by the daemon.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
-    /// The daemon's answer as it came, where it is JSON.
+    /// The daemon's answer, unchanged, if it is JSON.
     #[serde(skip_serializing_if = "Option::is_none")]
     answer: Option<Box<RawValue>>,
-    /// Why there is no usable answer.
+    /// Why there is no answer, or none in JSON.
     #[serde(skip_serializing_if = "Option::is_none")]
     error: Option<String>,
     #[serde(skip)]
@@ -133,11 +134,11 @@
 }
 
 impl Report {
-    /// Makes the report of an exchange.
+    /// Creates the report of an exchange.
     pub(crate) fn new(daemon: SocketAddr, nature: Nature, exchange: Result<Answer, Error>) -> Self {
         match exchange {
-            Ok(answer) => Self::answered(daemon, nature, &answer),
-            Err(error) => Self::unanswered(daemon, nature, &error),
+            Ok(answer) => Self::from_answer(daemon, nature, &answer),
+            Err(error) => Self::from_error(daemon, nature, &error),
         }
     }
 
@@ -153,9 +154,10 @@
         }
     }
 
-    /// A request that had left may be running although nobody answers. Reported as unreachable, a
-    /// script would send it again with a new key, and it would run twice; hence unknown.
-    fn unanswered(daemon: SocketAddr, nature: Nature, error: &Error) -> Self {
+    /// Creates the report of a failed exchange. A non-idempotent request that may have been sent is
+    /// reported as unknown: if it were reported as unreachable, a script might send it again with a new
+    /// key, and it would run twice.
+    fn from_error(daemon: SocketAddr, nature: Nature, error: &Error) -> Self {
         let may_have_run = nature == Nature::NonIdempotent && error.step() >= Step::Send;
         let outcome = if may_have_run {
             Outcome::Unknown
@@ -169,11 +171,11 @@
         }
     }
 
-    fn answered(daemon: SocketAddr, nature: Nature, answer: &Answer) -> Self {
+    fn from_answer(daemon: SocketAddr, nature: Nature, answer: &Answer) -> Self {
         let (outcome, text) = if answer.status.is_success() {
-            succeeded(nature, answer)
+            parse_success(nature, answer)
         } else {
-            refused(nature, answer)
+            parse_problem(nature, answer)
         };
         let raw = serde_json::from_slice::<Box<RawValue>>(&answer.body).ok();
         Self {
@@ -190,7 +192,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}: {}", self.outcome, self.text.trim_end())?;
         if let Some(after) = self.retry_after_ms {
-            writeln!(f, "come back after {after} ms")?;
+            writeln!(f, "retry after {after} ms")?;
         }
         if let Some(key) = &self.idempotency_key {
             writeln!(f, "idempotency-key: {key}")?;
@@ -199,7 +201,7 @@
     }
 }
 
-/// Returns the headers that name the caller, its token and its deadline.
+/// Returns the request headers for the caller's name, token and deadline.
 pub(crate) fn headers(caller: &Caller) -> Vec<(&'static str, String)> {
     let mut headers = vec![("monsoonring-caller", caller.name.clone())];
     if let Some(token) = &caller.token {
@@ -211,7 +213,7 @@
     headers
 }
 
-/// Returns the daemon as the peer of an exchange.
+/// Returns the daemon to send the caller's request to, with the timeout.
 pub(crate) fn peer(caller: &Caller) -> Peer {
     Peer {
         address: caller.daemon,
@@ -219,13 +221,13 @@
     }
 }
 
-fn succeeded(nature: Nature, answer: &Answer) -> (Outcome, String) {
+fn parse_success(nature: Nature, answer: &Answer) -> (Outcome, String) {
     let success: Success = match serde_json::from_slice(&answer.body) {
         Ok(success) => success,
         Err(error) => {
             return (
-                Outcome::unclear(nature),
-                format!("read the answer: {error}"),
+                Outcome::indeterminate(nature),
+                format!("parse the answer: {error}"),
             );
         }
     };
@@ -236,20 +238,23 @@
                 .map_or_else(String::new, |value| value.get().to_owned());
             (success.status, value)
         }
-        Outcome::Complete | Outcome::Partial => (success.status, search(&success)),
-        other => (Outcome::unclear(nature), format!("status 200, but {other}")),
+        Outcome::Complete | Outcome::Partial => (success.status, render_search(&success)),
+        other => (
+            Outcome::indeterminate(nature),
+            format!("status 200 with outcome {other}"),
+        ),
     }
 }
 
-fn search(success: &Success) -> String {
+fn render_search(success: &Success) -> String {
     let mut text = format!(
         "coverage {:.2} %, index version {}, {} items\n",
-        success.coverage * COVERAGE_PERCENT,
+        success.coverage * PERCENT,
         success.index_version,
         success.items.len()
     );
-    for span in &success.missing {
-        text.push_str(&format!("missing keys {}..{}\n", span.start, span.end));
+    for range in &success.missing {
+        text.push_str(&format!("missing keys {}..{}\n", range.start, range.end));
     }
     for item in &success.items {
         text.push_str(&format!("{}\t{}\n", item.key, item.value.get()));
@@ -257,11 +262,11 @@
     text
 }
 
-fn refused(nature: Nature, answer: &Answer) -> (Outcome, String) {
+fn parse_problem(nature: Nature, answer: &Answer) -> (Outcome, String) {
     let problem: Problem = serde_json::from_slice(&answer.body).unwrap_or_default();
     let outcome = match problem.outcome {
-        Some(known @ (Outcome::NotRun | Outcome::Failed | Outcome::Unknown)) => known,
-        _ => Outcome::unclear(nature),
+        Some(outcome @ (Outcome::NotRun | Outcome::Failed | Outcome::Unknown)) => outcome,
+        _ => Outcome::indeterminate(nature),
     };
     let mut text = format!("status {}", answer.status.as_u16());
     for part in [&problem.title, &problem.detail] {
--- a/crates/cli/src/command/state.rs
+++ b/crates/cli/src/command/state.rs
@@ -1,68 +1,69 @@
-//! What a daemon says of itself on its operator port.
+//! Reads a daemon's state from its operator port.
 //!
-//! `GET /state` has more than the command shows; what isn't here is passed over, so that an older
-//! command works with a newer daemon. The counts of refusals come from `GET /metrics`.
+//! Fields of `GET /state` that the command does not show are ignored, so that an older command works
+//! with a newer daemon. The counts of refusals come from `GET /metrics`.
 
 use crate::peer::{self, Peer, Step};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const REFUSALS: &str = "monsoonring_refusals_total{";
+/// Prefix of the metric lines that count refusals.
+const REFUSALS_PREFIX: &str = "monsoonring_refusals_total{";
 
-/// How a fact is called that keeps requests away.
-const CRASHING: &str = "crashing request";
+/// Kind of the facts that hold the fingerprint of a request that crashes backend servers.
+const CRASHING_REQUEST: &str = "crashing request";
 
-/// The facts that the command shows.
+/// State of a daemon, as far as the command shows it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct State {
-    /// Address under which the other daemons know this one.
+    /// Address by which the other daemons know this one.
     pub(crate) address: Option<SocketAddr>,
-    /// Why the daemon should not be sent requests, if that is so.
+    /// Why the daemon is not ready for requests; `None` if it is ready.
     pub(crate) not_ready_because: Option<String>,
-    /// Whether so many others died at once that the daemon is more likely cut off itself.
+    /// Whether so many members died together that this daemon is more likely the one cut off.
     pub(crate) isolated: bool,
-    /// Revision of the configuration in force; none before the first.
+    /// Revision of the configuration in force; `None` before the first.
     pub(crate) revision: Option<u64>,
-    /// Digest of that configuration.
+    /// Digest of the configuration in force; `None` before the first.
     pub(crate) digest: Option<String>,
-    /// Documents seen that share a revision with another.
+    /// Documents seen that have the same revision as a different document.
     pub(crate) conflicts: u64,
-    /// What a gateway adds; none of a daemon with the product's own interface.
+    /// Additional state of a gateway; `None` for a daemon with the product's own interface.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) gateway: Option<Gateway>,
-    /// The daemons that this one knows.
+    /// The members that this daemon knows.
     pub(crate) members: Vec<Member>,
-    /// Homes of each route, as this daemon computes them.
+    /// Homes of each route, as computed by this daemon.
     pub(crate) homes: BTreeMap<String, Vec<SocketAddr>>,
-    /// Backend servers that this daemon sends work to, or would if they were not leaving.
+    /// Backend servers of the routes that this daemon is a home of, including leaving ones.
     #[serde(skip)]
     served: BTreeSet<SocketAddr>,
-    /// Backend servers that get no new work from this daemon.
+    /// Backend servers that are leaving and get no new work from this daemon.
     pub(crate) leaving: BTreeSet<SocketAddr>,
-    /// Fingerprints of requests that are refused because they crash backend servers.
+    /// Fingerprints of the requests that are refused because they crash backend servers.
     pub(crate) crashing: BTreeSet<String>,
-    /// Requests refused or failed since the start, most first; none where the metrics aren't to be
-    /// had.
+    /// Requests refused or failed since the daemon's start, highest count first; `None` if the metrics
+    /// could not be read.
     pub(crate) refused: Option<Vec<Refusal>>,
 }
 
-/// What a gateway says of what it knows and from whom.
+/// Additional state of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Gateway {
-    /// Milliseconds for which the configuration has been in force; none before the first.
+    /// Milliseconds since the configuration came into force; `None` before the first.
     pub(crate) age_ms: Option<u64>,
-    /// Where configuration and backend servers come from, and whether that can't be reached.
+    /// Source of the configuration and the backend servers, and whether it is lost.
     pub(crate) source: String,
-    /// The registered backend servers.
+    /// Counts of registered backend servers.
     pub(crate) registry: Registry,
-    /// Hosts that it divides connections and retries among.
+    /// Hosts among which connections and retries are divided.
     pub(crate) hosts: u64,
-    /// Retries that could be made now, by set of shards, at the shard that has fewest left.
+    /// Remaining retry budget by set of shards, at the shard with the least.
     pub(crate) retries_left: BTreeMap<String, f64>,
 }
 
-/// How many backend servers are registered.
+/// Counts of backend servers in a gateway's registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Registry {
     pub(crate) registered: u64,
@@ -70,7 +71,7 @@
     pub(crate) usable: u64,
 }
 
-/// A daemon as another one sees it.
+/// A member, as seen by the daemon that reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Member {
     pub(crate) address: SocketAddr,
@@ -80,40 +81,40 @@
     pub(crate) state: String,
 }
 
-/// A number of requests that were refused or failed for one reason.
+/// Count of the requests that were refused or failed for one reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct Refusal {
-    /// Why.
+    /// Label of the reason, as in the metric.
     pub(crate) reason: String,
-    /// The route; empty where none was known yet.
+    /// The route; empty if the request failed before its route was known.
     pub(crate) route: String,
-    /// The caller's class; empty where the caller was not known yet.
+    /// The caller's class; empty if the request failed before its caller was known.
     pub(crate) class: String,
-    /// How many.
+    /// Requests since the daemon's start.
     pub(crate) count: u64,
 }
 
 impl State {
-    /// Tells whether the daemon is a home that sends work to a backend server.
+    /// Returns whether the backend server belongs to a route that this daemon is a home of.
     pub(crate) fn serves(&self, server: SocketAddr) -> bool {
         self.served.contains(&server)
     }
 }
 
-/// What one daemon said, or why it said nothing.
+/// A daemon's state, or why it could not be read.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Answer {
-    /// It said this.
+    /// The daemon's state.
     State(Box<State>),
-    /// It could not be reached.
+    /// The daemon could not be reached.
     Unreachable(String),
-    /// Its answer could not be read.
+    /// The answer could not be read or parsed.
     Unreadable(String),
 }
 
 impl Answer {
-    /// Returns the state, where there is one.
+    /// Returns the state, or `None` if it could not be read.
     pub(crate) fn state(&self) -> Option<&State> {
         match self {
             Answer::State(state) => Some(state),
@@ -121,40 +122,40 @@
         }
     }
 
-    /// Returns why there is no state.
-    pub(crate) fn silence(&self) -> Option<String> {
+    /// Returns why the state could not be read, or `None` if it could.
+    pub(crate) fn error(&self) -> Option<String> {
         match self {
             Answer::State(_) => None,
-            Answer::Unreachable(why) => Some(format!("unreachable: {why}")),
-            Answer::Unreadable(why) => Some(format!("unreadable: {why}")),
+            Answer::Unreachable(error) => Some(format!("unreachable: {error}")),
+            Answer::Unreadable(error) => Some(format!("unreadable: {error}")),
         }
     }
 }
 
-/// Asks a daemon for its state.
-pub(crate) async fn ask(peer: Peer) -> Answer {
+/// Fetches a daemon's state.
+pub(crate) async fn fetch(peer: Peer) -> Answer {
     let answer = match peer.get("/state").await {
         Ok(answer) => answer,
-        Err(error) => return unanswered(&error),
+        Err(error) => return failed(&error),
     };
     if !answer.status.is_success() {
         return Answer::Unreadable(format!("status {}", answer.status.as_u16()));
     }
     match serde_json::from_slice::<Document>(&answer.body) {
-        Ok(document) => Answer::State(Box::new(document.state(refused(peer).await))),
+        Ok(document) => Answer::State(Box::new(document.state(fetch_refusals(peer).await))),
         Err(error) => Answer::Unreadable(error.to_string()),
     }
 }
 
-fn unanswered(error: &peer::Error) -> Answer {
+fn failed(error: &peer::Error) -> Answer {
     match error.step() {
         Step::Read => Answer::Unreadable(error.to_string()),
         Step::Compose | Step::Connect | Step::Send => Answer::Unreachable(error.to_string()),
     }
 }
 
-/// The body of `GET /state`. The configuration and its revision have to be there: an answer without
-/// them comes from something else than a daemon, and must not count as one that agrees.
+/// Body of `GET /state`. The configuration and its revision are required: an answer without them does
+/// not come from a daemon, and must not count as agreement.
 #[derive(Deserialize)]
 struct Document {
     configuration: Configuration,
@@ -195,7 +196,7 @@
     name: String,
     #[serde(default)]
     homes: Vec<SocketAddr>,
-    /// Nothing where the daemon is no home of the route.
+    /// `None` if the daemon is not a home of the route.
     home: Option<Home>,
 }
 
@@ -223,7 +224,7 @@
 }
 
 impl Document {
-    /// Returns what only a gateway says.
+    /// Returns the additional state of a gateway, or `None` if the daemon is not a gateway.
     fn gateway(&self) -> Option<Gateway> {
         let left = self.routes.iter().filter_map(|route| {
             let left = route.home.as_ref()?.retries_left?;
@@ -246,7 +247,10 @@
         let served = self.routes.into_iter().filter_map(|route| route.home);
         let servers: Vec<_> = served.flat_map(|home| home.backend_servers).collect();
         let leaving = servers.iter().filter(|server| server.leaving);
-        let crashing = self.facts.into_iter().filter(|fact| fact.what == CRASHING);
+        let crashing = self
+            .facts
+            .into_iter()
+            .filter(|fact| fact.what == CRASHING_REQUEST);
         State {
             address: self.address,
             not_ready_because: self.not_ready_because,
@@ -265,11 +269,12 @@
     }
 }
 
-async fn refused(peer: Peer) -> Option<Vec<Refusal>> {
+/// Reads the counts of refusals from the daemon's metrics, highest count first.
+async fn fetch_refusals(peer: Peer) -> Option<Vec<Refusal>> {
     let answer = peer.get("/metrics").await.ok()?;
     let text = answer.status.is_success().then_some(answer.body)?;
     let text = String::from_utf8_lossy(&text);
-    let mut refused: Vec<Refusal> = text.lines().filter_map(refusal).collect();
+    let mut refused: Vec<Refusal> = text.lines().filter_map(parse_refusal).collect();
     refused.sort_by(|left, right| {
         let names = |refusal: &Refusal| (refusal.reason.clone(), refusal.route.clone());
         (right.count, names(left)).cmp(&(left.count, names(right)))
@@ -277,10 +282,10 @@
     Some(refused)
 }
 
-/// Reads a line such as `monsoonring_refusals_total{route="map",class="urgent",reason="overload"} 3`.
-/// The values are names of the configuration and of the daemon, which need no escapes.
-fn refusal(line: &str) -> Option<Refusal> {
-    let (labels, count) = line.strip_prefix(REFUSALS)?.split_once("} ")?;
+/// Parses a line such as `monsoonring_refusals_total{route="map",class="urgent",reason="overload"} 3`.
+/// The label values are names that never need escapes.
+fn parse_refusal(line: &str) -> Option<Refusal> {
+    let (labels, count) = line.strip_prefix(REFUSALS_PREFIX)?.split_once("} ")?;
     let label = |name: &str| {
         let mut labels = labels.split(',').filter_map(|label| label.split_once('='));
         let found = labels.find(|(found, _)| *found == name);
--- a/crates/cli/src/command/status.rs
+++ b/crates/cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `monsoonring status`: what the daemons hold to be true, side by side.
+//! `monsoonring status`: compares the states of several daemons.
 
 use crate::arguments::Status;
 use crate::command::disagreement;
@@ -32,7 +32,7 @@
     "retries left",
 ];
 
-/// What all the daemons said.
+/// States of all daemons, and how they differ.
 #[derive(Debug, Serialize)]
 struct Report {
     agree: bool,
@@ -41,13 +41,13 @@
     daemons: BTreeMap<SocketAddr, Answer>,
 }
 
-/// Reads the state of each daemon and reports it.
+/// Fetches the state of each daemon concurrently and reports all of them.
 pub(crate) async fn run(status: Status, output: Output) -> Code {
     let timeout = Duration::from_millis(status.timeout_ms);
     let mut exchanges = JoinSet::new();
     for address in status.daemons {
         let peer = Peer { address, timeout };
-        exchanges.spawn(async move { (address, state::ask(peer).await) });
+        exchanges.spawn(async move { (address, state::fetch(peer).await) });
     }
     let daemons = exchanges.join_all().await.into_iter().collect();
     let report = Report::new(daemons);
@@ -56,7 +56,7 @@
 }
 
 impl Report {
-    /// Daemons agree where they name the same revision and, for one revision, the same digest.
+    /// Compares the states. Daemons agree if they have the same revision and digest in force.
     fn new(daemons: BTreeMap<SocketAddr, Answer>) -> Self {
         let states: Vec<(SocketAddr, &State)> = daemons
             .iter()
@@ -67,7 +67,7 @@
             .map(|(_, state)| (state.revision, state.digest.clone()))
             .collect();
         let revisions = in_force.iter().filter_map(|(revision, _)| *revision);
-        let disagreements = disagreement::among(&states);
+        let disagreements = disagreement::describe(&states);
         Self {
             agree: in_force.len() <= 1,
             revisions: revisions.collect(),
@@ -92,13 +92,13 @@
         let mut table = Table::new(&HEADINGS);
         for (address, answer) in &self.daemons {
             if let Some(state) = answer.state() {
-                table.row(cells(*address, state));
+                table.add_row(cells(*address, state));
             }
         }
         write!(f, "{table}")?;
         for (address, answer) in &self.daemons {
-            if let Some(why) = answer.silence() {
-                writeln!(f, "{address} {why}")?;
+            if let Some(error) = answer.error() {
+                writeln!(f, "{address} {error}")?;
             }
         }
         write_gateways(&self.daemons, f)?;
@@ -126,14 +126,14 @@
         state
             .revision
             .map_or_else(|| "none".to_owned(), |revision| revision.to_string()),
-        members(state),
+        member_counts(state),
         list(state.leaving.iter()),
-        refused(state),
+        refusal_counts(state),
     ]
 }
 
-/// Says how many members are in which state.
-fn members(state: &State) -> String {
+/// Returns the number of members by state.
+fn member_counts(state: &State) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for member in &state.members {
         *counts.entry(&member.state).or_default() += 1;
@@ -145,8 +145,8 @@
     )
 }
 
-/// Says how many requests were refused for which reason, on all routes.
-fn refused(state: &State) -> String {
+/// Returns the number of refused requests by reason, over all routes.
+fn refusal_counts(state: &State) -> String {
     let Some(refused) = &state.refused else {
         return "not known".to_owned();
     };
@@ -161,7 +161,7 @@
     )
 }
 
-/// Writes a row for each gateway: how old what it knows is, from whom, and what it has left.
+/// Writes a table of the gateways: age and source of their configuration, registry and retry budgets.
 fn write_gateways(daemons: &BTreeMap<SocketAddr, Answer>, f: &mut Formatter<'_>) -> fmt::Result {
     let mut table = Table::new(&GATEWAY_HEADINGS);
     let mut any = false;
@@ -169,7 +169,7 @@
         let gateway = answer.state().and_then(|state| state.gateway.as_ref());
         if let Some(gateway) = gateway {
             any = true;
-            table.row(gateway_cells(*address, gateway));
+            table.add_row(gateway_cells(*address, gateway));
         }
     }
     if any { write!(f, "\n{table}") } else { Ok(()) }
@@ -193,7 +193,7 @@
     ]
 }
 
-/// Writes a row for each member that some daemon doesn't take for alive: the others are no news.
+/// Writes a table of the members that a daemon does not see as alive.
 fn write_members(daemons: &BTreeMap<SocketAddr, Answer>, f: &mut Formatter<'_>) -> fmt::Result {
     let mut table = Table::new(&["member", "data centre", "state", "as seen by"]);
     let mut any = false;
@@ -201,7 +201,7 @@
         let members = answer.state().map_or(&[][..], |state| &state.members);
         for member in members.iter().filter(|member| member.state != "alive") {
             any = true;
-            table.row(vec![
+            table.add_row(vec![
                 member.address.to_string(),
                 member.data_centre.clone(),
                 member.state.clone(),
@@ -212,7 +212,7 @@
     if any { write!(f, "\n{table}") } else { Ok(()) }
 }
 
-/// Writes what was refused, by route and class.
+/// Writes a table of the refused requests by reason, route and class.
 fn write_refused(daemons: &BTreeMap<SocketAddr, Answer>, f: &mut Formatter<'_>) -> fmt::Result {
     let mut table = Table::new(&["refused", "route", "class", "count", "by"]);
     let mut any = false;
@@ -220,10 +220,10 @@
         let refused = answer.state().and_then(|state| state.refused.as_ref());
         for refusal in refused.into_iter().flatten() {
             any = true;
-            table.row(vec![
+            table.add_row(vec![
                 refusal.reason.clone(),
-                or_none(&refusal.route),
-                or_none(&refusal.class),
+                or_dash(&refusal.route),
+                or_dash(&refusal.class),
                 refusal.count.to_string(),
                 address.to_string(),
             ]);
@@ -232,7 +232,7 @@
     if any { write!(f, "\n{table}") } else { Ok(()) }
 }
 
-fn or_none(text: &str) -> String {
+fn or_dash(text: &str) -> String {
     if text.is_empty() { "-" } else { text }.to_owned()
 }
 
--- a/crates/cli/src/command/timeline.rs
+++ b/crates/cli/src/command/timeline.rs
@@ -1,9 +1,9 @@
-//! `monsoonring explain --log`: the timeline of one request, out of the daemons' logs.
+//! `monsoonring explain --log`: reconstructs the timeline of one request from the daemons' logs.
 //!
-//! Whoever is on call after a complaint has the id that the client gave its request, and the logs. The
-//! line that ends a request holds that id beside the daemon's own, under which the decisions were
-//! logged; around them stand the lines in which the host changed its mind about the servers that were
-//! asked, and the configuration and the store as it knew them then.
+//! The log line that ends a request holds the client's id and the daemon's own id, under which the
+//! decisions are logged, so that either id finds all lines of the request. The timeline adds the lines
+//! on health changes of the servers involved, and the last lines on the configuration, the registry and
+//! the store before the request.
 
 use crate::arguments::Explain;
 use crate::command::input;
@@ -16,13 +16,13 @@
 use std::fmt::{self, Formatter};
 use std::net::SocketAddr;
 
-/// Time before the request within which what was learned of a server is part of the timeline.
+/// Time before the request from which lines about its servers are included.
 const CONTEXT_NANOS: i128 = 5_000_000_000;
 
-/// Member of a line that says nothing of the request.
+/// Field of a log line that the timeline leaves out.
 const LEVEL: &str = "level";
 
-/// One line of a log.
+/// One line of a daemon's log.
 #[derive(Clone, Debug, Deserialize)]
 struct Line {
     msg: String,
@@ -36,7 +36,7 @@
     decision: String,
     #[serde(flatten)]
     rest: Map<String, Value>,
-    /// Nanoseconds since the start of the month, for the order.
+    /// Nanoseconds since the start of the month, for sorting.
     #[serde(skip)]
     at: i128,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// One line of the timeline.
+/// One entry of the timeline.
 #[derive(Debug, Serialize)]
 struct Entry {
     /// Milliseconds since the first line that names the request.
@@ -68,16 +68,16 @@
     why: String,
 }
 
-/// What the logs tell of a request.
+/// Timeline of a request, oldest entry first.
 #[derive(Debug, Serialize)]
 struct Timeline {
     id: String,
-    /// Lines that could not be read; logs may begin or end in the middle of one.
+    /// Lines that could not be parsed; a log may begin or end in the middle of a line.
     unreadable: usize,
     steps: Vec<Entry>,
 }
 
-/// Reads the logs and tells the timeline of the request with this id.
+/// Reads the logs and reports the timeline of the request with this id.
 pub(crate) fn run(explain: &Explain, id: &str, output: Output) -> Code {
     let mut text = String::new();
     for name in &explain.logs {
@@ -145,7 +145,7 @@
     }
 }
 
-/// When, where and at which servers the request was.
+/// Time range, hosts and servers of a request.
 struct Window<'a> {
     from: i128,
     start: i128,
@@ -155,7 +155,8 @@
 }
 
 impl Window<'_> {
-    /// Tells whether a line is about a server that the request was sent to, by a host that sent it.
+    /// Returns whether a line about a server, by a host of this request, belongs to the timeline. Lines
+    /// of other requests do not.
     fn includes(&self, line: &Line) -> bool {
         let server = line.backend_server.as_deref();
         let is_same_server = server.is_some_and(|server| self.servers.contains(server));
@@ -179,8 +180,8 @@
     }
 }
 
-/// Reads the lines of a log; what stands before the object is of no account, as other programs put
-/// times and names there.
+/// Parses the lines of a log, and counts those that could not be parsed. Ignores text before the JSON
+/// object, where log collectors add times and names.
 fn read(text: &str) -> (Vec<Line>, usize) {
     let mut lines = Vec::new();
     let mut unreadable = 0;
@@ -197,8 +198,8 @@
     (lines, unreadable)
 }
 
-/// Reads the time of an RFC 3339 text in UTC as nanoseconds since the start of its month. The
-/// fraction may have any number of digits, so that the texts themselves don't sort.
+/// Parses an RFC 3339 time in UTC into nanoseconds since the start of its month. The fraction may have
+/// any number of digits, so the texts themselves do not sort in time order.
 fn nanoseconds(text: &str) -> i128 {
     let number = |at: std::ops::Range<usize>| {
         let digits = text.get(at).and_then(|part| part.parse::<i128>().ok());
@@ -251,7 +252,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let mut table = Table::new(&["after", "host", "what", "to", "why"]);
         for entry in &self.steps {
-            table.row(vec![
+            table.add_row(vec![
                 format!("{:.1} ms", entry.after_ms),
                 entry.host.clone(),
                 entry.what.clone(),
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,8 +1,8 @@
-//! The exit codes, the part of the output that scripts rely on.
+//! Exit codes, which scripts rely on.
 
 use std::process::ExitCode;
 
-/// Text on the codes for `--help`; `docs/command.md` says the same at greater length.
+/// Help text on the exit codes; `docs/command.md` describes them in more detail.
 pub(crate) const HELP: &str = "\
 Exit codes:
   0  valid, complete, executed, or all daemons agree
@@ -15,24 +15,24 @@
   7  a daemon could not be reached or did not answer
   8  the daemons disagree on the revision in force";
 
-/// What a run of the command came to.
+/// Exit code of the command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Code {
-    /// All is well.
+    /// The document is valid, the request succeeded, or all daemons agree.
     Success = 0,
-    /// The document has faults.
+    /// The document fails one or more checks.
     Faults = 1,
-    /// The command was used wrongly, or its input could not be read.
+    /// The arguments are invalid, or something could not be read or parsed.
     Usage = 2,
-    /// A search was answered in part.
+    /// The search's answer covers only part of the data.
     Partial = 3,
     /// The request did not run.
     NotRun = 4,
     /// The request failed.
     Failed = 5,
-    /// The request may have run.
+    /// It is unknown whether the request ran.
     Unknown = 6,
-    /// A daemon could not be reached or gave no answer.
+    /// A daemon could not be reached or did not answer.
     Unreachable = 7,
     /// The daemons disagree on the revision in force.
     Disagreement = 8,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,7 @@
 //! `monsoonring`, the operators' command.
 //!
-//! Each subcommand is one module that returns a typed report; `output` writes a report for people or
-//! as JSON, and `exit` gives its exit code. Scripts can therefore rely on the code alone, and a
-//! person reads the same facts that a script would.
+//! Each subcommand is a module that builds a typed report. `output` writes the report as text or JSON,
+//! so that both hold the same data, and `exit` lists the exit codes, on which scripts can rely alone.
 
 mod arguments;
 mod command;
--- a/crates/cli/src/peer.rs
+++ b/crates/cli/src/peer.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange with a daemon.
 //!
-//! An error tells the step at which it arose, since that decides what may be said about the request:
-//! before the step [`Step::Send`] nothing of it can have run, from there on it may have.
+//! An [`Error`] has the [`Step`] at which it occurred: before [`Step::Send`] the request cannot have
+//! run; from then on it may have.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Largest answer read, in bytes; a larger one is an error and does not fill the memory.
+/// Size limit for an answer's body, in bytes, which bounds the memory that the command uses.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
 
 /// Result of an exchange.
@@ -25,50 +25,50 @@
 
 type Cause = Box<dyn std::error::Error + Send + Sync>;
 
-/// The part of an exchange at which an error arose.
+/// Step of an exchange, in order.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Step {
-    /// Composing the request.
+    /// Building the request.
     #[display("compose the request")]
     Compose,
-    /// Making the connection.
+    /// Opening the connection.
     #[display("connect")]
     Connect,
-    /// Sending the request and waiting for the head of the answer.
+    /// Sending the request and waiting for the answer's status and headers.
     #[display("send the request")]
     Send,
-    /// Reading the body of the answer.
+    /// Reading the answer's body.
     #[display("read the answer")]
     Read,
 }
 
-/// Why an exchange gave no answer.
+/// Error of an exchange with a daemon.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
-    /// Something went wrong at a step.
+    /// A step failed.
     #[snafu(display("{step}, daemon {peer}: {source}"))]
     Exchange {
-        /// The step.
+        /// The step that failed.
         step: Step,
-        /// The daemon.
+        /// Address of the daemon.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The underlying error.
         source: Cause,
     },
-    /// A step was not over in time.
+    /// The exchange timed out.
     #[snafu(display("{step}, daemon {peer}: no answer within {} ms", timeout.as_millis()))]
     Timeout {
-        /// The step.
+        /// The step that was in progress.
         step: Step,
-        /// The daemon.
+        /// Address of the daemon.
         peer: SocketAddr,
-        /// The time that the whole exchange was given.
+        /// Timeout of the whole exchange.
         timeout: Duration,
     },
 }
 
 impl Error {
-    /// Returns the step at which the error arose.
+    /// Returns the step at which the error occurred.
     pub(crate) fn step(&self) -> Step {
         match self {
             Self::Exchange { step, .. } | Self::Timeout { step, .. } => *step,
@@ -76,44 +76,44 @@
     }
 }
 
-/// A whole answer of a daemon.
+/// A daemon's complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// Its headers.
+    /// HTTP headers.
     pub(crate) headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub(crate) body: Bytes,
 }
 
-/// A daemon and the time that an exchange with it may take.
+/// A daemon, and the timeout of an exchange with it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
-    /// Its address.
+    /// Address of the daemon.
     pub(crate) address: SocketAddr,
-    /// The time that one whole exchange may take.
+    /// Timeout of one whole exchange, from connecting to the end of the body.
     pub(crate) timeout: Duration,
 }
 
 impl Peer {
-    /// Sends a GET.
+    /// Sends a GET request.
     ///
     /// # Errors
     ///
-    /// [`Error`] where no whole answer arrived in time.
+    /// Returns [`Error`] if no complete answer arrived in time.
     pub(crate) async fn get(&self, path: &str) -> Result<Answer> {
         let request = Request::get(path)
             .header(hyper::header::HOST, self.address.to_string())
             .body(Full::default());
-        self.exchange(self.step(Step::Compose, request)?).await
+        self.exchange(self.at_step(Step::Compose, request)?).await
     }
 
-    /// Sends a POST with these headers.
+    /// Sends a POST request with a JSON body and additional headers.
     ///
     /// # Errors
     ///
-    /// [`Error`] where no whole answer arrived in time.
+    /// Returns [`Error`] if no complete answer arrived in time.
     pub(crate) async fn post(
         &self,
         path: &str,
@@ -127,23 +127,26 @@
             request = request.header(*name, value);
         }
         let request = request.body(Full::new(Bytes::from(body)));
-        self.exchange(self.step(Step::Compose, request)?).await
+        self.exchange(self.at_step(Step::Compose, request)?).await
     }
 
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer> {
-        let end = Instant::now() + self.timeout;
-        let mut sender = self.within(end, Step::Connect, self.connect()).await??;
-        let sent = sender.send_request(request);
-        let response = self.within(end, Step::Send, sent).await?;
-        let response = self.step(Step::Send, response)?;
-        self.within(end, Step::Read, self.read(response)).await?
+        let deadline = Instant::now() + self.timeout;
+        let mut sender = self
+            .with_deadline(deadline, Step::Connect, self.connect())
+            .await??;
+        let pending = sender.send_request(request);
+        let response = self.with_deadline(deadline, Step::Send, pending).await?;
+        let response = self.at_step(Step::Send, response)?;
+        self.with_deadline(deadline, Step::Read, self.read(response))
+            .await?
     }
 
     async fn connect(&self) -> Result<http1::SendRequest<Full<Bytes>>> {
         let stream = TcpStream::connect(self.address).await;
-        let stream = self.step(Step::Connect, stream)?;
+        let stream = self.at_step(Step::Connect, stream)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = self.step(Step::Connect, handshake)?;
+        let (sender, connection) = self.at_step(Step::Connect, handshake)?;
         tokio::spawn(connection);
         Ok(sender)
     }
@@ -154,20 +157,20 @@
         Ok(Answer {
             status: head.status,
             headers: head.headers,
-            body: self.step(Step::Read, body)?.to_bytes(),
+            body: self.at_step(Step::Read, body)?.to_bytes(),
         })
     }
 
-    fn step<T, E: Into<Cause>>(&self, step: Step, result: Result<T, E>) -> Result<T> {
+    fn at_step<T, E: Into<Cause>>(&self, step: Step, result: Result<T, E>) -> Result<T> {
         let peer = self.address;
         result
             .map_err(Into::into)
             .context(ExchangeSnafu { step, peer })
     }
 
-    async fn within<T>(
+    async fn with_deadline<T>(
         &self,
-        end: Instant,
+        deadline: Instant,
         step: Step,
         future: impl Future<Output = T>,
     ) -> Result<T> {
@@ -176,7 +179,7 @@
             peer: self.address,
             timeout: self.timeout,
         };
-        timeout_at(end, future)
+        timeout_at(deadline, future)
             .await
             .map_err(|_elapsed| timeout.build())
     }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,24 +1,25 @@
-//! Columns of text for people.
+//! Text tables with aligned columns.
 
 use std::fmt::{self, Display, Formatter};
 
-const GAP: usize = 2;
+/// Spaces between two columns.
+const COLUMN_GAP: usize = 2;
 
-/// Rows whose cells line up, the first row being the headings.
+/// Table whose first row holds the column headings.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Makes a table with these headings.
+    /// Creates a table with the given column headings.
     pub(crate) fn new(headings: &[&str]) -> Self {
-        let first = headings.iter().map(ToString::to_string).collect();
-        Self { rows: vec![first] }
+        let header = headings.iter().map(ToString::to_string).collect();
+        Self { rows: vec![header] }
     }
 
     /// Adds a row.
-    pub(crate) fn row(&mut self, cells: Vec<String>) {
+    pub(crate) fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
@@ -37,7 +38,7 @@
         for row in &self.rows {
             let mut line = String::new();
             for (cell, width) in row.iter().zip(&widths) {
-                line.push_str(&format!("{cell:<width$}", width = width + GAP));
+                line.push_str(&format!("{cell:<width$}", width = width + COLUMN_GAP));
             }
             writeln!(f, "{}", line.trim_end())?;
         }
--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -17,32 +17,32 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the command runs");
-    let mut stdin = child.stdin.take().expect("a pipe");
-    stdin.write_all(input.as_bytes()).expect("written");
+        .expect("start the command");
+    let mut stdin = child.stdin.take().expect("piped stdin");
+    stdin.write_all(input.as_bytes()).expect("write");
     drop(stdin);
-    let output = child.wait_with_output().expect("an output");
+    let output = child.wait_with_output().expect("wait for the command");
     format!(
         "exit {}\n--- output\n{}--- notices\n{}",
-        output.status.code().expect("a code"),
+        output.status.code().expect("exit code"),
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr)
     )
 }
 
-/// A directory with the documents `old.json` and `new.json`.
+/// Creates a directory with the documents `old.json` and `new.json`.
 fn documents(old: &str, new: &str) -> TempDir {
-    let directory = TempDir::new().expect("a directory");
-    fs::write(directory.path().join("old.json"), old).expect("written");
-    fs::write(directory.path().join("new.json"), new).expect("written");
+    let directory = TempDir::new().expect("create a directory");
+    fs::write(directory.path().join("old.json"), old).expect("write");
+    fs::write(directory.path().join("new.json"), new).expect("write");
     directory
 }
 
-/// The hydrant office's document after an edit.
+/// Returns the hydrant example as JSON after an edit.
 fn edited(edit: fn(&mut Document)) -> String {
-    let mut document = parse(HYDRANT.as_bytes()).expect("a document");
+    let mut document = parse(HYDRANT.as_bytes()).expect("parse the example");
     edit(&mut document);
-    serde_json::to_string(&document).expect("JSON")
+    serde_json::to_string(&document).expect("serialize")
 }
 
 fn with_faults(document: &mut Document) {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn check_standard_input_is_read() {
+fn check_reads_standard_input() {
     let text = command(&documents("", ""), &["check", "-"], HYDRANT);
     assert!(text.starts_with("exit 0\n"), "{text}");
 }
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn check_against_itself_is_no_change() {
+fn check_against_itself_shows_no_change() {
     let directory = documents(HYDRANT, HYDRANT);
     let text = command(
         &directory,
@@ -121,7 +121,7 @@
 
 #[test_case(&["check", "absent.json"] ; "document")]
 #[test_case(&["check", "new.json", "--against", "absent.json"] ; "other document")]
-fn check_absent_file_is_unreadable(arguments: &[&str]) {
+fn check_absent_file_fails(arguments: &[&str]) {
     let text = command(&documents(HYDRANT, HYDRANT), arguments, "");
     assert!(
         text.starts_with("exit 2\n") && text.contains("absent.json"),
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! Golden files of `monsoonring` as a script or a person sees it, against a daemon of canned answers.
+//! Golden files and exit codes of the `monsoonring` subcommands, against a stub daemon.
 
 mod stub;
 
@@ -14,8 +14,8 @@
 const FAILED: &str = r#"{"title":"backend_server","status":502,"request":"0d","outcome":"failed"}"#;
 const UNKNOWN: &str = r#"{"title":"lost","status":504,"request":"0e","outcome":"unknown"}"#;
 const EXECUTED: &str = r#"{"request":"0f","status":"executed","value":{"ticket":41}}"#;
-/// A document that claims success under a status that denies it.
-const MISLEADING: &str = r#"{"title":"odd","status":500,"outcome":"complete"}"#;
+/// A problem document whose outcome contradicts its HTTP status.
+const CONTRADICTORY: &str = r#"{"title":"odd","status":500,"outcome":"complete"}"#;
 
 const QUERY_PATH: &str = "/routes/dispatch/query";
 const KEYS_PATH: &str = "/routes/tickets/keys";
@@ -34,8 +34,8 @@
         r#"{"near":3}"#,
     ]);
     arguments.extend(json.then_some("--json"));
-    let seen_after = |text: String| format!("{text}--- requests\n{}\n", stub.seen());
-    seen_after(run(&arguments)).replace(&address, "DAEMON")
+    let with_requests = |text: String| format!("{text}--- requests\n{}\n", stub.requests());
+    with_requests(run(&arguments)).replace(&address, "DAEMON")
 }
 
 fn retry_after(status: u16, body: &str) -> Reaction {
@@ -50,7 +50,7 @@
 #[test_case("partial", || answer(200, PARTIAL))]
 #[test_case("not_run", || retry_after(503, NOT_RUN))]
 #[test_case("failed", || answer(502, FAILED))]
-#[test_case("misleading", || answer(500, MISLEADING))]
+#[test_case("misleading", || answer(500, CONTRADICTORY))]
 #[test_case("no_json", || answer(200, "<html>"))]
 #[test_case("hang_up", || Reaction::HangUp)]
 fn query_outcome(name: &str, reaction: fn() -> Reaction) {
@@ -58,17 +58,17 @@
     insta::assert_snapshot!(format!("query_{name}_json"), query(reaction(), true));
 }
 
-fn execute(reactions: Vec<(&'static str, Reaction)>, more: &[&str]) -> String {
+fn execute(reactions: Vec<(&'static str, Reaction)>, options: &[&str]) -> String {
     let stub = Stub::start(reactions);
     let address = stub.address.to_string();
     let mut arguments = vec!["execute", "--daemon", &address, "--caller", "inspector"];
-    arguments.extend(more);
+    arguments.extend(options);
     arguments.extend(["tickets", r#"{"hydrant":3}"#]);
     let text = run(&arguments);
-    format!("{text}--- requests\n{}\n", stub.seen()).replace(&address, "DAEMON")
+    format!("{text}--- requests\n{}\n", stub.requests()).replace(&address, "DAEMON")
 }
 
-fn issued() -> (&'static str, Reaction) {
+fn issued_key() -> (&'static str, Reaction) {
     let headers = vec![("idempotency-key", "key-1")];
     (KEYS_PATH, Reaction::Answer(201, headers, String::new()))
 }
@@ -77,12 +77,12 @@
 #[test_case("unknown", || answer(504, UNKNOWN))]
 #[test_case("not_run", || retry_after(503, NOT_RUN))]
 fn execute_outcome(name: &str, reaction: fn() -> Reaction) {
-    let text = execute(vec![issued(), (EXECUTE_PATH, reaction())], &[]);
+    let text = execute(vec![issued_key(), (EXECUTE_PATH, reaction())], &[]);
     insta::assert_snapshot!(format!("execute_{name}"), text);
 }
 
 #[test]
-fn execute_given_key_is_sent_as_it_is() {
+fn execute_given_key_is_sent_unchanged() {
     let reactions = vec![(EXECUTE_PATH, answer(200, EXECUTED))];
     let text = execute(
         reactions,
@@ -92,19 +92,18 @@
 }
 
 #[test]
-fn execute_refused_key_did_not_run() {
+fn execute_without_issued_key_is_not_run() {
     let text = execute(vec![(KEYS_PATH, answer(404, "{}"))], &[]);
     insta::assert_snapshot!("execute_refused_key", text);
 }
 
-// Symptom: a script sends a repair ticket again with a new key, and two teams drive to one valve.
-// Events: the ticket leaves, the daemon runs it, the connection ends before the answer arrives.
-// Cause: an exchange without an answer is taken for one that never began.
+// Guards against reporting "not run" if the connection is lost after the request was sent: a script
+// would retry with a new key, and the request would run twice.
 #[test_case("hang_up", || Reaction::HangUp)]
 #[test_case("no_json", || answer(200, "<html>"))]
 #[test_case("no_problem", || answer(502, "bad gateway"))]
 fn execute_lost_answer_is_unknown(name: &str, reaction: fn() -> Reaction) {
-    let text = execute(vec![issued(), (EXECUTE_PATH, reaction())], &[]);
+    let text = execute(vec![issued_key(), (EXECUTE_PATH, reaction())], &[]);
     assert!(text.starts_with("exit 6\n"), "{name}: {text}");
     assert!(text.contains("idempotency-key: key-1"), "{name}: {text}");
 }
@@ -122,11 +121,11 @@
 }
 
 #[test]
-fn run_help_names_the_codes() {
+fn run_help_lists_the_exit_codes() {
     insta::assert_snapshot!("help", run(&["--help"]));
 }
 
-const SEVEN: &str = r#"{"address":"127.0.0.1:4001","ready":true,"not_ready_because":null,
+const REVISION_7: &str = r#"{"address":"127.0.0.1:4001","ready":true,"not_ready_because":null,
 "configuration":{"revision":7,"digest":"aa","conflicts":0},"members":[
 {"address":"127.0.0.1:4001","data_centre":"tunis-1","state":"alive"},
 {"address":"127.0.0.1:4002","data_centre":"tunis-2","state":"suspect"}],
@@ -136,17 +135,17 @@
 "facts":[{"what":"crashing request","of":"00c0ffee00c0ffee","life_ms":60000},
 {"what":"leaving backend server","of":"127.0.0.1:8003","life_ms":60000}],
 "more":"than the command knows"}"#;
-/// Another daemon, which sees members, homes and a leaving server in another way.
-const SEVEN_BEHIND: &str = r#"{"address":"127.0.0.1:4002","isolated":true,
+/// State of a daemon whose view of members, homes and leaving servers differs from [`REVISION_7`].
+const REVISION_7_OTHER_VIEW: &str = r#"{"address":"127.0.0.1:4002","isolated":true,
 "configuration":{"revision":7,"digest":"aa","conflicts":2},"members":[
 {"address":"127.0.0.1:4002","data_centre":"tunis-2","state":"alive"},
 {"address":"127.0.0.1:4003","data_centre":"tunis-2","state":"dead"}],
 "routes":[{"name":"dispatch","homes":["127.0.0.1:4002"],"home":{"backend_servers":[]}},
 {"name":"tickets","homes":["127.0.0.1:4002"],"home":{
 "backend_servers":[{"server":"127.0.0.1:8003","leaving":false}]}}]}"#;
-const SEVEN_OTHERWISE: &str = r#"{"configuration":{"revision":7,"digest":"bb"}}"#;
-const SIX: &str = r#"{"configuration":{"revision":6,"digest":"cc"}}"#;
-const STARTING: &str =
+const REVISION_7_OTHER_DIGEST: &str = r#"{"configuration":{"revision":7,"digest":"bb"}}"#;
+const REVISION_6: &str = r#"{"configuration":{"revision":6,"digest":"cc"}}"#;
+const NO_REVISION: &str =
     r#"{"configuration":{"revision":null},"not_ready_because":"no configuration"}"#;
 const METRICS: &str = r#"# TYPE monsoonring_refusals counter
 monsoonring_refusals_total{route="dispatch",class="urgent",reason="overload"} 1
@@ -155,12 +154,12 @@
 monsoonring_requests_total{route="dispatch",outcome="complete"} 90
 "#;
 
-fn status(bodies: &[&str], silent: bool, json: bool) -> String {
+fn status(bodies: &[&str], unreachable: bool, json: bool) -> String {
     let stub = |body: &&str| Stub::start(vec![("/state", answer(200, body))]);
     let mut stubs: Vec<Stub> = bodies.iter().map(stub).collect();
     stubs.sort_by_key(|stub| stub.address);
     let mut addresses: Vec<String> = stubs.iter().map(|stub| stub.address.to_string()).collect();
-    addresses.extend(silent.then(|| "127.0.0.1:1".to_owned()));
+    addresses.extend(unreachable.then(|| "127.0.0.1:1".to_owned()));
     let mut arguments = vec!["status"];
     for address in &addresses {
         arguments.extend(["--daemon", address]);
@@ -172,7 +171,7 @@
 #[test]
 fn status_one_daemon() {
     let reactions = vec![
-        ("/state", answer(200, SEVEN)),
+        ("/state", answer(200, REVISION_7)),
         ("/metrics", answer(200, METRICS)),
     ];
     let stub = Stub::start(reactions);
@@ -185,7 +184,7 @@
     insta::assert_snapshot!("status_json", text(&["--json"]));
 }
 
-/// What a gateway says that has lost the way to what it knows from.
+/// State of a gateway that has lost its store.
 const GATEWAY: &str = r#"{"address":"10.1.0.39:8224","ready":true,"not_ready_because":null,
     "configuration":{"revision":17,"digest":"17","conflicts":0,"age_ms":41200,"source":"store, lost"},
     "registry":{"registered":92,"doubted":3,"usable":90},"hosts":12,
@@ -195,7 +194,7 @@
         {"server":"10.3.0.1:8000","leaving":false}]}}],"facts":[]}"#;
 
 #[test]
-fn status_gateway_tells_age_source_and_what_is_left() {
+fn status_gateway_shows_age_source_and_retries_left() {
     let stub = Stub::start(vec![("/state", answer(200, GATEWAY))]);
     let address = stub.address.to_string();
     let text = |json: &[&str]| {
@@ -206,25 +205,26 @@
     insta::assert_snapshot!("status_gateway_json", text(&["--json"]));
 }
 
-#[test_case(&[SEVEN, SEVEN], false, 0 ; "agreement")]
-#[test_case(&[SEVEN, SIX], false, 8 ; "two revisions")]
-#[test_case(&[SEVEN, SEVEN_OTHERWISE], false, 8 ; "one revision of two digests")]
-#[test_case(&[SEVEN, STARTING], false, 8 ; "one without a configuration")]
-#[test_case(&[SEVEN], true, 7 ; "one unreachable")]
-#[test_case(&[SEVEN, SIX], true, 8 ; "disagreement goes before unreachable")]
+#[test_case(&[REVISION_7, REVISION_7], false, 0 ; "agreement")]
+#[test_case(&[REVISION_7, REVISION_6], false, 8 ; "two revisions")]
+#[test_case(&[REVISION_7, REVISION_7_OTHER_DIGEST], false, 8 ; "one revision with two digests")]
+#[test_case(&[REVISION_7, NO_REVISION], false, 8 ; "one without a configuration")]
+#[test_case(&[REVISION_7], true, 7 ; "one unreachable")]
+#[test_case(&[REVISION_7, REVISION_6], true, 8 ; "disagreement takes precedence over unreachable")]
 #[test_case(&["[]"], false, 7 ; "unreadable state")]
 #[test_case(&["{}"], false, 7 ; "no state")]
 #[test_case(&[r#"{"configuration":{}}"#], false, 7 ; "state without a revision")]
-fn status_code(bodies: &[&str], silent: bool, code: i32) {
-    let text = status(bodies, silent, false);
+fn status_code(bodies: &[&str], unreachable: bool, code: i32) {
+    let text = status(bodies, unreachable, false);
     assert!(text.starts_with(&format!("exit {code}\n")), "{text}");
-    let json = status(bodies, silent, true);
+    let json = status(bodies, unreachable, true);
     assert!(json.starts_with(&format!("exit {code}\n")), "{json}");
 }
 
 #[test]
-fn status_tells_where_daemons_disagree() {
-    let stubs = [SEVEN, SEVEN_BEHIND].map(|body| Stub::start(vec![("/state", answer(200, body))]));
+fn status_lists_disagreements() {
+    let stubs = [REVISION_7, REVISION_7_OTHER_VIEW]
+        .map(|body| Stub::start(vec![("/state", answer(200, body))]));
     let addresses = stubs.each_ref().map(|stub| stub.address.to_string());
     let text = run(&[
         "status",
@@ -240,7 +240,7 @@
         "homes of tickets: 127.0.0.1:4001 at FIRST; 127.0.0.1:4002 at SECOND",
         "backend server 127.0.0.1:8003: leaving at FIRST, not at SECOND",
         "SECOND is probably cut off: too many members died at once",
-        "SECOND saw 2 documents under a revision that another one has: publish again",
+        "SECOND saw 2 documents that share a revision with another one: publish again",
         "FIRST refuses requests that crash backend servers: 00c0ffee00c0ffee",
     ];
     for line in lines {
@@ -252,8 +252,8 @@
     assert!(!text.contains("homes of dispatch"), "{text}");
 }
 
-/// What a daemon that took a request knows of it.
-const PASSED: &str = r#"{"request":"0a","decisions":[
+/// Decisions of the daemon that received the request.
+const FORWARDED: &str = r#"{"request":"0a","decisions":[
 {"at_ms":7,"ago_ms":5020,"route":"dispatch","decision":"pass on","home":"127.0.0.1:4002",
 "reason":"near, 0 outstanding, one of 2 homes"}]}"#;
 const DECISIONS: &str = r#"{"request":"0a","decisions":[
@@ -267,10 +267,10 @@
 
 #[test_case("request", &["--request", "0a"], REQUEST_PATH, DECISIONS)]
 #[test_case("backend_server", BY_SERVER, SERVER_PATH, SERVER)]
-fn explain_answer(name: &str, which: &[&str], path: &'static str, body: &str) {
+fn explain_answer(name: &str, selector: &[&str], path: &'static str, body: &str) {
     let stub = Stub::start(vec![(path, answer(200, body))]);
     let address = stub.address.to_string();
-    let arguments = [&["explain", "--daemon", &address], which].concat();
+    let arguments = [&["explain", "--daemon", &address], selector].concat();
     let text = |arguments: &[&str]| run(arguments).replace(&address, "127.0.0.1:DAEMON");
     insta::assert_snapshot!(format!("explain_{name}"), text(&arguments));
     let json = text(&[&arguments[..], &["--json"]].concat());
@@ -278,11 +278,11 @@
 }
 
 #[test]
-fn explain_decisions_of_several_daemons_are_in_order() {
+fn explain_merges_decisions_of_several_daemons() {
     let home = Stub::start(vec![(REQUEST_PATH, answer(200, DECISIONS))]);
-    let taker = Stub::start(vec![(REQUEST_PATH, answer(200, PASSED))]);
+    let receiver = Stub::start(vec![(REQUEST_PATH, answer(200, FORWARDED))]);
     let other = Stub::start(Vec::new());
-    let addresses = [&home, &taker, &other].map(|stub| stub.address.to_string());
+    let addresses = [&home, &receiver, &other].map(|stub| stub.address.to_string());
     let mut arguments = vec!["explain", "--request", "0a"];
     for address in &addresses {
         arguments.extend(["--daemon", address]);
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn explain_unknown_request_is_said_so() {
+fn explain_reports_unknown_request() {
     let stub = Stub::start(Vec::new());
     let text = run(&[
         "explain",
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Golden files of stories that are told from logs.
+//! Golden files of `monsoonring explain --log`.
 
 use std::path::Path;
 use std::process::Command;
@@ -13,12 +13,12 @@
         .arg("--log")
         .arg(logs.join("edge-2.log"));
     command.args(json.then_some("--json"));
-    let output = command.output().expect("it runs");
+    let output = command.output().expect("run the command");
     format!(
         "{}--- errors\n{}--- code {}\n",
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
-        output.status.code().expect("it ends by itself")
+        output.status.code().expect("exit code")
     )
 }
 
--- a/crates/monsoonringd/src/main.rs
+++ b/crates/monsoonringd/src/main.rs
@@ -1,8 +1,8 @@
-//! The daemon's process: settings in, exit code out.
+//! `monsoonringd`, the daemon's executable.
 //!
-//! The daemon serves its own interface or the users' platform, as the first argument says:
-//! `monsoonringd platform` takes everything else from the platform's settings file. Anything else is
-//! the product's own interface with its flags and environment variables.
+//! `monsoonringd platform` serves the users' platform and reads its settings from the platform's
+//! settings file. Otherwise the daemon serves the product's own interface, with settings from flags and
+//! environment variables.
 
 use monsoonring_daemon::launch;
 use monsoonring_daemon::metrics::Metrics;
@@ -12,42 +12,42 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Lines in a second below warnings that the log on the platform holds at most. A host writes about
-/// 330 on the heaviest day; at 10 µs each, this bound is a fifth of a quarter of a core.
-const LINES_A_SECOND: u32 = 5_000;
+/// Limit on log lines below warnings per second on the platform, which bounds the CPU time spent on
+/// logging.
+const MAX_LINES_PER_SECOND: u32 = 5_000;
 
-/// First argument of a daemon that serves the platform.
+/// First argument that selects the platform.
 const PLATFORM: &str = "platform";
 
 fn main() -> ExitCode {
     let arguments: Vec<OsString> = std::env::args_os().collect();
     match arguments.get(1) {
-        Some(first) if first == PLATFORM => platform(),
-        _ => product(arguments),
+        Some(first) if first == PLATFORM => run_platform(),
+        _ => run_product(arguments),
     }
 }
 
-fn product(arguments: Vec<OsString>) -> ExitCode {
+fn run_product(arguments: Vec<OsString>) -> ExitCode {
     match Settings::read(arguments) {
         Ok(settings) => serve(&settings),
         Err(settings::Error::Help { text }) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Err(error) => refuse(&error),
+        Err(error) => invalid_settings(&error),
     }
 }
 
-fn platform() -> ExitCode {
+fn run_platform() -> ExitCode {
     let path = monsoonring_platform::settings::path();
     match monsoonring_platform::settings::read(&path) {
         Ok(settings) => serve_platform(settings, &path),
-        Err(error) => refuse(&error),
+        Err(error) => invalid_settings(&error),
     }
 }
 
-/// Ends the start over settings that can't be used.
-fn refuse(error: &dyn std::error::Error) -> ExitCode {
+/// Reports invalid settings and returns their exit code.
+fn invalid_settings(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("monsoonringd: {error}");
     ExitCode::from(settings::EXIT_CODE)
 }
@@ -63,13 +63,13 @@
         metrics,
     };
     match launch::run(settings, telemetry).await {
-        Ok(ended) => ended.into(),
-        Err(error) => failed(&log, &error),
+        Ok(outcome) => outcome.into(),
+        Err(error) => startup_failed(&log, &error),
     }
 }
 
-/// Serves the platform on one thread: its hosts have a part of one core, on which further threads
-/// would only take turns.
+/// Serves the platform on one thread: its hosts have less than one core, so more threads would not run
+/// in parallel.
 #[tokio::main(flavor = "current_thread")]
 async fn serve_platform(
     settings: monsoonring_platform::settings::Settings,
@@ -78,10 +78,10 @@
     let metrics = Arc::new(Metrics::default());
     let dropped = metrics.log_dropped.clone();
     let output = std::io::stdout();
-    let lines = Some(LINES_A_SECOND);
+    let max_lines = Some(MAX_LINES_PER_SECOND);
     let (format, level) = (LogFormat::Json, LogLevel::Info);
     let (log, _guard) =
-        monsoonring_daemon::log::start_bounded(output, format, level, dropped, lines);
+        monsoonring_daemon::log::start_bounded(output, format, level, dropped, max_lines);
     let log = log.new(slog::o!("host" => settings.host.clone()));
     let telemetry = Telemetry {
         log: log.clone(),
@@ -90,11 +90,11 @@
     match monsoonring_platform::run(settings, path, telemetry).await {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(run::EXIT_CODE_CUT),
-        Err(error) => failed(&log, &error),
+        Err(error) => startup_failed(&log, &error),
     }
 }
 
-fn failed(log: &slog::Logger, error: &dyn std::error::Error) -> ExitCode {
+fn startup_failed(log: &slog::Logger, error: &dyn std::error::Error) -> ExitCode {
     slog::crit!(log, "not started"; "error" => %error);
     ExitCode::from(run::EXIT_CODE_FAILED)
 }
