--- a/crates/monsoonringd/examples/soak.rs
+++ b/crates/monsoonringd/examples/soak.rs
@@ -1,7 +1,7 @@
-//! Plays seeds of the soak and tells what was injected, answered and broken.
+//! Runs seeds of the soak test and prints the faults injected, the answers and the violations.
 //!
-//! `cargo run --release --example soak -- --seed 7`, `--seeds 1..51`, or `--fresh --minutes 5`. The exit code
-//! is 1 where a promise broke; the logs of that run are kept.
+//! `cargo run --release --example soak -- --seed 7`, `--seeds 1..51`, or `--fresh --minutes 5`. If an
+//! invariant was violated, the exit code is 1 and the logs of that run are kept.
 
 #[path = "../tests/soak/mod.rs"]
 mod soak;
@@ -13,34 +13,36 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Real processes, faults from outside them, and the promises checked meanwhile.
+/// Injects faults into real daemon processes under load and checks invariants of the answers.
 #[derive(Debug, Parser)]
 struct Options {
-    /// One seed.
+    /// Run this seed.
     #[arg(long)]
     seed: Option<u64>,
-    /// Seeds from the first to the one before the last, as `1..51`.
+    /// Run a range of seeds such as `1..51`; the end is exclusive.
     #[arg(long)]
     seeds: Option<String>,
-    /// Fresh seeds for as many minutes.
+    /// Run random seeds for this many minutes.
     #[arg(long, requires = "fresh")]
     minutes: Option<u64>,
-    /// Takes seeds that nobody has played.
+    /// Run random seeds: one, or as many as `--minutes` allows.
     #[arg(long)]
     fresh: bool,
-    /// Seconds that each seed is played.
+    /// Duration of the load for each seed, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     #[arg(long, default_value = "target/release/monsoonringd")]
     process: PathBuf,
 }
 
 impl Options {
-    /// Returns the seeds to play.
+    /// Returns the seeds to run.
     fn seeds(&self) -> soak::Result<Vec<u64>> {
         if let Some(range) = &self.seeds {
-            let (first, last) = range.split_once("..").ok_or("seeds are given as 1..51")?;
+            let (first, last) = range
+                .split_once("..")
+                .ok_or("seeds must be a range such as 1..51")?;
             return Ok((first.parse()?..last.parse()?).collect());
         }
         let fresh = |_| u64::from(rand::rng().random::<u32>());
@@ -57,43 +59,43 @@
     let options = Options::parse();
     let mut faults: BTreeMap<&str, u32> = BTreeMap::new();
     let mut answers: BTreeMap<u16, u32> = BTreeMap::new();
-    let (mut played, mut broken, mut parts) = (0, 0, 0);
-    let began = Instant::now();
+    let (mut completed, mut violated, mut delegated) = (0, 0, 0);
+    let start = Instant::now();
     for seed in options.seeds()? {
         let folder = tempfile::tempdir()?;
         let time = Duration::from_secs(options.seconds);
-        let report = soak::play(seed, time, &options.process, folder.path()).await?;
-        played += 1;
-        parts += report.parts;
-        for (name, times) in report.faults {
-            *faults.entry(name).or_default() += times;
+        let report = soak::run_seed(seed, time, &options.process, folder.path()).await?;
+        completed += 1;
+        delegated += report.delegated_parts;
+        for (name, count) in report.faults {
+            *faults.entry(name).or_default() += count;
         }
-        for (status, times) in report.answers {
-            *answers.entry(status).or_default() += times;
+        for (status, count) in report.answers {
+            *answers.entry(status).or_default() += count;
         }
         println!(
-            "seed {seed}: {} hosts, {} broken, {:?} in all",
+            "seed {seed}: {} hosts, {} violations, {:?} elapsed",
             report.hosts,
             report.violations.len(),
-            began.elapsed()
+            start.elapsed()
         );
         if !report.violations.is_empty() {
-            broken += 1;
+            violated += 1;
             for violation in &report.violations {
                 println!("  {violation:?}");
             }
             println!("  logs in {}", folder.keep().display());
         }
     }
-    println!("{played} seeds, {broken} with a broken promise");
-    println!("{parts} parts of searches looked through for another host, at least");
-    println!("| fault | times |\n|---|---|");
-    for (name, times) in faults {
-        println!("| {name} | {times} |");
+    println!("{completed} seeds, {violated} with violations");
+    println!("at least {delegated} parts of searches delegated to another host");
+    println!("| fault | count |\n|---|---|");
+    for (name, count) in faults {
+        println!("| {name} | {count} |");
     }
     println!("| status (0: no answer) | requests |\n|---|---|");
-    for (status, times) in answers {
-        println!("| {status} | {times} |");
+    for (status, count) in answers {
+        println!("| {status} | {count} |");
     }
-    Ok(ExitCode::from(u8::from(broken > 0)))
+    Ok(ExitCode::from(u8::from(violated > 0)))
 }
--- a/crates/monsoonringd/tests/process.rs
+++ b/crates/monsoonringd/tests/process.rs
@@ -1,4 +1,4 @@
-//! The process's exit codes.
+//! Exit codes of the daemon process.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -22,51 +22,51 @@
 }
 
 #[test]
-fn process_wrong_variable_ends_with_code_2() {
+fn process_invalid_variable_exits_with_2() {
     let output = daemon()
         .envs(variables())
         .env("MONSOONRING_STOP_BOUND_MS", "1")
         .output()
-        .expect("it starts");
+        .expect("start the daemon");
     assert_eq!(output.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
-        said.contains("--stop-bound-ms (MONSOONRING_STOP_BOUND_MS)"),
-        "{said}"
+        stderr.contains("--stop-bound-ms (MONSOONRING_STOP_BOUND_MS)"),
+        "{stderr}"
     );
 }
 
 #[test]
-fn process_signal_ends_with_code_0() {
+fn process_sigterm_exits_with_0() {
     let mut process = daemon()
         .envs(variables())
         .args(["--drain-wait-ms=1", "--log-format=json"])
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let errors = process.stderr.take().expect("it is piped");
-    let mut lines = BufReader::new(errors).lines();
-    let first = lines.next().expect("a line").expect("it is readable");
+        .expect("start the daemon");
+    let stderr = process.stderr.take().expect("piped stderr");
+    let mut lines = BufReader::new(stderr).lines();
+    let first = lines.next().expect("first line").expect("read stderr");
     assert!(first.contains("\"msg\":\"serving\""), "{first}");
-    let id = i32::try_from(process.id()).expect("ids are small");
+    let id = i32::try_from(process.id()).expect("process id fits an i32");
     let id = nix::unistd::Pid::from_raw(id);
-    nix::sys::signal::kill(id, nix::sys::signal::Signal::SIGTERM).expect("it lives");
-    assert_eq!(process.wait().expect("it ends").code(), Some(0));
-    let last = lines.map_while(Result::ok).last().expect("more lines");
+    nix::sys::signal::kill(id, nix::sys::signal::Signal::SIGTERM).expect("send SIGTERM");
+    assert_eq!(process.wait().expect("wait for the daemon").code(), Some(0));
+    let last = lines.map_while(Result::ok).last().expect("last line");
     assert!(last.contains("\"msg\":\"stopped\""), "{last}");
 }
 
 #[test]
-fn process_platform_without_a_field_ends_with_code_2_and_its_name() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn process_platform_missing_field_exits_with_2_and_names_it() {
+    let directory = tempfile::tempdir().expect("create a directory");
     let path = directory.path().join("boot.conf");
-    std::fs::write(&path, "nodeName=edge-1\nzone=lac\n").expect("it is written");
+    std::fs::write(&path, "nodeName=edge-1\nzone=lac\n").expect("write the settings");
     let output = daemon()
         .arg("platform")
         .env("MONSOONRING_BOOT", &path)
         .output()
-        .expect("it starts");
+        .expect("start the daemon");
     assert_eq!(output.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(said.contains("field listen.front is missing"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("field listen.front is missing"), "{stderr}");
 }
--- a/crates/monsoonringd/tests/soak/check.rs
+++ b/crates/monsoonringd/tests/soak/check.rs
@@ -1,42 +1,42 @@
-//! What must hold of each answer, judged from what callers were told and servers ran.
+//! Invariants of the answers, checked against what callers received and servers ran.
 
 use super::support::client::Told;
 use std::collections::BTreeMap;
 
-/// A promise that was broken.
+/// Violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Violation {
-    pub(crate) promise: &'static str,
+    pub(crate) invariant: &'static str,
     pub(crate) id: String,
-    pub(crate) seen: String,
+    pub(crate) details: String,
 }
 
-fn broken(promise: &'static str, id: &str, seen: impl Into<String>) -> Violation {
+fn violation(invariant: &'static str, id: &str, details: impl Into<String>) -> Violation {
     Violation {
-        promise,
+        invariant,
         id: id.to_owned(),
-        seen: seen.into(),
+        details: details.into(),
     }
 }
 
-/// Records of each service, greatest first.
+/// Records by service, greatest first.
 pub(crate) type Records = BTreeMap<String, Vec<String>>;
 
-/// Judges a successful answer to a search over the services in `records`.
+/// Checks a successful answer to a search over the services in `records`.
 ///
 /// # Errors
 ///
-/// The promise that it breaks.
-pub(crate) fn search(id: &str, told: &Told, records: &Records) -> Result<(), Violation> {
+/// Returns the first invariant that the answer violates.
+pub(crate) fn search(id: &str, reply: &Told, records: &Records) -> Result<(), Violation> {
     let mut services = Vec::new();
-    for stamp in told.signatures() {
-        let Some((instance, of)) = stamp.split_once('/') else {
-            return Err(broken("whole answers", id, stamp));
+    for signature in reply.signatures() {
+        let Some((instance, request)) = signature.split_once('/') else {
+            return Err(violation("complete answers", id, signature));
         };
-        if of != id {
-            return Err(broken("answers to the right caller", id, stamp));
+        if request != id {
+            return Err(violation("answers reach the right caller", id, signature));
         }
-        // An instance is named after its service: `i-SERVICE-NUMBER`.
+        // Instance names have the form `i-SERVICE-REPLICA`.
         services.push(instance.split('-').nth(1).unwrap_or_default().to_owned());
     }
     let parts = services.len();
@@ -44,40 +44,46 @@
     services.dedup();
     let known = services.iter().all(|service| records.contains_key(service));
     if services.len() < parts || !known || parts == 0 {
-        return Err(broken("one snapshot an answer", id, services.join(", ")));
+        return Err(violation(
+            "one shard set per answer",
+            id,
+            services.join(", "),
+        ));
     }
-    let missing = told.missing();
+    let missing = reply.missing();
     if missing.unwrap_or(0) + parts != records.len() {
-        return Err(broken(
-            "coverage told truly",
+        return Err(violation(
+            "accurate coverage",
             id,
             format!("{parts} parts, {missing:?} missing"),
         ));
     }
-    let of_parts = services.iter().filter_map(|service| records.get(service));
-    let mut expected: Vec<&String> = of_parts.flatten().collect();
-    expected.sort_by(|one, other| other.cmp(one));
+    let covered = services.iter().filter_map(|service| records.get(service));
+    let mut expected: Vec<&String> = covered.flatten().collect();
+    expected.sort_by(|left, right| right.cmp(left));
     let expected: String = expected.into_iter().map(String::as_str).collect();
-    match expected.starts_with(&told.body) && !told.body.is_empty() {
+    match expected.starts_with(&reply.body) && !reply.body.is_empty() {
         true => Ok(()),
-        false => Err(broken("whole answers", id, told.body.clone())),
+        false => Err(violation("complete answers", id, reply.body.clone())),
     }
 }
 
-/// Judges what became of a request that may run once: its status, if there was an answer, and how often
-/// servers ran it.
+/// Checks a non-idempotent request: the status that its caller received, if any, against the number of times
+/// that servers ran it.
 ///
 /// # Errors
 ///
-/// The promise that it breaks.
-pub(crate) fn once(id: &str, status: Option<u16>, runs: usize) -> Result<(), Violation> {
-    let seen = format!("status {status:?}, {runs} runs");
+/// Returns the invariant that was violated.
+pub(crate) fn at_most_once(id: &str, status: Option<u16>, runs: usize) -> Result<(), Violation> {
+    let details = format!("status {status:?}, {runs} runs");
     if runs > 1 {
-        return Err(broken("at most once", id, seen));
+        return Err(violation("at most once", id, details));
     }
     match status {
-        Some(408 | 421 | 429 | 503) if runs > 0 => Err(broken("not run is true", id, seen)),
-        Some(200) if runs == 0 => Err(broken("whole answers", id, seen)),
+        Some(408 | 421 | 429 | 503) if runs > 0 => {
+            Err(violation("not run means never run", id, details))
+        }
+        Some(200) if runs == 0 => Err(violation("complete answers", id, details)),
         _ => Ok(()),
     }
 }
--- a/crates/monsoonringd/tests/soak/fault.rs
+++ b/crates/monsoonringd/tests/soak/fault.rs
@@ -1,41 +1,45 @@
-//! What goes wrong, one thing at a time, and how it is taken back. Faults overlap with what the ones before
-//! them left behind: processes that start, servers that are cold, histories that are read anew.
+//! Faults, injected and reverted one at a time.
+//!
+//! A fault may still meet the after-effects of earlier ones: starting processes, cold servers, state that is
+//! being reloaded.
 
 use super::check::Violation;
 use super::host::{Host, data_centre};
 use super::support::server::Habit;
-use super::{BEARS, Result, World};
+use super::{COLD_MAX_RATE, Result, World};
 use nix::sys::signal::Signal;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time over which a cold server counts what it gets.
-const COUNTED: Duration = Duration::from_secs(1);
+/// Time over which the requests to a cold server are counted.
+const COUNT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Something that goes wrong, or is planned. Hosts and servers are named by number.
+/// A fault or a planned operation. Hosts and servers are given by index.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
     Kill(usize),
     Pause(usize, Duration),
     Stop(usize),
-    HangUp(usize),
+    /// SIGHUP makes the host reload its settings.
+    Reload(usize),
     StoreDown(Duration),
-    StoreForgets,
+    /// The store drops its history, so readers must reload the full state.
+    StoreHistoryLost,
     Misbehave(usize, Habit, Duration),
     Drain(usize, Duration),
     Configure,
-    /// Operators empty a data centre.
-    Empty(usize, Duration),
-    /// All servers of a service and a data centre say that they are cold.
-    Cool(usize, Duration),
-    /// The store is away for a time and comes back from a copy of some faults ago.
-    StoreGoesBack(usize, Duration),
+    /// Operators evacuate a data centre.
+    Evacuate(usize, Duration),
+    /// A server reports that it is cold.
+    Cold(usize, Duration),
+    /// The store is down for a time and is restored to its state of some faults ago.
+    StoreRestored(usize, Duration),
 }
 
 impl Fault {
-    pub(crate) fn draw(rng: &mut ChaCha8Rng, hosts: usize, servers: usize) -> Self {
+    pub(crate) fn random(rng: &mut ChaCha8Rng, hosts: usize, servers: usize) -> Self {
         let host = rng.random_range(0..hosts);
         let server = rng.random_range(0..servers);
         let time = Duration::from_millis(rng.random_range(50..900));
@@ -43,17 +47,17 @@
             0 => Self::Kill(host),
             1 => Self::Pause(host, time),
             2 => Self::Stop(host),
-            3 => Self::HangUp(host),
+            3 => Self::Reload(host),
             4 => Self::StoreDown(time),
-            5 => Self::StoreForgets,
+            5 => Self::StoreHistoryLost,
             6 => Self::Misbehave(server, Habit::Slow(time), time),
             7 => Self::Misbehave(server, Habit::Shed, time),
             8 => Self::Misbehave(server, Habit::Reset, time),
             9 => Self::Misbehave(server, Habit::Twice, time),
             10 => Self::Drain(server, time),
-            11 => Self::Empty(host, time),
-            12 => Self::Cool(server, time),
-            13 => Self::StoreGoesBack(rng.random_range(1..4), time),
+            11 => Self::Evacuate(host, time),
+            12 => Self::Cold(server, time),
+            13 => Self::StoreRestored(rng.random_range(1..4), time),
             _ => Self::Configure,
         }
     }
@@ -62,24 +66,24 @@
         match self {
             Self::Kill(_) => "process killed",
             Self::Pause(..) => "process paused",
-            Self::Stop(_) => "process stopped as planned",
-            Self::HangUp(_) => "settings read again",
+            Self::Stop(_) => "process stopped",
+            Self::Reload(_) => "settings reloaded",
             Self::StoreDown(_) => "store down",
-            Self::StoreForgets => "store forgets its history",
+            Self::StoreHistoryLost => "store history lost",
             Self::Misbehave(_, Habit::Slow(_), _) => "server slow",
-            Self::Misbehave(_, Habit::Shed, _) => "server turns away",
-            Self::Misbehave(_, Habit::Reset, _) => "server breaks off",
+            Self::Misbehave(_, Habit::Shed, _) => "server sheds load",
+            Self::Misbehave(_, Habit::Reset, _) => "server resets connections",
             Self::Misbehave(_, Habit::Twice, _) => "server answers twice",
-            Self::Misbehave(_, Habit::Well, _) => "server well",
-            Self::Drain(..) => "server drains and comes back",
+            Self::Misbehave(_, Habit::Well, _) => "server healthy",
+            Self::Drain(..) => "server drained",
             Self::Configure => "configuration changed",
-            Self::Empty(..) => "data centre emptied",
-            Self::Cool(..) => "server cold",
-            Self::StoreGoesBack(..) => "store goes back",
+            Self::Evacuate(..) => "data centre evacuated",
+            Self::Cold(..) => "server cold",
+            Self::StoreRestored(..) => "store restored",
         }
     }
 
-    /// Brings the fault about, and takes back what lasts. Returns the promise that broke at once, if one did.
+    /// Injects the fault and reverts it. Returns a violation that showed in the meantime, if any.
     pub(crate) async fn inject(
         self,
         world: &mut World,
@@ -89,7 +93,7 @@
             Self::Kill(host) => {
                 hosts[host].kill()?;
                 sleep(Duration::from_millis(100)).await;
-                hosts[host].run()?;
+                hosts[host].spawn()?;
             }
             Self::Pause(host, time) => {
                 hosts[host].signal(Signal::SIGSTOP)?;
@@ -99,16 +103,16 @@
             Self::Stop(host) => {
                 let code = hosts[host].stop().await?;
                 hosts[host].kill()?;
-                hosts[host].run()?;
-                return Ok((code != Some(0)).then(|| cut_off(host, code)));
+                hosts[host].spawn()?;
+                return Ok((code != Some(0)).then(|| stop_violation(host, code)));
             }
-            Self::HangUp(host) => hosts[host].signal(Signal::SIGHUP)?,
+            Self::Reload(host) => hosts[host].signal(Signal::SIGHUP)?,
             Self::StoreDown(time) => {
                 world.store.set_down(true);
                 sleep(time).await;
                 world.store.set_down(false);
             }
-            Self::StoreForgets => world.store.forget_while(|_| {}),
+            Self::StoreHistoryLost => world.store.forget_while(|_| {}),
             Self::Misbehave(server, habit, time) => {
                 world.servers[server].set(habit);
                 sleep(time).await;
@@ -120,34 +124,33 @@
                 world.servers[server].register(&world.store, "ready");
             }
             Self::Configure => world.configure(),
-            Self::Empty(number, time) => return Ok(empty(world, number, time).await),
-            Self::Cool(server, time) => return Ok(cool(world, server, time).await),
-            Self::StoreGoesBack(ago, time) => {
+            Self::Evacuate(number, time) => return Ok(evacuate(world, number, time).await),
+            Self::Cold(server, time) => return Ok(cold(world, server, time).await),
+            Self::StoreRestored(ago, time) => {
                 world.store.set_down(true);
-                world.go_back(ago);
+                world.restore_store(ago);
                 sleep(time).await;
                 world.store.set_down(false);
-                // Operators and servers write again what they had written.
+                // Operators and servers write their lost records again.
                 sleep(time).await;
-                world.write_again();
+                world.rewrite_store();
             }
         }
         Ok(None)
     }
 }
 
-/// Time within which an order, and what a server says of itself, is known at hosts that reach the store: two thirds of
-/// the bound of three seconds.
-const KNOWN: Duration = Duration::from_secs(2);
+/// Time by which a change in the store must have reached the hosts: two thirds of the limit of three seconds.
+const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// Empties a data centre, and gives it back. Its servers are to get nothing from when the order is known.
-async fn empty(world: &World, number: usize, time: Duration) -> Option<Violation> {
+/// Evacuates a data centre for a time. Once the order has propagated, its servers must get no new requests.
+async fn evacuate(world: &World, number: usize, time: Duration) -> Option<Violation> {
     let data_centre = data_centre(number);
     world.store.empty(data_centre);
-    sleep(KNOWN).await;
-    let before = world.ran_in(data_centre);
+    sleep(PROPAGATION_TIME).await;
+    let before = world.requests_in(data_centre);
     sleep(time).await;
-    let after = world.ran_in(data_centre);
+    let after = world.requests_in(data_centre);
     world.store.give_back(data_centre);
     let new = after
         .iter()
@@ -155,42 +158,42 @@
         .flat_map(|(after, before)| &after[before.len()..]);
     let new: Vec<&String> = new.collect();
     (!new.is_empty()).then(|| Violation {
-        promise: "nothing new in an emptied data centre",
+        invariant: "no new requests in an evacuated data centre",
         id: data_centre.to_owned(),
-        seen: format!("after {KNOWN:?}: {new:?}"),
+        details: format!("after {PROPAGATION_TIME:?}: {new:?}"),
     })
 }
 
-/// Lets a server be cold. It is not to get more than it bears, from when that is known.
-async fn cool(world: &World, server: usize, time: Duration) -> Option<Violation> {
+/// Makes a server cold for a time. Once this has propagated, the server must not get more than its maximum rate.
+async fn cold(world: &World, server: usize, time: Duration) -> Option<Violation> {
     let server = &world.servers[server];
-    server.register_cold(&world.store, KNOWN + COUNTED + time);
-    sleep(KNOWN).await;
+    server.register_cold(&world.store, PROPAGATION_TIME + COUNT_WINDOW + time);
+    sleep(PROPAGATION_TIME).await;
     let before = server.arrivals().len();
-    sleep(COUNTED).await;
-    let got = server.arrivals().len() - before;
+    sleep(COUNT_WINDOW).await;
+    let received = server.arrivals().len() - before;
     server.register_cold(&world.store, Duration::ZERO);
-    (got > BEARS).then(|| Violation {
-        promise: "no more than a cold server bears",
+    (received > COLD_MAX_RATE).then(|| Violation {
+        invariant: "rate limit of a cold server",
         id: server.address.to_string(),
-        seen: format!("{got} requests in {COUNTED:?}"),
+        details: format!("{received} requests in {COUNT_WINDOW:?}"),
     })
 }
 
-fn cut_off(host: usize, code: Option<i32>) -> Violation {
+fn stop_violation(host: usize, code: Option<i32>) -> Violation {
     Violation {
-        promise: "planned stops cut nothing off",
+        invariant: "planned stops cut off no requests",
         id: format!("edge-{host}"),
-        seen: format!("exit code {code:?}"),
+        details: format!("exit code {code:?}"),
     }
 }
 
-/// Takes everything back that a fault may have left.
+/// Reverts every fault that may still be in effect.
 ///
 /// # Errors
 ///
-/// A signal could not be sent.
-pub(crate) fn lift_all(world: &mut World, hosts: &mut [Host]) -> Result<()> {
+/// Returns an error if a signal could not be sent.
+pub(crate) fn revert_all(world: &mut World, hosts: &mut [Host]) -> Result<()> {
     world.store.set_down(false);
     for server in &world.servers {
         server.set(Habit::Well);
--- a/crates/monsoonringd/tests/soak/host.rs
+++ b/crates/monsoonringd/tests/soak/host.rs
@@ -1,4 +1,4 @@
-//! One host: a real process, and the signals that it gets.
+//! A host: one daemon process, started, signalled and stopped by the soak.
 
 use super::Result;
 use nix::sys::signal::{Signal, kill};
@@ -9,16 +9,16 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Port of each host's address for clients; the next two are those for readiness and for other hosts.
-const FRONT: u16 = 18_226;
+/// Port for clients; the next two ports are for readiness and for other hosts.
+const FRONT_PORT: u16 = 18_226;
 
-/// Time that a planned stop may take beyond its grace time.
-const STOP_SLACK: Duration = Duration::from_secs(3);
+/// Time beyond the grace period after which a planned stop has failed.
+const STOP_MARGIN: Duration = Duration::from_secs(3);
 
-/// Grace time of a planned stop, in seconds: short, as a soak has many.
+/// Grace period of a planned stop, in seconds. Short, because a soak stops many hosts.
 const GRACE_S: u64 = 2;
 
-/// A host and its process.
+/// A host and its process; the process is killed on drop.
 pub(crate) struct Host {
     pub(crate) front: SocketAddr,
     pub(crate) metrics: SocketAddr,
@@ -28,24 +28,24 @@
     process: Option<Child>,
 }
 
-/// Port of the metrics, which is the same on every host.
-const METRICS: u16 = 9_464;
+/// Port of the metrics, the same on every host.
+const METRICS_PORT: u16 = 9_464;
 
-/// Returns the data centre of the host or service with this number: there are two.
+/// Returns which of the two data centres the host or service with this number is in.
 pub(crate) fn data_centre(number: usize) -> &'static str {
     if number % 2 == 0 { "hall" } else { "yard" }
 }
 
-/// Returns the address of a host's port. Each has an address of its own, as the port of the metrics is the
-/// same everywhere, and so have runs of the soak beside each other.
+/// Returns the socket address of a port of a host. Each host has its own IP address, because the metrics port
+/// is fixed, and so do concurrent runs of the soak.
 fn address(number: u8, port: u16) -> SocketAddr {
     let run = (std::process::id() % 250) as u8;
     SocketAddr::from(([127, 8, run, number + 1], port))
 }
 
 impl Host {
-    /// Writes the settings of host `number` of `count`, and starts it. Two of three hosts are stronger, so that each
-    /// data centre has some.
+    /// Writes the settings of host `number` of `count`, and starts it. Two of three hosts have more CPU, so that
+    /// each data centre has hosts that can serve searches for weaker ones.
     pub(crate) fn start(
         (number, count): (u8, u8),
         store: SocketAddr,
@@ -53,11 +53,11 @@
         folder: &Path,
     ) -> Result<Self> {
         let seeds: Vec<String> = (0..count.min(3))
-            .map(|seed| address(seed, FRONT + 2).to_string())
+            .map(|seed| address(seed, FRONT_PORT + 2).to_string())
             .collect();
         let cores = if number % 3 == 0 { 0.12 } else { 0.5 };
         let data_centre = data_centre(usize::from(number));
-        let (front, ready, hosts) = (FRONT, FRONT + 1, FRONT + 2);
+        let (front, ready, hosts) = (FRONT_PORT, FRONT_PORT + 1, FRONT_PORT + 2);
         let text = format!(
             "nodeName=edge-{number}\nzone={data_centre}\nzones.hall=tunis\nzones.yard=tunis\nserves=edge\n\
              listen.front={}\nlisten.readinessAddr={}\nlisten.control={}\nseeds={}\n\
@@ -72,18 +72,18 @@
         std::fs::write(&settings, text)?;
         let mut host = Self {
             front: address(number, front),
-            metrics: address(number, METRICS),
+            metrics: address(number, METRICS_PORT),
             binary: binary.to_owned(),
             settings,
             log: folder.join(format!("edge-{number}.log")),
             process: None,
         };
-        host.run()?;
+        host.spawn()?;
         Ok(host)
     }
 
-    /// Starts the process; its log goes on where it was.
-    pub(crate) fn run(&mut self) -> Result<()> {
+    /// Starts the process, which appends to the host's log.
+    pub(crate) fn spawn(&mut self) -> Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let process = Command::new(&self.binary)
             .arg("platform")
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process, if it is running.
     pub(crate) fn signal(&self, signal: Signal) -> Result<()> {
         if let Some(process) = &self.process {
             kill(Pid::from_raw(i32::try_from(process.id())?), signal)?;
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) -> Result<()> {
         if let Some(mut process) = self.process.take() {
             process.kill()?;
@@ -112,16 +112,16 @@
         Ok(())
     }
 
-    /// Stops the process as planned. Returns its exit code, none where it did not end in time.
+    /// Stops the process with SIGTERM. Returns its exit code, or `None` if it did not exit in time.
     pub(crate) async fn stop(&mut self) -> Result<Option<i32>> {
         self.signal(Signal::SIGTERM)?;
-        let until = Instant::now() + Duration::from_secs(GRACE_S) + STOP_SLACK;
+        let deadline = Instant::now() + Duration::from_secs(GRACE_S) + STOP_MARGIN;
         while let Some(process) = &mut self.process {
             if let Some(status) = process.try_wait()? {
                 self.process = None;
                 return Ok(status.code());
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Ok(None);
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -132,9 +132,9 @@
 
 impl Drop for Host {
     fn drop(&mut self) {
-        // A process that is left would take the addresses of the next run.
+        // A process that is left running would hold addresses that the next run needs.
         if let Err(error) = self.kill() {
-            eprintln!("a host could not be ended: {error}");
+            eprintln!("kill a host: {error}");
         }
     }
 }
--- a/crates/monsoonringd/tests/soak/mod.rs
+++ b/crates/monsoonringd/tests/soak/mod.rs
@@ -1,9 +1,12 @@
-//! A randomized soak of the real program: several processes, faults from outside them, and promises that
-//! are checked from what callers are told and what servers run.
+//! A randomized soak test of the real daemon: several processes under load and injected faults, with
+//! invariants checked against what callers received and servers ran.
 //!
-//! A seed decides hosts, load, faults and when each comes; how processes interleave is up to the machine. So
-//! a seed that failed is likely to fail again, and not certain to.
-#![allow(dead_code, reason = "the example and the test each use a part")]
+//! A seed determines the hosts, the load, and the faults with their times, but not how processes interleave. A
+//! seed that failed will probably fail again, but need not.
+#![allow(
+    dead_code,
+    reason = "the example and the test each use only some items"
+)]
 
 pub(crate) mod check;
 mod fault;
@@ -28,46 +31,48 @@
 use support::store::{Copy, Store};
 use tokio::time::{Instant, sleep};
 
-/// Result of a step; what failed is told to whoever runs the soak.
+/// Result of setting up or running the soak.
 pub(crate) type Result<T> = std::result::Result<T, Box<dyn std::error::Error + Send + Sync>>;
 
-/// Services of the searches, and of the requests that may run once. The servers of half of the shards are in one data
-/// centre and those of the others in the other one, so that hosts look through parts of searches for each other.
+/// Services of the shards that searches cover. Half of them are in each data centre, so that hosts delegate parts
+/// of searches to each other.
 const SHARDS: [&str; 8] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"];
-const LEDGER: &str = "ledger";
 
-/// Servers of each service.
+/// Service of the non-idempotent requests.
+const ONCE_SERVICE: &str = "ledger";
+
+/// Servers per service.
 const REPLICAS: usize = 2;
 
-/// Requests in a second that a cold server bears.
-pub(crate) const BEARS: usize = 12;
+/// Requests per second that a cold server may get.
+pub(crate) const COLD_MAX_RATE: usize = 12;
 
-/// Callers that ask at the same time.
+/// Concurrent callers.
 const CALLERS: usize = 6;
 
-/// Time that a host has at its start, and after the last fault, until it answers whole again.
-const REGAIN: Duration = Duration::from_secs(20);
+/// Time by which a host must give complete answers after its start, and after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a run did and found.
+/// Result of one seed.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     pub(crate) seed: u64,
     pub(crate) hosts: u8,
-    /// By kind: faults injected.
+    /// Faults injected, by kind.
     pub(crate) faults: BTreeMap<&'static str, u32>,
-    /// By status, 0 where there was no answer: requests.
+    /// Requests by HTTP status; 0 stands for no answer.
     pub(crate) answers: BTreeMap<u16, u32>,
-    /// Parts of searches that hosts looked through for others, as far as the processes that ran at the end know.
-    pub(crate) parts: u64,
+    /// Parts of searches that hosts delegated to others, counted by the processes running at the end.
+    pub(crate) delegated_parts: u64,
     pub(crate) violations: Vec<Violation>,
 }
 
-/// What runs beside the hosts.
+/// The store and the backend servers that the hosts use.
 pub(crate) struct World {
     store: Store,
     servers: Vec<Server>,
     version: u64,
-    /// What the store held before each of the faults so far.
+    /// Copies of the store, one from before each fault.
     copies: Vec<Copy>,
 }
 
@@ -75,9 +80,9 @@
     async fn start() -> Self {
         let store = Store::start().await;
         let mut servers = Vec::new();
-        for (number, service) in SHARDS.into_iter().chain([LEDGER]).enumerate() {
+        for (number, service) in SHARDS.into_iter().chain([ONCE_SERVICE]).enumerate() {
             for replica in 0..REPLICAS {
-                // A host of another run must not be answered for this one's where a port is given out again.
+                // The process id keeps instances apart from those of other runs, which may have had the same port.
                 let instance = format!("i-{service}-{replica}-{}", std::process::id());
                 let record = record(service);
                 let server = Server::start(&store, &instance, service, &[&record]).await;
@@ -100,40 +105,40 @@
         self.version += 1;
         let routes: [Value; 2] = [
             gather("map", "/map/", &SHARDS),
-            single("once", "/once/", "non_idempotent", LEDGER),
+            single("once", "/once/", "non_idempotent", ONCE_SERVICE),
         ];
-        let services: Vec<&str> = SHARDS.into_iter().chain([LEDGER]).collect();
+        let services: Vec<&str> = SHARDS.into_iter().chain([ONCE_SERVICE]).collect();
         let mut document = configuration(self.version, &routes, &services);
-        bound_cold(&mut document, BEARS, Duration::from_secs(1));
+        bound_cold(&mut document, COLD_MAX_RATE, Duration::from_secs(1));
         self.store.put("op/config", &document);
     }
 
-    /// Puts the store back to what it held before so many faults.
-    fn go_back(&mut self, ago: usize) {
-        let kept = self.copies.len().saturating_sub(ago);
-        if let Some(copy) = self.copies.drain(kept..).next() {
+    /// Restores the store to its content from before the last `ago` faults.
+    fn restore_store(&mut self, ago: usize) {
+        let remaining = self.copies.len().saturating_sub(ago);
+        if let Some(copy) = self.copies.drain(remaining..).next() {
             self.store.go_back(copy);
         }
     }
 
-    /// Writes again what operators and servers had written.
-    fn write_again(&mut self) {
+    /// Registers the servers and publishes the configuration again.
+    fn rewrite_store(&mut self) {
         for server in &self.servers {
             server.register(&self.store, "ready");
         }
         self.configure();
     }
 
-    /// Returns the requests that the servers of a data centre got, by server.
-    fn ran_in(&self, data_centre: &str) -> Vec<Vec<String>> {
+    /// Returns the requests that the servers of a data centre received, by server.
+    fn requests_in(&self, data_centre: &str) -> Vec<Vec<String>> {
         let servers = self.servers.iter().enumerate();
-        let there =
+        let local =
             servers.filter(|(number, _)| host::data_centre(number / REPLICAS) == data_centre);
-        there.map(|(_, server)| server.ran()).collect()
+        local.map(|(_, server)| server.ran()).collect()
     }
 
-    /// Returns how often servers ran the request that was sent to this path.
-    fn runs(&self, path: &str) -> usize {
+    /// Returns how often servers ran the request with this path.
+    fn run_count(&self, path: &str) -> usize {
         let ran = self.servers.iter().flat_map(Server::ran);
         ran.filter(|target| target.split(' ').nth(1) == Some(path))
             .count()
@@ -145,44 +150,44 @@
 }
 
 fn records() -> Records {
-    let of = |service: &str| (service.to_owned(), vec![record(service)]);
-    SHARDS.into_iter().map(of).collect()
+    let entry = |service: &str| (service.to_owned(), vec![record(service)]);
+    SHARDS.into_iter().map(entry).collect()
 }
 
-/// What callers were told of requests that may run once, by id.
-type Tickets = Arc<Mutex<BTreeMap<String, Option<u16>>>>;
+/// Status that callers received for non-idempotent requests, by id; `None` if there was no answer.
+type Statuses = Arc<Mutex<BTreeMap<String, Option<u16>>>>;
 
-/// One caller, which asks until its time is over. Returns what it was told, by status.
-async fn call(
+/// Runs one caller, which sends requests until `end`. Returns the number of answers by status, and the violations.
+async fn run_caller(
     name: String,
     fronts: Vec<SocketAddr>,
-    until: Instant,
+    end: Instant,
     mut rng: ChaCha8Rng,
-    tickets: Tickets,
+    statuses: Statuses,
 ) -> (BTreeMap<u16, u32>, Vec<Violation>) {
     let (mut answers, mut violations) = (BTreeMap::new(), Vec::new());
     let mut number = 0;
-    while Instant::now() < until {
+    while Instant::now() < end {
         number += 1;
         let id = format!("{name}-{number}");
         let front = fronts[rng.random_range(0..fronts.len())];
         let is_once = rng.random_bool(0.3);
         let path = if is_once { "once" } else { "map" };
         let path = format!("/{path}/{id}");
-        let leaves = Duration::from_millis(rng.random_range(20..3_000));
-        let asked = client::ask(front, "GET", &path, &id, "1500");
-        let told = tokio::time::timeout(leaves, asked).await.ok().flatten();
-        let status = told.as_ref().map(|told| told.status.as_u16());
+        let timeout = Duration::from_millis(rng.random_range(20..3_000));
+        let request = client::ask(front, "GET", &path, &id, "1500");
+        let reply = tokio::time::timeout(timeout, request).await.ok().flatten();
+        let status = reply.as_ref().map(|reply| reply.status.as_u16());
         *answers.entry(status.unwrap_or(0)).or_default() += 1;
-        match &told {
+        match &reply {
             _ if is_once => {
-                let mut tickets = tickets
+                let mut statuses = statuses
                     .lock()
                     .unwrap_or_else(std::sync::PoisonError::into_inner);
-                tickets.insert(id, status);
+                statuses.insert(id, status);
             }
-            Some(told) if told.status.is_success() => {
-                violations.extend(check::search(&id, told, &records()).err());
+            Some(reply) if reply.status.is_success() => {
+                violations.extend(check::search(&id, reply, &records()).err());
             }
             _ => {}
         }
@@ -191,13 +196,14 @@
     (answers, violations)
 }
 
-/// Waits until a host answers a search whole.
-async fn regained(front: SocketAddr) -> bool {
-    let until = Instant::now() + REGAIN;
-    while Instant::now() < until {
-        let told = client::ask(front, "GET", "/map/regained", "regained", "1500").await;
-        let is_whole = |told: &client::Told| told.status.is_success() && told.missing() == Some(0);
-        if told.is_some_and(|told| is_whole(&told)) {
+/// Waits until a host gives a complete answer to a search. Returns `false` if it does not in time.
+async fn has_recovered(front: SocketAddr) -> bool {
+    let end = Instant::now() + RECOVERY_TIMEOUT;
+    while Instant::now() < end {
+        let reply = client::ask(front, "GET", "/map/regained", "regained", "1500").await;
+        let is_complete =
+            |reply: &client::Told| reply.status.is_success() && reply.missing() == Some(0);
+        if reply.is_some_and(|reply| is_complete(&reply)) {
             return true;
         }
         sleep(Duration::from_millis(100)).await;
@@ -205,12 +211,12 @@
     false
 }
 
-/// Plays one seed for a time.
+/// Runs one seed with load for `time`.
 ///
 /// # Errors
 ///
-/// What is needed for it could not be set up.
-pub(crate) async fn play(
+/// Returns an error if the hosts could not be started or signalled.
+pub(crate) async fn run_seed(
     seed: u64,
     time: Duration,
     binary: &Path,
@@ -234,52 +240,52 @@
         ..Report::default()
     };
     let fronts: Vec<SocketAddr> = hosts.iter().map(|host| host.front).collect();
-    expect_all(&fronts, "serves after its start", &mut report).await;
-    let until = Instant::now() + time;
-    let tickets = Tickets::default();
+    check_recovery(&fronts, "recovery after start", &mut report).await;
+    let end = Instant::now() + time;
+    let statuses = Statuses::default();
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
             let name = format!("c{number}");
             let rng = ChaCha8Rng::seed_from_u64(rng.random());
-            tokio::spawn(call(name, fronts.clone(), until, rng, tickets.clone()))
+            tokio::spawn(run_caller(name, fronts.clone(), end, rng, statuses.clone()))
         })
         .collect();
-    while Instant::now() < until {
+    while Instant::now() < end {
         sleep(Duration::from_millis(rng.random_range(100..500))).await;
         world.copies.push(world.store.copy());
-        let fault = Fault::draw(&mut rng, usize::from(count), world.servers.len());
+        let fault = Fault::random(&mut rng, usize::from(count), world.servers.len());
         *report.faults.entry(fault.name()).or_default() += 1;
         report
             .violations
             .extend(fault.inject(&mut world, &mut hosts).await?);
     }
-    fault::lift_all(&mut world, &mut hosts)?;
+    fault::revert_all(&mut world, &mut hosts)?;
     for caller in callers {
         let (answers, violations) = caller.await?;
-        for (status, times) in answers {
-            *report.answers.entry(status).or_default() += times;
+        for (status, requests) in answers {
+            *report.answers.entry(status).or_default() += requests;
         }
         report.violations.extend(violations);
     }
-    expect_all(&fronts, "serves again after the last fault", &mut report).await;
+    check_recovery(&fronts, "recovery after the last fault", &mut report).await;
     for host in &hosts {
-        report.parts += parts(host.metrics).await;
+        report.delegated_parts += delegated_parts(host.metrics).await;
     }
-    let tickets = tickets
+    let statuses = statuses
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
         .clone();
-    for (id, status) in tickets {
-        let runs = world.runs(&format!("/once/{id}"));
+    for (id, status) in statuses {
+        let runs = world.run_count(&format!("/once/{id}"));
         report
             .violations
-            .extend(check::once(&id, status, runs).err());
+            .extend(check::at_most_once(&id, status, runs).err());
     }
     Ok(report)
 }
 
-/// Returns how many parts of searches other hosts looked through for this one.
-async fn parts(metrics: SocketAddr) -> u64 {
+/// Returns the number of parts of searches that other hosts answered for this one, from its metrics.
+async fn delegated_parts(metrics: SocketAddr) -> u64 {
     const COUNTER: &str = "monsoonring_relays_total{outcome=\"part answered\"} ";
     let page = client::ask(metrics, "GET", "/metrics", "m", "1000").await;
     let body = page.map(|page| page.body).unwrap_or_default();
@@ -287,13 +293,13 @@
     count.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-async fn expect_all(fronts: &[SocketAddr], promise: &'static str, report: &mut Report) {
+async fn check_recovery(fronts: &[SocketAddr], invariant: &'static str, report: &mut Report) {
     for front in fronts {
-        if !regained(*front).await {
+        if !has_recovered(*front).await {
             report.violations.push(Violation {
-                promise,
+                invariant,
                 id: front.to_string(),
-                seen: format!("no whole answer in {REGAIN:?}"),
+                details: format!("no complete answer in {RECOVERY_TIMEOUT:?}"),
             });
         }
     }
