--- a/crates/cli/src/command/timeline.rs
+++ b/crates/cli/src/command/timeline.rs
@@ -42,8 +42,8 @@
 }
 
 impl Line {
-    /// Returns the backend servers that it is about: the one that it names, or those that stand before the reason
-    /// of each of several decisions in one line.
+    /// Returns the backend servers of the line: the one in its own field, and those that precede each
+    /// reason if the line holds several decisions (`SERVER: REASON; SERVER: REASON`).
     fn servers(&self) -> Vec<&str> {
         let reason = self.rest.get("reason").and_then(Value::as_str);
         let decisions = reason.unwrap_or_default().split("; ");
@@ -95,7 +95,7 @@
     let timeline = build(&text, id);
     if timeline.steps.is_empty() {
         output.notice(&format!(
-            "explain: no line of the logs names {id}; its host may have written none, or dropped it \
+            "explain: no log line names {id}; its host may not have logged the request, or dropped the line \
              (monsoonring_log_lines_dropped_total)"
         ));
         return Code::Usage;
@@ -105,7 +105,7 @@
 }
 
 fn build(text: &str, id: &str) -> Timeline {
-    let (mut lines, unreadable) = read(text);
+    let (mut lines, unreadable) = parse(text);
     lines.sort_by_key(|line| line.at);
     let requests: BTreeSet<&str> = lines
         .iter()
@@ -164,8 +164,8 @@
         line.request.is_none() && is_same_server && is_within && self.hosts.contains(&*line.host)
     }
 
-    /// Returns the last lines before the request in which each host learned of the configuration, its
-    /// servers and the store: what it went by, and since when.
+    /// Returns each host's last lines before the request on the configuration, the backend servers and
+    /// the store, which show the state that the host decided on.
     fn context<'a>(&self, lines: &'a [Line]) -> Vec<&'a Line> {
         let mut context = Vec::new();
         for host in &self.hosts {
@@ -182,7 +182,7 @@
 
 /// Parses the lines of a log, and counts those that could not be parsed. Ignores text before the JSON
 /// object, where log collectors add times and names.
-fn read(text: &str) -> (Vec<Line>, usize) {
+fn parse(text: &str) -> (Vec<Line>, usize) {
     let mut lines = Vec::new();
     let mut unreadable = 0;
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
