--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 use support::Daemon;
-use support::http::{ask, get, post, search};
+use support::http::{exchange, get, post, search};
 use support::service::{Fake, answer};
 use test_case::test_case;
 
@@ -17,7 +17,7 @@
 const DISPATCH: &str = "monsoonring-caller: dispatch";
 const CLERK: &str = "monsoonring-caller: clerk";
 const KEY: &str = "idempotency-key: k1";
-const FENCED: &str = "idempotency-key: m1.127.0.0.1~7000.1.0.1000.00";
+const ISSUED_KEY: &str = "idempotency-key: m1.127.0.0.1~7000.1.0.1000.00";
 
 #[test_case(&get("/elsewhere"), 404, "path"; "unknown_path_is_not_found")]
 #[test_case(&get(QUERY), 405, "method"; "get_of_a_query_is_not_allowed")]
@@ -48,17 +48,17 @@
     // Events: a request that a filter refuses, for each reason that the filters have.
     // Cause: a refusal without a problem document, or one whose request went on to the service.
     let daemon = Daemon::start(Fake::default(), &[]).await;
-    let response = ask(daemon.callers, request).await;
+    let response = exchange(daemon.caller_address, request).await;
     assert_eq!(
         (response.status, response.problem()),
         (status, (kind.into(), "not_run".into()))
     );
     assert!(
-        daemon.service.seen().is_empty(),
+        daemon.service.received_calls().is_empty(),
         "nothing reached the service"
     );
     daemon.signal();
-    daemon.ended().await;
+    daemon.stopped().await;
 }
 
 // Symptom: a ticket runs twice, although its caller followed what it was told.
@@ -66,21 +66,21 @@
 // that has just started, or takes the route for unknown, refuses it as "not run"; the caller files the
 // ticket anew under another key.
 // Cause: the refusal spoke of this send and was read as speaking of the request.
-#[test_case(&post("/routes/none/execute", &[DISPATCH, FENCED], "1"), 404, "unknown"; "under_issued_key_is_unknown")]
-#[test_case(&post(EXECUTE, &["monsoonring-caller: x", FENCED], "1"), 401, "unknown"; "of_unknown_caller_is_unknown")]
-#[test_case(&post(EXECUTE, &[DISPATCH, FENCED, "monsoonring-deadline-ms: 0"], "1"), 504, "unknown"; "too_late_is_unknown")]
-#[test_case(&post(EXECUTE, &[DISPATCH, FENCED], "{"), 400, "unknown"; "with_broken_body_is_unknown")]
+#[test_case(&post("/routes/none/execute", &[DISPATCH, ISSUED_KEY], "1"), 404, "unknown"; "under_issued_key_is_unknown")]
+#[test_case(&post(EXECUTE, &["monsoonring-caller: x", ISSUED_KEY], "1"), 401, "unknown"; "of_unknown_caller_is_unknown")]
+#[test_case(&post(EXECUTE, &[DISPATCH, ISSUED_KEY, "monsoonring-deadline-ms: 0"], "1"), 504, "unknown"; "too_late_is_unknown")]
+#[test_case(&post(EXECUTE, &[DISPATCH, ISSUED_KEY], "{"), 400, "unknown"; "with_broken_body_is_unknown")]
 #[test_case(&post("/routes/none/execute", &[DISPATCH, KEY, "monsoonring-send: 2"], "1"), 404, "unknown"; "second_under_own_key_is_unknown")]
 #[test_case(&post("/routes/none/execute", &[DISPATCH, KEY, "monsoonring-send: 1"], "1"), 404, "not_run"; "first_under_own_key_is_not_run")]
-#[test_case(&post("/routes/none/query", &[DISPATCH, FENCED], "1"), 404, "not_run"; "search_is_not_run")]
+#[test_case(&post("/routes/none/query", &[DISPATCH, ISSUED_KEY], "1"), 404, "not_run"; "search_is_not_run")]
 #[tokio::test]
 async fn refused_send(request: &str, status: u16, outcome: &str) {
     let daemon = Daemon::start(Fake::default(), &[]).await;
-    let response = ask(daemon.callers, request).await;
-    let (_, told) = response.problem();
-    assert_eq!((response.status, told.as_str()), (status, outcome));
+    let response = exchange(daemon.caller_address, request).await;
+    let (_, reported) = response.problem();
+    assert_eq!((response.status, reported.as_str()), (status, outcome));
     daemon.signal();
-    daemon.ended().await;
+    daemon.stopped().await;
 }
 
 #[tokio::test]
@@ -90,11 +90,15 @@
         ..Fake::default()
     };
     let daemon = Daemon::start(service, &[]).await;
-    let response = ask(daemon.callers, &post(EXECUTE, &[DISPATCH, FENCED], "1")).await;
-    let told = ("starting".into(), "unknown".into());
-    assert_eq!((response.status, response.problem()), (503, told));
+    let response = exchange(
+        daemon.caller_address,
+        &post(EXECUTE, &[DISPATCH, ISSUED_KEY], "1"),
+    )
+    .await;
+    let expected = ("starting".into(), "unknown".into());
+    assert_eq!((response.status, response.problem()), (503, expected));
     daemon.signal();
-    daemon.ended().await;
+    daemon.stopped().await;
 }
 
 fn chunked(body: &str) -> String {
@@ -109,11 +113,19 @@
         ..Fake::default()
     };
     let daemon = Daemon::start(service, &[]).await;
-    let response = ask(daemon.callers, &search("1")).await;
+    let response = exchange(daemon.caller_address, &search("1")).await;
     assert_eq!(response.problem(), ("starting".into(), "not_run".into()));
     assert_eq!(response.header("retry-after"), Some("1"));
-    assert_eq!(ask(daemon.callers, &get("/ready")).await.status, 503);
-    assert_eq!(ask(daemon.callers, &get("/health")).await.status, 200);
+    assert_eq!(
+        exchange(daemon.caller_address, &get("/ready")).await.status,
+        503
+    );
+    assert_eq!(
+        exchange(daemon.caller_address, &get("/health"))
+            .await
+            .status,
+        200
+    );
 }
 
 #[tokio::test]
@@ -124,13 +136,13 @@
         "authorization: bearer secret",
         "monsoonring-deadline-ms: 5000",
     ];
-    let response = ask(
-        daemon.callers,
+    let response = exchange(
+        daemon.caller_address,
         &post(QUERY, &headers, " {\"b\":1, \"a\":2}"),
     )
     .await;
     assert_eq!(response.status, 200);
-    let calls = daemon.service.seen();
+    let calls = daemon.service.received_calls();
     let call = calls.first().expect("it reached the service");
     assert_eq!((&*call.caller, call.class), ("clerk", Class::Normal));
     assert_eq!(&*call.body, " {\"b\":1, \"a\":2}");
@@ -145,18 +157,21 @@
 #[test_case("[1,[2]]", "[[1],2]", false; "differs_by_nesting")]
 #[test_case("\"1\"", "1", false; "differs_by_type")]
 #[tokio::test]
-async fn fingerprint(one: &str, other: &str, same: bool) {
+async fn fingerprint(first: &str, second: &str, same: bool) {
     let daemon = Daemon::start(Fake::default(), &[]).await;
-    for body in [one, other] {
-        assert_eq!(ask(daemon.callers, &search(body)).await.status, 200);
+    for body in [first, second] {
+        assert_eq!(
+            exchange(daemon.caller_address, &search(body)).await.status,
+            200
+        );
     }
-    let prints: Vec<u64> = daemon
+    let fingerprints: Vec<u64> = daemon
         .service
-        .seen()
+        .received_calls()
         .iter()
         .map(|call| call.fingerprint)
         .collect();
-    assert_eq!(prints[0] == prints[1], same);
+    assert_eq!(fingerprints[0] == fingerprints[1], same);
 }
 
 #[tokio::test]
@@ -168,9 +183,9 @@
     let trace = "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     for body in ["1", "2"] {
         let request = post(QUERY, &[DISPATCH, trace], body);
-        assert_eq!(ask(daemon.callers, &request).await.status, 200);
+        assert_eq!(exchange(daemon.caller_address, &request).await.status, 200);
     }
-    let calls = daemon.service.seen();
+    let calls = daemon.service.received_calls();
     assert_ne!(
         calls[0].request, calls[1].request,
         "two requests have two ids"
@@ -185,7 +200,7 @@
     let daemon = Daemon::start(Fake::default(), &[]).await;
     for key in ["idempotency-key: \"k1\"", KEY] {
         let request = post(EXECUTE, &[DISPATCH, key, "monsoonring-send: 2"], "1");
-        assert_eq!(ask(daemon.callers, &request).await.status, 200);
+        assert_eq!(exchange(daemon.caller_address, &request).await.status, 200);
     }
     let executed = daemon
         .service
@@ -230,22 +245,22 @@
 }
 
 #[tokio::test]
-async fn outcome_each_is_told_truly() {
+async fn outcome_each_is_reported() {
     let mut session = String::new();
     for outcome in outcomes() {
         let title = match &outcome {
             Outcome::Answered(answer) => format!("Answered with coverage {}", answer.coverage),
             outcome => format!("{outcome:?}"),
         };
-        let daemon = Daemon::start(Fake::with(outcome), &[]).await;
-        let response = ask(daemon.callers, &search("1")).await;
+        let daemon = Daemon::start(Fake::with_outcome(outcome), &[]).await;
+        let response = exchange(daemon.caller_address, &search("1")).await;
         write!(session, "# {title}\n{}\n", response.golden()).expect("a string takes all");
     }
     insta::assert_snapshot!(session);
 }
 
 #[tokio::test]
-async fn execution_session_is_told_truly() {
+async fn execution_each_is_reported() {
     let offered = Some("issued-9".to_owned());
     let conflict = Execution {
         conflict: true,
@@ -280,12 +295,16 @@
             &[],
         )
         .await;
-        let keys = ask(
-            daemon.callers,
+        let keys = exchange(
+            daemon.caller_address,
             &post("/routes/tickets/keys", &[DISPATCH], ""),
         )
         .await;
-        let response = ask(daemon.callers, &post(EXECUTE, &[DISPATCH, KEY], "{}")).await;
+        let response = exchange(
+            daemon.caller_address,
+            &post(EXECUTE, &[DISPATCH, KEY], "{}"),
+        )
+        .await;
         write!(session, "{}\n{}\n", keys.golden(), response.golden()).expect("a string takes all");
     }
     insta::assert_snapshot!(session);
--- a/crates/daemon/tests/console.rs
+++ b/crates/daemon/tests/console.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use support::Daemon;
 use support::form::{Form, unescape};
-use support::http::{Response, ask, get, post};
+use support::http::{Response, exchange, get, post};
 use support::service::Fake;
 use test_case::test_case;
 
@@ -20,13 +20,13 @@
     Daemon::start(Fake::default(), &[]).await
 }
 
-async fn first_page(operators: SocketAddr) -> Form {
-    Form::of(&ask(operators, &get("/console")).await.body)
+async fn first_page(operator_address: SocketAddr) -> Form {
+    Form::parse(&exchange(operator_address, &get("/console")).await.body)
 }
 
 /// The draft that a page carries.
 fn draft(page: &Response) -> Value {
-    let form = Form::of(&page.body);
+    let form = Form::parse(&page.body);
     let text = form.value("draft").expect("the page has a draft");
     serde_json::from_str(text).expect("the draft is JSON")
 }
@@ -48,35 +48,35 @@
 #[tokio::test]
 async fn console_session_ends_in_a_valid_document() {
     let daemon = daemon().await;
-    let operators = daemon.operators;
-    let start = ask(operators, &get("/console")).await;
+    let operator_address = daemon.operator_address;
+    let start = exchange(operator_address, &get("/console")).await;
     insta::assert_snapshot!("session_1_overview", golden(&start));
-    let route = Form::of(&start.body)
-        .press(operators, "open:/routes/0")
+    let route = Form::parse(&start.body)
+        .press(operator_address, "open:/routes/0")
         .await;
     insta::assert_snapshot!("session_2_route", golden(&route));
-    let wrong = Form::of(&route.body)
+    let wrong = Form::parse(&route.body)
         .with("/routes/0/deadline_ms", "soon")
         .with("/routes/0/groups/0/keys/end", "50")
-        .press(operators, "check")
+        .press(operator_address, "check")
         .await;
     insta::assert_snapshot!("session_3_faults", golden(&wrong));
-    let added = Form::of(&wrong.body)
+    let added = Form::parse(&wrong.body)
         .with("/routes/0/deadline_ms", "30000")
-        .press(operators, "add:/routes/0/groups")
+        .press(operator_address, "add:/routes/0/groups")
         .await;
-    let mended = Form::of(&added.body)
+    let corrected = Form::parse(&added.body)
         .with("/routes/0/groups/1/name", "b")
         .with("/routes/0/groups/1/keys/end", "100")
         .with(
             "/routes/0/groups/1/backend_servers",
             "127.0.0.1:7001\r\n127.0.0.1:7002",
         )
-        .press(operators, "open:")
+        .press(operator_address, "open:")
         .await;
-    insta::assert_snapshot!("session_4_change", golden(&mended));
-    let file = Form::of(&mended.body)
-        .send(operators, "/console/document")
+    insta::assert_snapshot!("session_4_change", golden(&corrected));
+    let file = Form::parse(&corrected.body)
+        .send(operator_address, "/console/document")
         .await;
     assert_eq!(file.header("content-type"), Some("application/json"));
     assert!(
@@ -91,34 +91,34 @@
 #[tokio::test]
 async fn console_every_field_of_the_schema_can_be_filled_in() {
     let daemon = daemon().await;
-    let start = first_page(daemon.operators).await;
-    for place in ["/callers/0", "/routes/0"] {
+    let start = first_page(daemon.operator_address).await;
+    for pointer in ["/callers/0", "/routes/0"] {
         let page = start
             .clone()
-            .press(daemon.operators, &format!("open:{place}"))
+            .press(daemon.operator_address, &format!("open:{pointer}"))
             .await;
-        let form = Form::of(&page.body);
-        let definition = if place.starts_with("/routes") {
+        let form = Form::parse(&page.body);
+        let definition = if pointer.starts_with("/routes") {
             "Route"
         } else {
             "Caller"
         };
-        for field in leaves(&schema::value()["$defs"][definition], place) {
+        for field in leaves(&schema::value()["$defs"][definition], pointer) {
             assert!(form.value(&field).is_some(), "no input for {field}");
         }
     }
 }
 
 /// The pointers of all fields below a place; of lists of objects, those of the first item.
-fn leaves(part: &'static Value, place: &str) -> Vec<String> {
+fn leaves(part: &'static Value, pointer: &str) -> Vec<String> {
     let part = schema::resolve(part);
     if let Some(fields) = part["properties"].as_object() {
-        let below = |(name, field)| leaves(field, &format!("{place}/{name}"));
+        let below = |(name, field)| leaves(field, &format!("{pointer}/{name}"));
         return fields.iter().flat_map(below).collect();
     }
     match part.get("items").map(schema::resolve) {
-        Some(items) if items.get("properties").is_some() => leaves(items, &format!("{place}/0")),
-        _ => vec![place.to_owned()],
+        Some(items) if items.get("properties").is_some() => leaves(items, &format!("{pointer}/0")),
+        _ => vec![pointer.to_owned()],
     }
 }
 
@@ -135,19 +135,21 @@
 #[test_case("/routes/0/groups/0/keys/end", "99", "no group holds the keys 99..100"; "hole")]
 #[test_case("/routes/0/groups/0/weight", "-1", "is too low"; "weight")]
 #[tokio::test]
-async fn console_fault_is_shown_and_keeps_what_was_typed(field: &str, value: &str, wrong: &str) {
+async fn console_fault_is_shown_and_input_preserved(field: &str, value: &str, wrong: &str) {
     let daemon = daemon().await;
-    let start = first_page(daemon.operators).await;
-    let route = start.press(daemon.operators, "open:/routes/0").await;
-    let form = Form::of(&route.body).with(field, value);
-    let page = form.clone().press(daemon.operators, "check").await;
+    let start = first_page(daemon.operator_address).await;
+    let route = start.press(daemon.operator_address, "open:/routes/0").await;
+    let form = Form::parse(&route.body).with(field, value);
+    let page = form.clone().press(daemon.operator_address, "check").await;
     assert!(unescape(&page.body).contains(wrong), "{}", page.body);
-    let kept = Form::of(&page.body).0;
-    let kept = kept
+    let preserved = Form::parse(&page.body).0;
+    let preserved = preserved
         .iter()
         .any(|(name, text)| name == field && text == value);
-    assert!(kept, "{}", page.body);
-    let refused = form.send(daemon.operators, "/console/document").await;
+    assert!(preserved, "{}", page.body);
+    let refused = form
+        .send(daemon.operator_address, "/console/document")
+        .await;
     let kind = refused.header("content-type").unwrap_or_default();
     assert!(
         kind.starts_with("text/html"),
@@ -170,22 +172,24 @@
 #[test_case("add:/routes/7/groups", "/routes/7", Value::Null; "add_to_nothing")]
 #[test_case("open:/routes/7", "/routes/1/name", json!("tickets"); "open_nothing")]
 #[tokio::test]
-async fn console_button_edits_the_draft(button: &str, place: &str, expected: Value) {
+async fn console_button_edits_the_draft(button: &str, pointer: &str, expected: Value) {
     let daemon = daemon().await;
-    let start = first_page(daemon.operators).await;
-    let page = start.press(daemon.operators, button).await;
+    let start = first_page(daemon.operator_address).await;
+    let page = start.press(daemon.operator_address, button).await;
     let draft = draft(&page);
-    let found = draft.pointer(place).cloned().unwrap_or_default();
+    let found = draft.pointer(pointer).cloned().unwrap_or_default();
     assert_eq!(found, expected, "{draft}");
 }
 
 #[tokio::test]
 async fn console_renamed_caller_keeps_its_routes() {
     let daemon = daemon().await;
-    let start = first_page(daemon.operators).await;
-    let caller = start.press(daemon.operators, "open:/callers/0").await;
-    let form = Form::of(&caller.body).with("/callers/0/name", "dispatchers");
-    let page = form.press(daemon.operators, "open:").await;
+    let start = first_page(daemon.operator_address).await;
+    let caller = start
+        .press(daemon.operator_address, "open:/callers/0")
+        .await;
+    let form = Form::parse(&caller.body).with("/callers/0/name", "dispatchers");
+    let page = form.press(daemon.operator_address, "open:").await;
     assert_eq!(
         draft(&page)["routes"][0]["callers"],
         json!(["dispatchers", "clerk"])
@@ -193,12 +197,12 @@
 }
 
 #[tokio::test]
-async fn console_no_box_ticked_closes_the_route() {
+async fn console_no_box_ticked_removes_all_callers() {
     let daemon = daemon().await;
-    let start = first_page(daemon.operators).await;
-    let route = start.press(daemon.operators, "open:/routes/0").await;
-    let form = Form::of(&route.body).with("/routes/0/callers", "");
-    let page = form.press(daemon.operators, "open:").await;
+    let start = first_page(daemon.operator_address).await;
+    let route = start.press(daemon.operator_address, "open:/routes/0").await;
+    let form = Form::parse(&route.body).with("/routes/0/callers", "");
+    let page = form.press(daemon.operator_address, "open:").await;
     assert_eq!(draft(&page)["routes"][0]["callers"], json!([]));
     assert!(
         page.body.contains("caller dispatch loses hydrants"),
@@ -208,15 +212,17 @@
 }
 
 #[tokio::test]
-async fn console_newer_revision_in_force_is_told() {
+async fn console_newer_revision_in_force_is_reported() {
     // Symptom: a change that another operator published is undone, and nobody meant it.
     // Events: two operators start from one revision, and publish one after the other.
     // Cause: the second draft still holds what the first has changed.
     let daemon = daemon().await;
-    let start = first_page(daemon.operators).await.with("revision", "41");
-    let page = start.press(daemon.operators, "check").await;
-    let told = "Revision 42 has come into force since this draft was begun from revision 41";
-    assert!(page.body.contains(told), "{}", page.body);
+    let start = first_page(daemon.operator_address)
+        .await
+        .with("revision", "41");
+    let page = start.press(daemon.operator_address, "check").await;
+    let message = "Revision 42 has come into force since this draft was begun from revision 41";
+    assert!(page.body.contains(message), "{}", page.body);
 }
 
 #[tokio::test]
@@ -226,7 +232,7 @@
         ..Fake::default()
     };
     let daemon = Daemon::start(fake, &[]).await;
-    let page = ask(daemon.operators, &get("/console")).await;
+    let page = exchange(daemon.operator_address, &get("/console")).await;
     assert!(page.body.contains("nothing is in force here yet"));
     assert!(page.body.contains("not ready (no configuration)"));
     assert_eq!(draft(&page), json!({"callers": [], "routes": []}));
@@ -239,13 +245,16 @@
 #[test_case("[]", "has the wrong type", ""; "no_object")]
 #[test_case("{\"callers\":{},\"routes\":[3]}", "has the wrong type", ""; "wrong_types")]
 #[tokio::test]
-async fn console_pasted_text_shows_its_faults(text: &str, told: &str, kept: &str) {
+async fn console_pasted_text_shows_its_faults(text: &str, message: &str, preserved: &str) {
     let daemon = daemon().await;
     let form = Form::default().with("draft", text);
-    let page = form.press(daemon.operators, "load").await;
+    let page = form.press(daemon.operator_address, "load").await;
     assert_eq!(page.status, 200);
     let shown = unescape(&page.body);
-    assert!(shown.contains(told) && shown.contains(kept), "{shown}");
+    assert!(
+        shown.contains(message) && shown.contains(preserved),
+        "{shown}"
+    );
 }
 
 #[tokio::test]
@@ -254,16 +263,16 @@
     // Events: an operator pastes it to look at it.
     // Cause: names go into the page as they are.
     let daemon = daemon().await;
-    let evil = "\"><script>alert(1)</script>";
+    let markup = "\"><script>alert(1)</script>";
     let text = json!({
-        "callers": [{"name": evil, "class": evil}],
-        "routes": [{"name": evil, evil: evil, "callers": [evil], "groups": [{"name": evil}]}],
-        evil: evil,
+        "callers": [{"name": markup, "class": markup}],
+        "routes": [{"name": markup, markup: markup, "callers": [markup], "groups": [{"name": markup}]}],
+        markup: markup,
     });
     let text = text.to_string();
     for button in ["load", "open:/callers/0", "open:/routes/0"] {
         let form = Form::default().with("draft", &text);
-        let page = form.press(daemon.operators, button).await;
+        let page = form.press(daemon.operator_address, button).await;
         assert_eq!(page.status, 200);
         assert!(!page.body.contains("<script"), "{button}: {}", page.body);
         let policy = page.header("content-security-policy").unwrap_or_default();
@@ -279,14 +288,14 @@
 #[tokio::test]
 async fn console_post(path: &str, headers: &[&str], body: &str, status: u16) {
     let daemon = daemon().await;
-    let response = ask(daemon.operators, &post(path, headers, body)).await;
+    let response = exchange(daemon.operator_address, &post(path, headers, body)).await;
     assert_eq!(response.status, status, "{}", response.body);
 }
 
 #[tokio::test]
 async fn console_document_is_only_sent_for_a_form() {
     let daemon = daemon().await;
-    let response = ask(daemon.operators, &get("/console/document")).await;
+    let response = exchange(daemon.operator_address, &get("/console/document")).await;
     assert_eq!(response.status, 405);
 }
 
@@ -297,14 +306,19 @@
     // Cause: a form is kept whole until it ends.
     let daemon = daemon().await;
     let large = post("/console", &[FORM_TYPE], &"a".repeat(4_000_001));
-    assert_eq!(ask(daemon.operators, &large).await.status, 413);
+    assert_eq!(exchange(daemon.operator_address, &large).await.status, 413);
     let many = post("/console", &[FORM_TYPE], &"a=&".repeat(50_001));
-    assert_eq!(ask(daemon.operators, &many).await.status, 413);
-    assert_eq!(ask(daemon.operators, &get("/console")).await.status, 200);
+    assert_eq!(exchange(daemon.operator_address, &many).await.status, 413);
+    assert_eq!(
+        exchange(daemon.operator_address, &get("/console"))
+            .await
+            .status,
+        200
+    );
 }
 
 /// A piece of JSON that is somewhat like a document.
-fn odd_value() -> impl Strategy<Value = Value> {
+fn arbitrary_value() -> impl Strategy<Value = Value> {
     let names = [
         "callers", "routes", "groups", "name", "keys", "start", "end", "hedge", "capacity", "~/",
         "",
@@ -332,7 +346,7 @@
     })
 }
 
-fn odd_pointer() -> impl Strategy<Value = String> {
+fn arbitrary_pointer() -> impl Strategy<Value = String> {
     let segments = [
         "callers",
         "routes",
@@ -350,7 +364,7 @@
         "",
     ];
     let segments = prop::collection::vec(prop::sample::select(segments.to_vec()), 0..6);
-    let odd = segments.prop_map(|segments| {
+    let arbitrary = segments.prop_map(|segments| {
         segments
             .iter()
             .map(|segment| format!("/{segment}"))
@@ -372,28 +386,33 @@
         "/routes/0/callers",
     ];
     let likely = prop::sample::select(likely.to_vec()).prop_map(str::to_owned);
-    prop_oneof![odd, likely]
+    prop_oneof![arbitrary, likely]
 }
 
-fn odd_form() -> impl Strategy<Value = Form> {
+fn arbitrary_form() -> impl Strategy<Value = Form> {
     let verb = prop::sample::select(vec![
         "open:", "add:", "copy:", "remove:", "check", "load", ":",
     ]);
-    let field = (odd_pointer(), "\\PC{0,12}");
+    let field = (arbitrary_pointer(), "\\PC{0,12}");
     let fields = prop::collection::vec(field, 0..8);
     let known = prop::sample::select(vec![
         Value::Null,
         json!({"callers": [{}], "routes": [{"groups": [{}]}]}),
     ]);
-    let draft = prop_oneof![odd_value(), known];
-    (draft, odd_pointer(), verb, odd_pointer(), fields).prop_map(
-        |(draft, part, verb, at, fields)| {
+    let draft = prop_oneof![arbitrary_value(), known];
+    (
+        draft,
+        arbitrary_pointer(),
+        verb,
+        arbitrary_pointer(),
+        fields,
+    )
+        .prop_map(|(draft, part, verb, at, fields)| {
             Form(fields)
                 .with("draft", &draft.to_string())
                 .with("part", &part)
                 .with("do", &format!("{verb}{at}"))
-        },
-    )
+        })
 }
 
 #[test]
@@ -408,10 +427,10 @@
         failure_persistence: None,
         ..Config::default()
     };
-    let seeded = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
-    let mut runner = TestRunner::new_with_rng(config, seeded);
-    let result = runner.run(&odd_form(), |form| {
-        let page = runtime.block_on(form.send(daemon.operators, "/console"));
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
+    let mut runner = TestRunner::new_with_rng(config, rng);
+    let result = runner.run(&arbitrary_form(), |form| {
+        let page = runtime.block_on(form.send(daemon.operator_address, "/console"));
         prop_assert_eq!(page.status, 200, "{}", page.body);
         prop_assert!(page.body.ends_with("</html>"));
         Ok(())
--- a/crates/daemon/tests/fuzz.rs
+++ b/crates/daemon/tests/fuzz.rs
@@ -5,33 +5,33 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use support::fuzzing::{count_panics, panics, runner};
-use support::http::{Client, ask, post, search};
+use support::http::{Client, exchange, post, search};
 use support::service::Fake;
 use support::{Daemon, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const CASES: u32 = 256;
 const MAX_BYTES: usize = 512;
-const MAX_CHANGES: usize = 8;
+const MAX_MUTATIONS: usize = 8;
 
 /// One change to a valid request.
 #[derive(Clone, Debug)]
-enum Change {
-    Put(prop::sample::Index, u8),
+enum Mutation {
+    Replace(prop::sample::Index, u8),
     Insert(prop::sample::Index, Vec<u8>),
     Remove(prop::sample::Index),
     Repeat(prop::sample::Index),
-    Cut(prop::sample::Index),
+    Truncate(prop::sample::Index),
 }
 
-impl Change {
+impl Mutation {
     fn apply(&self, bytes: &mut Vec<u8>) {
         if bytes.is_empty() {
             return;
         }
         let length = bytes.len();
         match self {
-            Self::Put(index, byte) => bytes[index.index(length)] = *byte,
+            Self::Replace(index, byte) => bytes[index.index(length)] = *byte,
             Self::Insert(index, more) => {
                 let at = index.index(length);
                 bytes.splice(at..at, more.iter().copied());
@@ -40,24 +40,24 @@
                 bytes.remove(index.index(length));
             }
             Self::Repeat(index) => bytes.extend_from_within(index.index(length)..),
-            Self::Cut(index) => bytes.truncate(index.index(length)),
+            Self::Truncate(index) => bytes.truncate(index.index(length)),
         }
     }
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn mutation() -> impl Strategy<Value = Mutation> {
     let index = any::<prop::sample::Index>;
     prop_oneof![
-        (index(), any::<u8>()).prop_map(|(index, byte)| Change::Put(index, byte)),
+        (index(), any::<u8>()).prop_map(|(index, byte)| Mutation::Replace(index, byte)),
         (index(), prop::collection::vec(any::<u8>(), 1..9))
-            .prop_map(|(index, bytes)| Change::Insert(index, bytes)),
-        index().prop_map(Change::Remove),
-        index().prop_map(Change::Repeat),
-        index().prop_map(Change::Cut),
+            .prop_map(|(index, bytes)| Mutation::Insert(index, bytes)),
+        index().prop_map(Mutation::Remove),
+        index().prop_map(Mutation::Repeat),
+        index().prop_map(Mutation::Truncate),
     ]
 }
 
-fn valid() -> impl Strategy<Value = Vec<u8>> {
+fn valid_request() -> impl Strategy<Value = Vec<u8>> {
     let caller = "monsoonring-caller: dispatch";
     let key = "idempotency-key: \"k\"";
     prop::sample::select(vec![
@@ -81,20 +81,24 @@
 }
 
 fn bytes() -> impl Strategy<Value = Vec<u8>> {
-    let changed = (valid(), prop::collection::vec(change(), 0..MAX_CHANGES)).prop_map(
-        |(mut bytes, changes)| {
-            changes.iter().for_each(|change| change.apply(&mut bytes));
+    let mutated = (
+        valid_request(),
+        prop::collection::vec(mutation(), 0..MAX_MUTATIONS),
+    )
+        .prop_map(|(mut bytes, mutations)| {
+            mutations
+                .iter()
+                .for_each(|mutation| mutation.apply(&mut bytes));
             bytes
-        },
-    );
+        });
     prop_oneof![
         1 => prop::collection::vec(any::<u8>(), 0..MAX_BYTES),
-        3 => changed,
+        3 => mutated,
     ]
 }
 
 /// Sends the bytes and nothing more, and reads whatever comes until the other side ends.
-async fn disturb(address: SocketAddr, bytes: &[u8]) {
+async fn send_and_close(address: SocketAddr, bytes: &[u8]) {
     let mut client = Client::connect(address).await;
     // The daemon may have closed the connection before it had read everything.
     let _closed = client.0.write_all(bytes).await;
@@ -113,8 +117,8 @@
     let mut runner = runner(CASES, 7);
     let result = runner.run(&bytes(), |bytes| {
         let next = runtime.block_on(async {
-            disturb(daemon.callers, &bytes).await;
-            ask(daemon.callers, &search("1")).await
+            send_and_close(daemon.caller_address, &bytes).await;
+            exchange(daemon.caller_address, &search("1")).await
         });
         prop_assert_eq!(next.status, 200);
         prop_assert_eq!(panics(), 0);
--- a/crates/daemon/tests/hostile.rs
+++ b/crates/daemon/tests/hostile.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use support::fuzzing::{count_panics, panics, runner};
 use support::peer::endpoint;
-use support::{start_whole, within};
+use support::{launch_daemon, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -22,23 +22,23 @@
 const METHODS: u8 = 14;
 
 /// Time that a call is given.
-const SECONDS: u8 = 60;
+const DEADLINE_SECONDS: u8 = 60;
 
 /// Bytes of the ids that a call has for tracing.
 const TRACE_BYTES: usize = 17;
 
 /// Mark of a number of eight bytes.
-const LARGE: u8 = 253;
+const U64_TAG: u8 = 253;
 
 /// Between two tries of something that must succeed.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A call as far as its head goes; its body has small numbers, so that many bodies can be read, and
 /// some that are as large as can be.
 fn call() -> impl Strategy<Value = Vec<u8>> {
-    let byte = prop_oneof![8 => 0_u8..8, 1 => any::<u8>(), 1 => Just(LARGE)];
+    let byte = prop_oneof![8 => 0_u8..8, 1 => any::<u8>(), 1 => Just(U64_TAG)];
     (0..METHODS, prop::collection::vec(byte, 0..MAX_BYTES)).prop_map(|(method, body)| {
-        let mut bytes = vec![0, SECONDS, 0];
+        let mut bytes = vec![0, DEADLINE_SECONDS, 0];
         bytes.extend([0; TRACE_BYTES]);
         bytes.extend([1, 1, method]);
         bytes.extend(body);
@@ -46,19 +46,19 @@
     })
 }
 
-async fn line(peer: SocketAddr) -> Option<Connection> {
+async fn try_connect(peer: SocketAddr) -> Option<Connection> {
     connect(peer, &endpoint()).await.ok()
 }
 
-async fn is_served(line: &Connection) -> bool {
-    let span = BucketRange { first: 0, last: 0 };
-    let page = line.client().page(tarpc::context::current(), span);
+async fn is_served(connection: &Connection) -> bool {
+    let range = BucketRange { first: 0, last: 0 };
+    let page = connection.client().page(tarpc::context::current(), range);
     within(page).await.is_ok_and(|page| page.is_some())
 }
 
 /// Sends bytes as someone without the key does, or sealed as messages of someone with it.
-async fn disturb(peer: SocketAddr, sealed: bool, bytes: &[u8]) {
-    if sealed {
+async fn send_and_close(peer: SocketAddr, authenticated: bool, bytes: &[u8]) {
+    if authenticated {
         let stream = endpoint().connect(peer).await.expect("the key is right");
         let mut frames = framed(stream);
         let _closed = frames.send(Bytes::copy_from_slice(bytes)).await;
@@ -79,18 +79,18 @@
     // Cause: a panic, or a connection that holds something up for the others.
     count_panics();
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let daemon = runtime.block_on(start_whole(&[]));
+    let daemon = runtime.block_on(launch_daemon(&[]));
     let peer = daemon.peer_address;
-    let other = runtime.block_on(line(peer)).expect("it listens");
+    let connection = runtime.block_on(try_connect(peer)).expect("it listens");
     let mut runner = runner(CASES, 5);
     let any_bytes = prop::collection::vec(any::<u8>(), 0..MAX_BYTES);
     let bytes = prop_oneof![
         1 => (any::<bool>(), any_bytes),
         4 => call().prop_map(|bytes| (true, bytes)),
     ];
-    let result = runner.run(&bytes, |(sealed, bytes)| {
-        runtime.block_on(disturb(peer, sealed, &bytes));
-        prop_assert!(runtime.block_on(is_served(&other)));
+    let result = runner.run(&bytes, |(authenticated, bytes)| {
+        runtime.block_on(send_and_close(peer, authenticated, &bytes));
+        prop_assert!(runtime.block_on(is_served(&connection)));
         prop_assert_eq!(panics(), 0);
         Ok(())
     });
@@ -98,12 +98,12 @@
 }
 
 /// Tries until a connection is served.
-async fn until_served(peer: SocketAddr) {
+async fn wait_until_served(peer: SocketAddr) {
     within(async {
         loop {
-            match line(peer).await {
-                Some(line) if is_served(&line).await => return,
-                _ => tokio::time::sleep(PAUSE).await,
+            match try_connect(peer).await {
+                Some(connection) if is_served(&connection).await => return,
+                _ => tokio::time::sleep(RETRY_INTERVAL).await,
             }
         }
     })
@@ -115,28 +115,28 @@
     // Symptom: a daemon accepts nobody any more, callers neither.
     // Events: more and more connections are opened at the peers' port and kept.
     // Cause: connections without a limit use up the process's descriptors.
-    let daemon = start_whole(&["--max-peer-connections=2"]).await;
+    let daemon = launch_daemon(&["--max-peer-connections=2"]).await;
     let peer = daemon.peer_address;
-    let first = line(peer).await.expect("within the limit");
-    let second = line(peer).await.expect("within the limit");
-    assert!(line(peer).await.is_none(), "above the limit");
+    let first = try_connect(peer).await.expect("within the limit");
+    let second = try_connect(peer).await.expect("within the limit");
+    assert!(try_connect(peer).await.is_none(), "above the limit");
     assert!(is_served(&first).await && is_served(&second).await);
     drop(first);
-    until_served(peer).await;
+    wait_until_served(peer).await;
     assert!(is_served(&second).await, "it is served on");
 }
 
 #[tokio::test]
-async fn handshake_that_does_not_end_frees_its_place() {
+async fn handshake_that_does_not_end_frees_its_slot() {
     // Symptom: daemons can't reach one of them, though it runs.
     // Events: someone without the key opens connections up to the limit and says nothing.
     // Cause: a wait for the handshake without an end.
-    let daemon = start_whole(&["--max-peer-connections=2"]).await;
+    let daemon = launch_daemon(&["--max-peer-connections=2"]).await;
     let peer = daemon.peer_address;
     let silent = [
         TcpStream::connect(peer).await,
         TcpStream::connect(peer).await,
     ];
-    until_served(peer).await;
+    wait_until_served(peer).await;
     assert!(silent.iter().all(Result::is_ok), "they are kept open here");
 }
--- a/crates/daemon/tests/log.rs
+++ b/crates/daemon/tests/log.rs
@@ -24,7 +24,7 @@
 // Events:  a storm of requests, each of which leaves a dozen lines.
 // Cause:   lines cost processor time, and nothing bounded them but the writer's queue.
 #[test]
-fn start_bounded_drops_and_counts_what_is_beyond_but_no_warning() {
+fn start_bounded_drops_excess_lines_but_no_warning() {
     let output = Output::default();
     let dropped = Counter::default();
     let (log, guard) = log::start_bounded(
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -13,12 +13,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use support::Daemon;
-use support::http::{ask, get, post, search};
+use support::http::{exchange, get, post, search};
 use support::service::Fake;
 
 /// Counts everything that the parts behind the front count, each with one of its labels.
-fn touch(metrics: &Metrics) {
-    touch_home(metrics);
+fn record_all(metrics: &Metrics) {
+    record_home(metrics);
     metrics.front.record_refusal(None, None, "caller");
     metrics.open_connections(Side::Peer).inc();
     metrics.open_connections(Side::BackendServer).inc();
@@ -35,7 +35,7 @@
     control.record_fact(&fact::Key::Suspect(7), "learned");
 }
 
-fn touch_home(metrics: &Metrics) {
+fn record_home(metrics: &Metrics) {
     let route = "hydrants".into();
     let decisions = [
         "send",
@@ -54,8 +54,8 @@
         "back_off",
         "finish",
     ];
-    for what in decisions {
-        metrics.home.record_decision(&route, what);
+    for label in decisions {
+        metrics.home.record_decision(&route, label);
     }
     metrics.home.record_failure(&route, &Failure::Mismatched);
     metrics.home.record_cancellation(&route);
@@ -79,10 +79,10 @@
 
 /// The lines of all metrics, without their values and without the buckets of histograms.
 async fn names(daemon: &Daemon) -> Vec<String> {
-    touch(&daemon.metrics);
-    ask(daemon.callers, &search("1")).await;
-    ask(daemon.callers, &post("/routes/none/query", &[], "1")).await;
-    let response = ask(daemon.operators, &get("/metrics")).await;
+    record_all(&daemon.metrics);
+    exchange(daemon.caller_address, &search("1")).await;
+    exchange(daemon.caller_address, &post("/routes/none/query", &[], "1")).await;
+    let response = exchange(daemon.operator_address, &get("/metrics")).await;
     let kind = response.header("content-type").expect("it has one");
     assert!(kind.starts_with("application/openmetrics-text"));
     let without_value = |line: &str| match line.rsplit_once(' ') {
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn metrics_names_are_kept() {
+async fn metrics_names_are_stable() {
     let daemon = Daemon::start(Fake::default(), &[]).await;
     let names = names(&daemon).await;
     for name in daemon.metrics.names() {
@@ -111,7 +111,7 @@
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
 /// All words of the page that name a metric, without the suffixes of samples.
-fn explained() -> BTreeSet<String> {
+fn documented() -> BTreeSet<String> {
     let is_part = |character: char| character.is_ascii_lowercase() || character == '_';
     let words = PAGE.split(|character: char| !is_part(character));
     let words = words.filter(|word| word.starts_with("monsoonring_"));
@@ -124,17 +124,17 @@
 }
 
 #[test]
-fn metrics_page_names_each_and_no_other() {
+fn metrics_page_documents_exactly_the_metrics() {
     // Symptom: an alarm never fires, and nobody notices before the failure that it was made for.
     // Events: a metric is renamed; the page, and the rules copied from it, keep the old name.
     // Cause: nothing holds the page against the code.
     let metrics = Metrics::default();
     let known: BTreeSet<String> = metrics.names().iter().cloned().collect();
-    assert_eq!(explained(), known);
+    assert_eq!(documented(), known);
 }
 
 #[test]
-fn metrics_table_has_each() {
+fn metrics_table_has_a_row_for_each() {
     let metrics = Metrics::default();
     for name in metrics.names() {
         let row = |line: &str| {
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/operator.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use support::Daemon;
-use support::http::{ask, get};
+use support::http::{exchange, get};
 use support::service::Fake;
 use test_case::test_case;
 
@@ -18,10 +18,10 @@
 #[test_case("/explain?route=a%20b&backend_server=127.0.0.1%3A7000", 200, "\"BackendServer { route: \\\"a b\\\", backend_server: 127.0.0.1:7000 }\""; "explain_backend_server")]
 #[test_case("/explain?request=0", 404, "nothing is known of it"; "explain_unknown_request")]
 #[test_case("/explain?request=x", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_wrong_request")]
-#[test_case("/explain?route=a", 400, "give `request`, or `route` and `backend_server`"; "explain_half_a_question")]
-#[test_case("/explain", 400, "give `request`, or `route` and `backend_server`"; "explain_nothing")]
-#[test_case("/explain?request=%", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_half_an_escape")]
-#[test_case("/explain?request=%ff%fe", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_no_text")]
+#[test_case("/explain?route=a", 400, "give `request`, or `route` and `backend_server`"; "explain_without_backend_server")]
+#[test_case("/explain", 400, "give `request`, or `route` and `backend_server`"; "explain_without_query")]
+#[test_case("/explain?request=%", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_truncated_escape")]
+#[test_case("/explain?request=%ff%fe", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_invalid_utf8")]
 #[test_case("/explain?request=-1", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_negative")]
 #[test_case("/explain?request=fffffffffffffffffffffffffffffffff", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_too_long")]
 #[test_case("/explain?route=&backend_server=[::1", 400, "`backend_server` is not an address such as 127.0.0.1:7000"; "explain_wrong_address")]
@@ -30,7 +30,7 @@
 #[tokio::test]
 async fn operator(path: &str, status: u16, body: &str) {
     let daemon = Daemon::start(Fake::default(), &[]).await;
-    let response = ask(daemon.operators, &get(path)).await;
+    let response = exchange(daemon.operator_address, &get(path)).await;
     assert_eq!((response.status, &*response.body), (status, body));
 }
 
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct State {
     written: Vec<u8>,
-    held: bool,
+    blocked: bool,
 }
 
 impl Output {
@@ -55,8 +55,8 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn hold(&self, held: bool) {
-        self.state().held = held;
+    fn set_blocked(&self, blocked: bool) {
+        self.state().blocked = blocked;
         self.0.changed.notify_all();
     }
 
@@ -67,8 +67,11 @@
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let free = self.0.changed.wait_while(self.state(), |state| state.held);
-        let mut state = free.unwrap_or_else(PoisonError::into_inner);
+        let unblocked = self
+            .0
+            .changed
+            .wait_while(self.state(), |state| state.blocked);
+        let mut state = unblocked.unwrap_or_else(PoisonError::into_inner);
         state.written.extend(bytes);
         Ok(bytes.len())
     }
@@ -80,7 +83,7 @@
 
 #[test_case(LogFormat::Json; "json")]
 #[test_case(LogFormat::Text; "text")]
-fn decision_line_has_what_decided(format: LogFormat) {
+fn decision_line_has_every_field(format: LogFormat) {
     let output = Output::default();
     let (log, guard) = start_to(output.clone(), format, LogLevel::Info, Counter::default());
     let decision = Decision {
@@ -108,12 +111,12 @@
 }
 
 #[test]
-fn log_held_up_drops_and_counts_lines() {
+fn log_blocked_drops_and_counts_lines() {
     // Symptom: requests hang while nothing is wrong with any backend server.
     // Events: whoever reads the daemon's standard error stops reading; the pipe fills up.
     // Cause: a request that waits until its line is written.
     let output = Output::default();
-    output.hold(true);
+    output.set_blocked(true);
     let dropped = Counter::default();
     let (log, guard) = start_to(
         output.clone(),
@@ -125,12 +128,12 @@
     for number in 0..lines {
         slog::info!(log, "line"; "number" => number);
     }
-    let lost = dropped.get();
-    assert!(lost > 0, "the queue is bounded");
-    output.hold(false);
+    let drop_count = dropped.get();
+    assert!(drop_count > 0, "the queue is bounded");
+    output.set_blocked(false);
     drop(guard);
     assert_eq!(
-        output.text().lines().count() as u64 + lost,
+        output.text().lines().count() as u64 + drop_count,
         lines,
         "each line is written or counted"
     );
--- a/crates/daemon/tests/page.rs
+++ b/crates/daemon/tests/page.rs
@@ -32,7 +32,7 @@
 }
 
 /// The rows of the page's table of log lines, by their messages.
-fn explained() -> BTreeSet<String> {
+fn documented() -> BTreeSet<String> {
     let table = PAGE
         .split("| `msg` |")
         .nth(1)
@@ -49,11 +49,11 @@
 }
 
 /// The messages of all log lines in the sources below a directory.
-fn written(directory: &Path, found: &mut BTreeSet<String>) {
+fn collect_messages(directory: &Path, found: &mut BTreeSet<String>) {
     for entry in fs::read_dir(directory).expect("the sources are there") {
         let path = entry.expect("it can be read").path();
         if path.is_dir() {
-            written(&path, found);
+            collect_messages(&path, found);
             continue;
         }
         let text = fs::read_to_string(&path).expect("it can be read");
@@ -66,11 +66,11 @@
 }
 
 #[test]
-fn page_has_each_log_line_and_no_other() {
+fn page_documents_exactly_the_log_messages() {
     let mut lines = BTreeSet::new();
     for sources in ["src", "../monsoonringd/src", "../../platform/src"] {
         let sources = Path::new(env!("CARGO_MANIFEST_DIR")).join(sources);
-        written(&sources, &mut lines);
+        collect_messages(&sources, &mut lines);
     }
-    assert_eq!(explained(), lines);
+    assert_eq!(documented(), lines);
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -8,13 +8,13 @@
 const KEY: &str = "00000000000000000000000000000000000000000000000000000000000000ff";
 
 #[test]
-fn read_nothing_lists_all_that_is_required() {
+fn read_without_arguments_lists_required_settings() {
     let error = Settings::read(["monsoonringd"]).expect_err("settings are required");
     insta::assert_snapshot!(error.to_string().replace("; ", ";\n"));
 }
 
 #[test]
-fn read_everything_wrong_is_told_at_once() {
+fn read_all_wrong_reports_every_error() {
     let arguments = [
         "monsoonringd",
         "--listen=0.0.0.0:80",
@@ -41,8 +41,8 @@
 }
 
 #[test_case("--listen=here", "--listen (MONSOONRING_LISTEN): invalid socket address syntax, not `here`"; "address")]
-#[test_case("--peers=1.2.3.4", "--peers (MONSOONRING_PEERS): invalid socket address syntax, not `1.2.3.4`"; "one_of_the_peers")]
-#[test_case("--key=5ecre7", "--key (MONSOONRING_KEY): a key has 64 hexadecimal digits, not 6"; "key_is_not_repeated")]
+#[test_case("--peers=1.2.3.4", "--peers (MONSOONRING_PEERS): invalid socket address syntax, not `1.2.3.4`"; "peer_address")]
+#[test_case("--key=5ecre7", "--key (MONSOONRING_KEY): a key has 64 hexadecimal digits, not 6"; "key_is_not_echoed")]
 #[test_case("--seed=-1", "--seed (MONSOONRING_SEED): invalid digit found in string, not `-1`"; "number")]
 #[test_case("--log-level=loud", "--log-level (MONSOONRING_LOG_LEVEL): must be one of error, warning, info, debug, not `loud`"; "log_level")]
 #[test_case("--nothing=1", "--nothing: there is no such setting"; "unknown_flag")]
@@ -74,6 +74,6 @@
 
 #[test]
 fn debug_form_hides_keys() {
-    let shown = format!("{:?}", support::settings(&["--previous-key", KEY]));
-    assert!(!shown.contains("255") && !shown.contains("ff"), "{shown}");
+    let debug = format!("{:?}", support::settings(&["--previous-key", KEY]));
+    assert!(!debug.contains("255") && !debug.contains("ff"), "{debug}");
 }
--- a/crates/daemon/tests/support/form.rs
+++ b/crates/daemon/tests/support/form.rs
@@ -1,6 +1,6 @@
 //! A browser as far as the console needs one: it sends the fields of a page back, with changes.
 
-use super::http::{Response, ask, post};
+use super::http::{Response, exchange, post};
 use std::net::SocketAddr;
 
 /// The fields of a form, in their order.
@@ -9,14 +9,14 @@
 
 impl Form {
     /// Reads the fields of the first form of a page, as a browser would send them.
-    pub(crate) fn of(page: &str) -> Self {
+    pub(crate) fn parse(page: &str) -> Self {
         let form = page.split("<form").nth(1).unwrap_or_default();
         let form = form.split("</form>").next().unwrap_or_default();
         let mut fields = Vec::new();
         for tag in form.split('<').skip(1) {
             let (tag, text) = tag.split_once('>').unwrap_or((tag, ""));
             let name = attribute(tag, "name").unwrap_or_default();
-            let is_input = tag.starts_with("input ") && sends(tag);
+            let is_input = tag.starts_with("input ") && is_submitted(tag);
             if is_input {
                 fields.push((name, attribute(tag, "value").unwrap_or_default()));
             } else if tag.starts_with("textarea ") {
@@ -54,19 +54,21 @@
     }
 
     /// Sends the form to a path.
-    pub(crate) async fn send(&self, operators: SocketAddr, path: &str) -> Response {
-        let kind = "content-type: application/x-www-form-urlencoded";
-        ask(operators, &post(path, &[kind], &self.body())).await
+    pub(crate) async fn send(&self, operator_address: SocketAddr, path: &str) -> Response {
+        let content_type = "content-type: application/x-www-form-urlencoded";
+        exchange(operator_address, &post(path, &[content_type], &self.body())).await
     }
 
     /// Sends the form by one of its buttons, and returns the next page.
-    pub(crate) async fn press(self, operators: SocketAddr, button: &str) -> Response {
-        self.with("do", button).send(operators, "/console").await
+    pub(crate) async fn press(self, operator_address: SocketAddr, button: &str) -> Response {
+        self.with("do", button)
+            .send(operator_address, "/console")
+            .await
     }
 }
 
 /// Tells whether a browser sends an input: boxes only where they are ticked.
-fn sends(tag: &str) -> bool {
+fn is_submitted(tag: &str) -> bool {
     !tag.contains("type=\"checkbox\"") || tag.ends_with(" checked")
 }
 
@@ -77,13 +79,13 @@
 
 /// Turns the characters that a page escapes back.
 pub(crate) fn unescape(text: &str) -> String {
-    let named = [
+    let entities = [
         ("&lt;", "<"),
         ("&gt;", ">"),
         ("&quot;", "\""),
         ("&amp;", "&"),
     ];
-    named
+    entities
         .iter()
         .fold(text.to_owned(), |text, (from, to)| text.replace(from, to))
 }
--- a/crates/daemon/tests/support/fuzzing.rs
+++ b/crates/daemon/tests/support/fuzzing.rs
@@ -7,10 +7,10 @@
 
 /// Counts the panics of all threads from now on; they are still written.
 pub(crate) fn count_panics() {
-    let quiet = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         PANICS.fetch_add(1, Ordering::Relaxed);
-        quiet(info);
+        previous_hook(info);
     }));
 }
 
@@ -26,6 +26,6 @@
         failure_persistence: None,
         ..Config::default()
     };
-    let seeded = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-    TestRunner::new_with_rng(config, seeded)
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
+    TestRunner::new_with_rng(config, rng)
 }
--- a/crates/daemon/tests/support/http.rs
+++ b/crates/daemon/tests/support/http.rs
@@ -61,26 +61,26 @@
 
     /// Reads one response; one with status 0 where the connection ended instead.
     pub(crate) async fn receive(&mut self) -> Response {
-        let mut seen = Vec::new();
+        let mut received = Vec::new();
         loop {
-            if let Some(response) = whole(&seen) {
+            if let Some(response) = parse(&received) {
                 return response;
             }
-            let read = within(self.0.read_buf(&mut seen)).await;
+            let read = within(self.0.read_buf(&mut received)).await;
             if !read.is_ok_and(|count| count > 0) {
                 return Response::default();
             }
         }
     }
 
-    pub(crate) async fn ask(&mut self, request: &str) -> Response {
+    pub(crate) async fn exchange(&mut self, request: &str) -> Response {
         self.send(request.as_bytes()).await;
         self.receive().await
     }
 }
 
-fn whole(seen: &[u8]) -> Option<Response> {
-    let text = std::str::from_utf8(seen).ok()?;
+fn parse(received: &[u8]) -> Option<Response> {
+    let text = std::str::from_utf8(received).ok()?;
     let (head, rest) = text.split_once(END_OF_HEAD)?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let mut response = Response {
@@ -94,8 +94,8 @@
 }
 
 /// Sends a request on a connection of its own.
-pub(crate) async fn ask(address: SocketAddr, request: &str) -> Response {
-    Client::connect(address).await.ask(request).await
+pub(crate) async fn exchange(address: SocketAddr, request: &str) -> Response {
+    Client::connect(address).await.exchange(request).await
 }
 
 /// The bytes of a `POST` with these header lines.
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -20,11 +20,11 @@
 use tokio::task::JoinHandle;
 
 /// Ends a test that hangs; no test waits for this to pass.
-const HANGS: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits for something that must come.
 pub(crate) async fn within<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(HANGS, future)
+    tokio::time::timeout(TEST_TIMEOUT, future)
         .await
         .expect("the test must not hang")
 }
@@ -33,35 +33,35 @@
 pub(crate) const KEY: &str = "0123456789abcdef";
 
 /// Settings with every port free to choose, and `more` on top.
-pub(crate) fn settings(more: &[&str]) -> Settings {
+pub(crate) fn settings(extra: &[&str]) -> Settings {
     let key = KEY.repeat(4);
     let mut arguments = vec!["monsoonringd", "--seed=1", "--key", &key];
     arguments.extend(["--listen=127.0.0.1:0", "--operator-listen=127.0.0.1:0"]);
     arguments.extend(["--peer-listen=127.0.0.1:0", "--data-centre=tunis-1"]);
     arguments.push("--host-list=127.0.0.1:2");
-    if !more
+    if !extra
         .iter()
         .any(|argument| argument.starts_with("--configuration-service"))
     {
         arguments.push("--configuration-service=127.0.0.1:1");
     }
-    if !more
+    if !extra
         .iter()
         .any(|argument| argument.starts_with("--drain-wait-ms"))
     {
         arguments.push("--drain-wait-ms=1");
     }
-    arguments.extend(more);
+    arguments.extend(extra);
     Settings::read(arguments).expect("the settings are right")
 }
 
 /// Starts a daemon with all that is behind its front.
-pub(crate) async fn start_whole(more: &[&str]) -> Launched {
+pub(crate) async fn launch_daemon(extra: &[&str]) -> Launched {
     let telemetry = Telemetry {
         log: slog::Logger::root(slog::Discard, slog::o!()),
         metrics: Arc::new(Metrics::default()),
     };
-    let launched = launch(&settings(more), telemetry).await;
+    let launched = launch(&settings(extra), telemetry).await;
     launched.expect("port 0 is free")
 }
 
@@ -69,39 +69,39 @@
 pub(crate) struct Daemon {
     pub(crate) service: Arc<Fake>,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) callers: SocketAddr,
-    pub(crate) operators: SocketAddr,
+    pub(crate) caller_address: SocketAddr,
+    pub(crate) operator_address: SocketAddr,
     signals: mpsc::UnboundedSender<()>,
-    ended: JoinHandle<StopOutcome>,
+    stopped: JoinHandle<StopOutcome>,
 }
 
 impl Daemon {
     /// Starts a daemon around a service.
-    pub(crate) async fn start(service: Fake, more: &[&str]) -> Self {
+    pub(crate) async fn start(service: Fake, extra: &[&str]) -> Self {
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        Self::start_with(service, more, log).await
+        Self::start_with(service, extra, log).await
     }
 
     /// Starts a daemon that logs to `log`.
-    pub(crate) async fn start_with(service: Fake, more: &[&str], log: slog::Logger) -> Self {
+    pub(crate) async fn start_with(service: Fake, extra: &[&str], log: slog::Logger) -> Self {
         let service = Arc::new(service);
         let metrics = Arc::new(Metrics::default());
         let telemetry = Telemetry {
             log,
             metrics: metrics.clone(),
         };
-        let running = Running::start(&settings(more), service.clone(), telemetry)
+        let running = Running::start(&settings(extra), service.clone(), telemetry)
             .await
             .expect("port 0 is free");
         let (signals, received) = mpsc::unbounded_channel();
-        let received = stream_of(received);
+        let received = signal_stream(received);
         Self {
             service,
             metrics,
-            callers: running.caller_address(),
-            operators: running.operator_address(),
+            caller_address: running.caller_address(),
+            operator_address: running.operator_address(),
             signals,
-            ended: tokio::spawn(running.until_stopped(received)),
+            stopped: tokio::spawn(running.until_stopped(received)),
         }
     }
 
@@ -111,19 +111,21 @@
     }
 
     /// Waits for the end.
-    pub(crate) async fn ended(self) -> StopOutcome {
-        within(self.ended).await.expect("the daemon does not panic")
+    pub(crate) async fn stopped(self) -> StopOutcome {
+        within(self.stopped)
+            .await
+            .expect("the daemon does not panic")
     }
 
     /// The same, without giving the daemon away.
     pub(crate) async fn wait(&mut self) -> StopOutcome {
-        within(&mut self.ended)
+        within(&mut self.stopped)
             .await
             .expect("the daemon does not panic")
     }
 }
 
-fn stream_of(received: mpsc::UnboundedReceiver<()>) -> impl futures::Stream<Item = ()> + Send {
+fn signal_stream(received: mpsc::UnboundedReceiver<()>) -> impl futures::Stream<Item = ()> + Send {
     futures::stream::unfold(received, async |mut received| {
         received.recv().await.map(|()| ((), received))
     })
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -35,7 +35,7 @@
     /// What is done to the next answers.
     pub(crate) damage: VecDeque<Damage>,
     /// For each time it was asked for sections, whether the asker held some.
-    pub(crate) asked: Vec<bool>,
+    pub(crate) incremental: Vec<bool>,
 }
 
 /// A peer on a port of the loopback interface.
@@ -134,13 +134,13 @@
         None
     }
 
-    async fn sections(self, _: Context, least: Version, base: Base) -> Option<Sections> {
+    async fn sections(self, _: Context, min_version: Version, base: Base) -> Option<Sections> {
         let mut state = self.state();
-        state.asked.push(!base.is_empty());
+        state.incremental.push(!base.is_empty());
         let damage = state.damage.pop_front();
         let (version, sections) = state.held.as_ref()?;
         let parts = transfer::parts(sections, &base);
-        let version = (*version >= least).then_some(*version)?;
+        let version = (*version >= min_version).then_some(*version)?;
         let parts = match damage {
             Some(damage) => damage(parts),
             None => parts,
--- a/crates/daemon/tests/support/service.rs
+++ b/crates/daemon/tests/support/service.rs
@@ -22,14 +22,14 @@
     pub(crate) calls: Mutex<Vec<Call>>,
     pub(crate) executed: Mutex<Vec<(String, Option<u32>)>>,
     /// One permit for each request that has reached the service.
-    pub(crate) entered: Semaphore,
+    pub(crate) arrivals: Semaphore,
     /// One permit for each request that was dropped.
-    pub(crate) abandoned: Semaphore,
+    pub(crate) cancellations: Semaphore,
     /// Whether the service was told of a stop, and whether its draining has ended.
-    pub(crate) left: AtomicBool,
+    pub(crate) leave_called: AtomicBool,
     pub(crate) drained: AtomicBool,
     /// Requests, and draining, wait while this is true.
-    pub(crate) held: watch::Sender<bool>,
+    pub(crate) blocked: watch::Sender<bool>,
 }
 
 impl Default for Fake {
@@ -41,18 +41,18 @@
             key: Ok("issued-1".to_owned()),
             calls: Mutex::default(),
             executed: Mutex::default(),
-            entered: Semaphore::new(0),
-            abandoned: Semaphore::new(0),
-            left: AtomicBool::new(false),
+            arrivals: Semaphore::new(0),
+            cancellations: Semaphore::new(0),
+            leave_called: AtomicBool::new(false),
             drained: AtomicBool::new(false),
-            held: watch::Sender::new(false),
+            blocked: watch::Sender::new(false),
         }
     }
 }
 
 impl Fake {
     /// A service that gives every search this outcome.
-    pub(crate) fn with(outcome: Outcome) -> Self {
+    pub(crate) fn with_outcome(outcome: Outcome) -> Self {
         Self {
             outcome,
             ..Self::default()
@@ -60,43 +60,46 @@
     }
 
     /// A service at which requests wait.
-    pub(crate) fn holding() -> Self {
+    pub(crate) fn blocked() -> Self {
         let fake = Self::default();
-        fake.held.send_replace(true);
+        fake.blocked.send_replace(true);
         fake
     }
 
     /// Waits until so many requests have reached the service.
-    pub(crate) async fn reached(&self, requests: u32) {
-        let permits = super::within(self.entered.acquire_many(requests)).await;
+    pub(crate) async fn wait_for_requests(&self, requests: u32) {
+        let permits = super::within(self.arrivals.acquire_many(requests)).await;
         permits.expect("never closed").forget();
     }
 
     /// The calls that have reached the service.
-    pub(crate) fn seen(&self) -> Vec<Call> {
+    pub(crate) fn received_calls(&self) -> Vec<Call> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         calls.clone()
     }
 
-    async fn work(&self, call: Call) {
+    async fn process(&self, call: Call) {
         self.calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(call);
-        self.entered.add_permits(1);
-        let mut leaving = Leaving(Some(&self.abandoned));
-        let mut held = self.held.subscribe();
-        held.wait_for(|held| !held).await.expect("never closed");
-        leaving.0 = None;
+        self.arrivals.add_permits(1);
+        let mut guard = CancelGuard(Some(&self.cancellations));
+        let mut blocked = self.blocked.subscribe();
+        blocked
+            .wait_for(|blocked| !blocked)
+            .await
+            .expect("never closed");
+        guard.0 = None;
     }
 }
 
-struct Leaving<'a>(Option<&'a Semaphore>);
+struct CancelGuard<'a>(Option<&'a Semaphore>);
 
-impl Drop for Leaving<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if let Some(abandoned) = self.0 {
-            abandoned.add_permits(1);
+        if let Some(cancellations) = self.0 {
+            cancellations.add_permits(1);
         }
     }
 }
@@ -115,14 +118,14 @@
 
     fn search(&self, call: Call) -> BoxFuture<'_, Outcome> {
         Box::pin(async {
-            self.work(call).await;
+            self.process(call).await;
             self.outcome.clone()
         })
     }
 
     fn mint(&self, call: Call) -> BoxFuture<'_, Result<String, Outcome>> {
         Box::pin(async {
-            self.work(call).await;
+            self.process(call).await;
             self.key.clone()
         })
     }
@@ -133,19 +136,22 @@
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .push((key, send));
-            self.work(call).await;
+            self.process(call).await;
             self.execution.clone()
         })
     }
 
     fn leave(&self) {
-        self.left.store(true, Ordering::SeqCst);
+        self.leave_called.store(true, Ordering::SeqCst);
     }
 
     fn drain(&self) -> BoxFuture<'_, ()> {
         Box::pin(async {
-            let mut held = self.held.subscribe();
-            held.wait_for(|held| !held).await.expect("never closed");
+            let mut blocked = self.blocked.subscribe();
+            blocked
+                .wait_for(|blocked| !blocked)
+                .await
+                .expect("never closed");
             self.drained.store(true, Ordering::SeqCst);
         })
     }
--- a/crates/daemon/tests/versions.rs
+++ b/crates/daemon/tests/versions.rs
@@ -9,13 +9,13 @@
 use monsoonring_wire::peer::framed;
 use std::time::Duration;
 use support::peer::{Fake, endpoint};
-use support::{start_whole, within};
+use support::{launch_daemon, within};
 use tarpc::client::{Config, RpcError};
 use tarpc::context;
 use tarpc::tokio_serde::formats::Bincode;
 
 /// Between two tries of something that must succeed.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The calls of a later version: those of this one, and one more.
 #[tarpc::service]
@@ -37,11 +37,11 @@
 // Events: a new daemon calls a method that the old one lacks, on the stream that carries its queries.
 // Cause: a call that can't be read is taken for a broken stream, which is closed with all calls on it.
 #[tokio::test]
-async fn call_of_a_later_version_fails_alone() {
+async fn call_of_a_later_version_keeps_the_stream() {
     let peer = Fake::start().await;
     let document = check::parse(example::HYDRANT.as_bytes()).expect("examples are valid");
     let in_force = peer.adopt(7, &document);
-    let daemon = start_whole(&[&format!("--peers={}", peer.address)]).await;
+    let daemon = launch_daemon(&[&format!("--peers={}", peer.address)]).await;
     let stream = endpoint().connect(daemon.peer_address).await;
     let stream = framed(stream.expect("it listens"));
     let calls = tarpc::serde_transport::new(stream, Bincode::default());
@@ -51,11 +51,11 @@
     assert!(matches!(added, Err(RpcError::Server(_))), "{added:?}");
     let sections = within(async {
         loop {
-            let fetching = client.sections(context::current(), in_force, Base::default());
-            if let Some(sections) = fetching.await.expect("the stream is open") {
+            let call = client.sections(context::current(), in_force, Base::default());
+            if let Some(sections) = call.await.expect("the stream is open") {
                 return sections;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     });
     assert_eq!(sections.await.version, in_force);
