--- a/crates/daemon/src/operator/console/mod.rs
+++ b/crates/daemon/src/operator/console/mod.rs
@@ -195,7 +195,7 @@
     let text = form.value("draft").unwrap_or_default();
     let mut draft = match Draft::parse(text) {
         Ok(draft) => draft,
-        Err(faults) => return Ok(Answer::Page(page::unreadable(base, text, &faults))),
+        Err(faults) => return Ok(Answer::Page(page::invalid_text(base, text, &faults))),
     };
     let initial_revision = match form.value("revision") {
         Some(revision) => revision.parse().ok(),
--- a/crates/daemon/src/operator/console/overview.rs
+++ b/crates/daemon/src/operator/console/overview.rs
@@ -52,7 +52,7 @@
                 "Revision " (now) " has come into force since this draft was begun"
                 @if let Some(initial_revision) = view.initial_revision { " from revision " (initial_revision) }
                 ". The comparison below is with revision " (now)
-                "; a change that it undoes and that you did not make is somebody else's."
+                "; if it reverts something that you did not change, somebody else has changed it."
             }
         }
         @if !view.dropped_faults.is_empty() {
--- a/crates/daemon/src/operator/console/page.rs
+++ b/crates/daemon/src/operator/console/page.rs
@@ -77,8 +77,8 @@
     /// Returns the faults below a pointer.
     pub(super) fn faults_below(&self, pointer: &str) -> impl Iterator<Item = &Fault> {
         let prefix = format!("{pointer}/");
-        let from = self.by_pointer.range(prefix.clone()..);
-        let entries = from.take_while(move |(found, _)| found.starts_with(&prefix));
+        let candidates = self.by_pointer.range(prefix.clone()..);
+        let entries = candidates.take_while(move |(found, _)| found.starts_with(&prefix));
         entries.flat_map(|(_, faults)| faults)
     }
 
@@ -107,7 +107,7 @@
 }
 
 /// Renders the faults of a text that can't be parsed, and the text in an input for correction.
-pub(super) fn unreadable(base: &Base, text: &str, faults: &[Fault]) -> String {
+pub(super) fn invalid_text(base: &Base, text: &str, faults: &[Fault]) -> String {
     let body = html! {
         h2 { "The text can't be read" }
         (list(faults))
