--- a/crates/monsoonringd/tests/soak/check.rs
+++ b/crates/monsoonringd/tests/soak/check.rs
@@ -1,6 +1,6 @@
 //! Invariants of the answers, checked against what callers received and servers ran.
 
-use super::support::client::Told;
+use super::support::client::Reply;
 use std::collections::BTreeMap;
 
 /// Violation of an invariant.
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// Returns the first invariant that the answer violates.
-pub(crate) fn search(id: &str, reply: &Told, records: &Records) -> Result<(), Violation> {
+pub(crate) fn search(id: &str, reply: &Reply, records: &Records) -> Result<(), Violation> {
     let mut services = Vec::new();
     for signature in reply.signatures() {
         let Some((instance, request)) = signature.split_once('/') else {
--- a/crates/monsoonringd/tests/soak/fault.rs
+++ b/crates/monsoonringd/tests/soak/fault.rs
@@ -5,7 +5,7 @@
 
 use super::check::Violation;
 use super::host::{Host, data_centre};
-use super::support::server::Habit;
+use super::support::server::Behaviour;
 use super::{COLD_MAX_RATE, Result, World};
 use nix::sys::signal::Signal;
 use rand::Rng;
@@ -27,7 +27,7 @@
     StoreDown(Duration),
     /// The store drops its history, so readers must reload the full state.
     StoreHistoryLost,
-    Misbehave(usize, Habit, Duration),
+    Misbehave(usize, Behaviour, Duration),
     Drain(usize, Duration),
     Configure,
     /// Operators evacuate a data centre.
@@ -50,10 +50,10 @@
             3 => Self::Reload(host),
             4 => Self::StoreDown(time),
             5 => Self::StoreHistoryLost,
-            6 => Self::Misbehave(server, Habit::Slow(time), time),
-            7 => Self::Misbehave(server, Habit::Shed, time),
-            8 => Self::Misbehave(server, Habit::Reset, time),
-            9 => Self::Misbehave(server, Habit::Twice, time),
+            6 => Self::Misbehave(server, Behaviour::Slow(time), time),
+            7 => Self::Misbehave(server, Behaviour::Shed, time),
+            8 => Self::Misbehave(server, Behaviour::Reset, time),
+            9 => Self::Misbehave(server, Behaviour::AnswerTwice, time),
             10 => Self::Drain(server, time),
             11 => Self::Evacuate(host, time),
             12 => Self::Cold(server, time),
@@ -70,11 +70,11 @@
             Self::Reload(_) => "settings reloaded",
             Self::StoreDown(_) => "store down",
             Self::StoreHistoryLost => "store history lost",
-            Self::Misbehave(_, Habit::Slow(_), _) => "server slow",
-            Self::Misbehave(_, Habit::Shed, _) => "server sheds load",
-            Self::Misbehave(_, Habit::Reset, _) => "server resets connections",
-            Self::Misbehave(_, Habit::Twice, _) => "server answers twice",
-            Self::Misbehave(_, Habit::Well, _) => "server healthy",
+            Self::Misbehave(_, Behaviour::Slow(_), _) => "server slow",
+            Self::Misbehave(_, Behaviour::Shed, _) => "server sheds load",
+            Self::Misbehave(_, Behaviour::Reset, _) => "server resets connections",
+            Self::Misbehave(_, Behaviour::AnswerTwice, _) => "server answers twice",
+            Self::Misbehave(_, Behaviour::Answer, _) => "server healthy",
             Self::Drain(..) => "server drained",
             Self::Configure => "configuration changed",
             Self::Evacuate(..) => "data centre evacuated",
@@ -112,11 +112,11 @@
                 sleep(time).await;
                 world.store.set_down(false);
             }
-            Self::StoreHistoryLost => world.store.forget_while(|_| {}),
-            Self::Misbehave(server, habit, time) => {
-                world.servers[server].set(habit);
+            Self::StoreHistoryLost => world.store.lose_history_during(|_| {}),
+            Self::Misbehave(server, behaviour, time) => {
+                world.servers[server].set_behaviour(behaviour);
                 sleep(time).await;
-                world.servers[server].set(Habit::Well);
+                world.servers[server].set_behaviour(Behaviour::Answer);
             }
             Self::Drain(server, time) => {
                 world.servers[server].register(&world.store, "draining");
@@ -146,12 +146,12 @@
 /// Evacuates a data centre for a time. Once the order has propagated, its servers must get no new requests.
 async fn evacuate(world: &World, number: usize, time: Duration) -> Option<Violation> {
     let data_centre = data_centre(number);
-    world.store.empty(data_centre);
+    world.store.evacuate(data_centre);
     sleep(PROPAGATION_TIME).await;
     let before = world.requests_in(data_centre);
     sleep(time).await;
     let after = world.requests_in(data_centre);
-    world.store.give_back(data_centre);
+    world.store.withdraw_evacuation(data_centre);
     let new = after
         .iter()
         .zip(&before)
@@ -196,7 +196,7 @@
 pub(crate) fn revert_all(world: &mut World, hosts: &mut [Host]) -> Result<()> {
     world.store.set_down(false);
     for server in &world.servers {
-        server.set(Habit::Well);
+        server.set_behaviour(Behaviour::Answer);
         server.register_cold(&world.store, Duration::ZERO);
     }
     for host in hosts {
--- a/crates/monsoonringd/tests/soak/mod.rs
+++ b/crates/monsoonringd/tests/soak/mod.rs
@@ -26,9 +26,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use support::client;
-use support::daemon::{bound_cold, configuration, gather, single};
+use support::daemon::{configuration, fan_out_route, limit_cold_load, single_route};
 use support::server::Server;
-use support::store::{Copy, Store};
+use support::store::{Backup, Store};
 use tokio::time::{Instant, sleep};
 
 /// Result of setting up or running the soak.
@@ -72,8 +72,8 @@
     store: Store,
     servers: Vec<Server>,
     version: u64,
-    /// Copies of the store, one from before each fault.
-    copies: Vec<Copy>,
+    /// Backups of the store, one from before each fault.
+    backups: Vec<Backup>,
 }
 
 impl World {
@@ -94,7 +94,7 @@
             store,
             servers,
             version: 1,
-            copies: Vec::new(),
+            backups: Vec::new(),
         };
         world.configure();
         world
@@ -104,20 +104,20 @@
     fn configure(&mut self) {
         self.version += 1;
         let routes: [Value; 2] = [
-            gather("map", "/map/", &SHARDS),
-            single("once", "/once/", "non_idempotent", ONCE_SERVICE),
+            fan_out_route("map", "/map/", &SHARDS),
+            single_route("once", "/once/", "non_idempotent", ONCE_SERVICE),
         ];
         let services: Vec<&str> = SHARDS.into_iter().chain([ONCE_SERVICE]).collect();
         let mut document = configuration(self.version, &routes, &services);
-        bound_cold(&mut document, COLD_MAX_RATE, Duration::from_secs(1));
+        limit_cold_load(&mut document, COLD_MAX_RATE, Duration::from_secs(1));
         self.store.put("op/config", &document);
     }
 
     /// Restores the store to its content from before the last `ago` faults.
     fn restore_store(&mut self, ago: usize) {
-        let remaining = self.copies.len().saturating_sub(ago);
-        if let Some(copy) = self.copies.drain(remaining..).next() {
-            self.store.go_back(copy);
+        let remaining = self.backups.len().saturating_sub(ago);
+        if let Some(backup) = self.backups.drain(remaining..).next() {
+            self.store.restore(backup);
         }
     }
 
@@ -134,13 +134,14 @@
         let servers = self.servers.iter().enumerate();
         let local =
             servers.filter(|(number, _)| host::data_centre(number / REPLICAS) == data_centre);
-        local.map(|(_, server)| server.ran()).collect()
+        local.map(|(_, server)| server.executed()).collect()
     }
 
     /// Returns how often servers ran the request with this path.
     fn run_count(&self, path: &str) -> usize {
-        let ran = self.servers.iter().flat_map(Server::ran);
-        ran.filter(|target| target.split(' ').nth(1) == Some(path))
+        let requests = self.servers.iter().flat_map(Server::executed);
+        requests
+            .filter(|target| target.split(' ').nth(1) == Some(path))
             .count()
     }
 }
@@ -175,7 +176,7 @@
         let path = if is_once { "once" } else { "map" };
         let path = format!("/{path}/{id}");
         let timeout = Duration::from_millis(rng.random_range(20..3_000));
-        let request = client::ask(front, "GET", &path, &id, "1500");
+        let request = client::send(front, "GET", &path, &id, "1500");
         let reply = tokio::time::timeout(timeout, request).await.ok().flatten();
         let status = reply.as_ref().map(|reply| reply.status.as_u16());
         *answers.entry(status.unwrap_or(0)).or_default() += 1;
@@ -200,9 +201,9 @@
 async fn has_recovered(front: SocketAddr) -> bool {
     let end = Instant::now() + RECOVERY_TIMEOUT;
     while Instant::now() < end {
-        let reply = client::ask(front, "GET", "/map/regained", "regained", "1500").await;
+        let reply = client::send(front, "GET", "/map/regained", "regained", "1500").await;
         let is_complete =
-            |reply: &client::Told| reply.status.is_success() && reply.missing() == Some(0);
+            |reply: &client::Reply| reply.status.is_success() && reply.missing() == Some(0);
         if reply.is_some_and(|reply| is_complete(&reply)) {
             return true;
         }
@@ -252,7 +253,7 @@
         .collect();
     while Instant::now() < end {
         sleep(Duration::from_millis(rng.random_range(100..500))).await;
-        world.copies.push(world.store.copy());
+        world.backups.push(world.store.backup());
         let fault = Fault::random(&mut rng, usize::from(count), world.servers.len());
         *report.faults.entry(fault.name()).or_default() += 1;
         report
@@ -287,7 +288,7 @@
 /// Returns the number of parts of searches that other hosts answered for this one, from its metrics.
 async fn delegated_parts(metrics: SocketAddr) -> u64 {
     const COUNTER: &str = "monsoonring_relays_total{outcome=\"part answered\"} ";
-    let page = client::ask(metrics, "GET", "/metrics", "m", "1000").await;
+    let page = client::send(metrics, "GET", "/metrics", "m", "1000").await;
     let body = page.map(|page| page.body).unwrap_or_default();
     let count = body.lines().find_map(|line| line.strip_prefix(COUNTER));
     count.and_then(|text| text.parse().ok()).unwrap_or(0)
