--- a/crates/cli/src/command/story.rs
+++ b/crates/cli/src/command/timeline.rs
@@ -1,9 +1,9 @@
-//! `monsoonring explain --log`: the story of one request, out of the daemons' logs.
+//! `monsoonring explain --log`: reconstructs the timeline of one request from the daemons' logs.
 //!
-//! Whoever is on call after a complaint has the id that the client gave its request, and the logs. The
-//! line that ends a request holds that id beside the daemon's own, under which the decisions were
-//! logged; around them stand the lines in which the host changed its mind about the servers that were
-//! asked, and the configuration and the store as it knew them then.
+//! The log line that ends a request holds the client's id and the daemon's own id, under which the
+//! decisions are logged, so that either id finds all lines of the request. The timeline adds the lines
+//! on health changes of the servers involved, and the last lines on the configuration, the registry and
+//! the store before the request.
 
 use crate::arguments::Explain;
 use crate::command::input;
@@ -16,13 +16,13 @@
 use std::fmt::{self, Formatter};
 use std::net::SocketAddr;
 
-/// Time before the request within which what was learned of a server is part of the story.
-const BEFORE_NANOS: i128 = 5_000_000_000;
+/// Time before the request from which lines about its servers are included.
+const CONTEXT_NANOS: i128 = 5_000_000_000;
 
-/// Member of a line that says nothing of the request.
+/// Field of a log line that the timeline leaves out.
 const LEVEL: &str = "level";
 
-/// One line of a log.
+/// One line of a daemon's log.
 #[derive(Clone, Debug, Deserialize)]
 struct Line {
     msg: String,
@@ -36,19 +36,19 @@
     decision: String,
     #[serde(flatten)]
     rest: Map<String, Value>,
-    /// Nanoseconds since the start of the month, for the order.
+    /// Nanoseconds since the start of the month, for sorting.
     #[serde(skip)]
     at: i128,
 }
 
 impl Line {
-    /// Returns the backend servers that it is about: the one that it names, or those that stand before the reason
-    /// of each of several decisions in one line.
+    /// Returns the backend servers of the line: the one in its own field, and those that precede each
+    /// reason if the line holds several decisions (`SERVER: REASON; SERVER: REASON`).
     fn servers(&self) -> Vec<&str> {
         let reason = self.rest.get("reason").and_then(Value::as_str);
-        let each = reason.unwrap_or_default().split("; ");
-        let named = each.filter_map(|one| one.split_once(": ").map(|(server, _)| server));
-        let addresses = named.filter(|server| server.parse::<SocketAddr>().is_ok());
+        let decisions = reason.unwrap_or_default().split("; ");
+        let prefixes = decisions.filter_map(|part| part.split_once(": ").map(|(server, _)| server));
+        let addresses = prefixes.filter(|server| server.parse::<SocketAddr>().is_ok());
         self.backend_server
             .as_deref()
             .into_iter()
@@ -57,9 +57,9 @@
     }
 }
 
-/// One line of the story.
+/// One entry of the timeline.
 #[derive(Debug, Serialize)]
-struct Step {
+struct Entry {
     /// Milliseconds since the first line that names the request.
     after_ms: f64,
     host: String,
@@ -68,16 +68,16 @@
     why: String,
 }
 
-/// What the logs tell of a request.
+/// Timeline of a request, oldest entry first.
 #[derive(Debug, Serialize)]
-struct Story {
+struct Timeline {
     id: String,
-    /// Lines that could not be read; logs may begin or end in the middle of one.
+    /// Lines that could not be parsed; a log may begin or end in the middle of a line.
     unreadable: usize,
-    steps: Vec<Step>,
+    steps: Vec<Entry>,
 }
 
-/// Reads the logs and tells the story of the request with this id.
+/// Reads the logs and reports the timeline of the request with this id.
 pub(crate) fn run(explain: &Explain, id: &str, output: Output) -> Code {
     let mut text = String::new();
     for name in &explain.logs {
@@ -92,61 +92,61 @@
             }
         }
     }
-    let story = tell(&text, id);
-    if story.steps.is_empty() {
+    let timeline = build(&text, id);
+    if timeline.steps.is_empty() {
         output.notice(&format!(
-            "explain: no line of the logs names {id}; its host may have written none, or dropped it \
+            "explain: no log line names {id}; its host may not have logged the request, or dropped the line \
              (monsoonring_log_lines_dropped_total)"
         ));
         return Code::Usage;
     }
-    output.report(&story);
+    output.report(&timeline);
     Code::Success
 }
 
-fn tell(text: &str, id: &str) -> Story {
-    let (mut lines, unreadable) = read(text);
+fn build(text: &str, id: &str) -> Timeline {
+    let (mut lines, unreadable) = parse(text);
     lines.sort_by_key(|line| line.at);
     let requests: BTreeSet<&str> = lines
         .iter()
         .filter(|line| line.id.as_deref() == Some(id) || line.request.as_deref() == Some(id))
         .filter_map(|line| line.request.as_deref())
         .collect();
-    let names = |line: &&Line| {
+    let is_named = |line: &&Line| {
         let request = line.request.as_deref();
-        line.id.as_deref() == Some(id) || request.is_some_and(|one| requests.contains(one))
+        line.id.as_deref() == Some(id) || request.is_some_and(|request| requests.contains(request))
     };
-    let own: Vec<&Line> = lines.iter().filter(names).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Story {
+    let named: Vec<&Line> = lines.iter().filter(is_named).collect();
+    let (Some(first), Some(last)) = (named.first(), named.last()) else {
+        return Timeline {
             id: id.to_owned(),
             unreadable,
             steps: Vec::new(),
         };
     };
     let start = first.at;
-    let span = Span {
-        from: start - BEFORE_NANOS,
+    let window = Window {
+        from: start - CONTEXT_NANOS,
         start,
         end: last.at,
-        hosts: own.iter().map(|line| &*line.host).collect(),
-        servers: own.iter().flat_map(|line| line.servers()).collect(),
+        hosts: named.iter().map(|line| &*line.host).collect(),
+        servers: named.iter().flat_map(|line| line.servers()).collect(),
     };
-    let told = lines
+    let selected = lines
         .iter()
-        .filter(|line| names(line) || span.concerns(line));
-    let mut told: Vec<&Line> = told.collect();
-    told.extend(span.known(&lines));
-    told.sort_by_key(|line| line.at);
-    Story {
+        .filter(|line| is_named(line) || window.includes(line));
+    let mut selected: Vec<&Line> = selected.collect();
+    selected.extend(window.context(&lines));
+    selected.sort_by_key(|line| line.at);
+    Timeline {
         id: id.to_owned(),
         unreadable,
-        steps: told.iter().map(|line| step(line, start)).collect(),
+        steps: selected.iter().map(|line| entry(line, start)).collect(),
     }
 }
 
-/// When, where and at which servers the request was.
-struct Span<'a> {
+/// Time range, hosts and servers of a request.
+struct Window<'a> {
     from: i128,
     start: i128,
     end: i128,
@@ -154,34 +154,35 @@
     servers: BTreeSet<&'a str>,
 }
 
-impl Span<'_> {
-    /// Tells whether a line is about a server that the request was sent to, by a host that sent it.
-    fn concerns(&self, line: &Line) -> bool {
+impl Window<'_> {
+    /// Returns whether a line about a server, by a host of this request, belongs to the timeline. Lines
+    /// of other requests do not.
+    fn includes(&self, line: &Line) -> bool {
         let server = line.backend_server.as_deref();
-        let is_there = server.is_some_and(|server| self.servers.contains(server));
-        let is_then = self.from <= line.at && line.at <= self.end;
-        line.request.is_none() && is_there && is_then && self.hosts.contains(&*line.host)
+        let is_same_server = server.is_some_and(|server| self.servers.contains(server));
+        let is_within = self.from <= line.at && line.at <= self.end;
+        line.request.is_none() && is_same_server && is_within && self.hosts.contains(&*line.host)
     }
 
-    /// Returns the last lines before the request in which each host learned of the configuration, its
-    /// servers and the store: what it went by, and since when.
-    fn known<'a>(&self, lines: &'a [Line]) -> Vec<&'a Line> {
-        let mut known = Vec::new();
+    /// Returns each host's last lines before the request on the configuration, the backend servers and
+    /// the store, which show the state that the host decided on.
+    fn context<'a>(&self, lines: &'a [Line]) -> Vec<&'a Line> {
+        let mut context = Vec::new();
         for host in &self.hosts {
             for message in ["configuration", "backend servers", "store"] {
-                let is_it = |line: &&Line| {
+                let is_match = |line: &&Line| {
                     line.msg == message && line.host == **host && line.at <= self.start
                 };
-                known.extend(lines.iter().rfind(is_it));
+                context.extend(lines.iter().rfind(is_match));
             }
         }
-        known
+        context
     }
 }
 
-/// Reads the lines of a log; what stands before the object is of no account, as other programs put
-/// times and names there.
-fn read(text: &str) -> (Vec<Line>, usize) {
+/// Parses the lines of a log, and counts those that could not be parsed. Ignores text before the JSON
+/// object, where log collectors add times and names.
+fn parse(text: &str) -> (Vec<Line>, usize) {
     let mut lines = Vec::new();
     let mut unreadable = 0;
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
@@ -197,8 +198,8 @@
     (lines, unreadable)
 }
 
-/// Reads the time of an RFC 3339 text in UTC as nanoseconds since the start of its month. The
-/// fraction may have any number of digits, so that the texts themselves don't sort.
+/// Parses an RFC 3339 time in UTC into nanoseconds since the start of its month. The fraction may have
+/// any number of digits, so the texts themselves do not sort in time order.
 fn nanoseconds(text: &str) -> i128 {
     let number = |at: std::ops::Range<usize>| {
         let digits = text.get(at).and_then(|part| part.parse::<i128>().ok());
@@ -214,16 +215,16 @@
     seconds * 1_000_000_000 + fraction[..9].parse::<i128>().unwrap_or(0)
 }
 
-fn step(line: &Line, start: i128) -> Step {
+fn entry(line: &Line, start: i128) -> Entry {
     let what = match line.decision.as_str() {
         "" => line.msg.clone(),
         decision => decision.to_owned(),
     };
     let why = match line.rest.get("reason").and_then(Value::as_str) {
         Some(reason) if line.msg == "decision" => reason.to_owned(),
-        _ => members(line),
+        _ => fields(line),
     };
-    Step {
+    Entry {
         after_ms: (line.at - start) as f64 / 1e6,
         host: line.host.clone(),
         what,
@@ -235,7 +236,7 @@
     }
 }
 
-fn members(line: &Line) -> String {
+fn fields(line: &Line) -> String {
     let rest = line.rest.iter();
     let rest = rest.filter(|(name, value)| *name != LEVEL && !value.is_null());
     let texts: Vec<String> = rest
@@ -247,16 +248,16 @@
     texts.join(" ")
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let mut table = Table::new(&["after", "host", "what", "to", "why"]);
-        for step in &self.steps {
-            table.row(vec![
-                format!("{:.1} ms", step.after_ms),
-                step.host.clone(),
-                step.what.clone(),
-                step.to.clone(),
-                step.why.clone(),
+        for entry in &self.steps {
+            table.add_row(vec![
+                format!("{:.1} ms", entry.after_ms),
+                entry.host.clone(),
+                entry.what.clone(),
+                entry.to.clone(),
+                entry.why.clone(),
             ]);
         }
         write!(f, "{table}")
