--- a/crates/daemon/src/caller/front.rs
+++ b/crates/daemon/src/caller/front.rs
@@ -73,11 +73,11 @@
         ids.random()
     }
 
-    fn ready(&self) -> std::result::Result<(), &'static str> {
+    fn check_ready(&self) -> std::result::Result<(), &'static str> {
         if self.stop.stage() > Stage::Serving {
             return Err("stopping");
         }
-        self.service.ready()
+        self.service.check_ready()
     }
 
     async fn serve_route(
@@ -204,7 +204,7 @@
     ) -> Response<Full<Bytes>> {
         match Target::parse(request.method(), request.uri().path()) {
             Ok(Target::Health) => plain(StatusCode::OK, "alive"),
-            Ok(Target::Ready) => match self.ready() {
+            Ok(Target::Ready) => match self.check_ready() {
                 Ok(()) => plain(StatusCode::OK, "ready"),
                 Err(reason) => plain(StatusCode::SERVICE_UNAVAILABLE, reason),
             },
--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -355,8 +355,8 @@
                 warn!(self.log, "member"; "what" => "listed as leaving", "member" => %self.own.id);
             }
             member::Action::Log(line) => {
-                info!(self.log, "member"; "what" => line.what, "member" => %line.member,
-                    "why" => line.why);
+                info!(self.log, "member"; "what" => line.label, "member" => %line.member,
+                    "why" => line.reason);
             }
         }
     }
@@ -414,8 +414,8 @@
                 }
                 configuration::Action::Adopt(version, _) => self.adopt(version),
                 configuration::Action::Log(line) => {
-                    self.metrics.control.record_configuration_event(line.what);
-                    info!(self.log, "configuration"; "what" => line.what, "why" => line.why,
+                    self.metrics.control.record_configuration_event(line.label);
+                    info!(self.log, "configuration"; "what" => line.label, "why" => line.reason,
                         "revision" => line.version.revision,
                         "digest" => format!("{:032x}", line.version.digest));
                 }
@@ -455,7 +455,7 @@
     fn publish(&self) {
         let view = self.build_view();
         let control = &self.metrics.control;
-        control.set_readiness(view.ready().is_ok(), view.isolated, view.conflicts);
+        control.set_readiness(view.check_ready().is_ok(), view.isolated, view.conflicts);
         self.view.send_if_modified(|published| {
             let changed = !published.is_same(&view);
             if changed {
--- a/crates/daemon/src/control/handle.rs
+++ b/crates/daemon/src/control/handle.rs
@@ -66,9 +66,9 @@
     }
 
     /// Returns the reason if no new requests may be accepted.
-    pub(crate) fn ready(&self) -> Result<(), &'static str> {
-        self.pause_detector.ready()?;
-        self.view.borrow().ready()
+    pub(crate) fn check_ready(&self) -> Result<(), &'static str> {
+        self.pause_detector.check_ready()?;
+        self.view.borrow().check_ready()
     }
 
     /// Returns the current view.
--- a/crates/daemon/src/control/pause.rs
+++ b/crates/daemon/src/control/pause.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the reason if no new requests may be accepted.
-    pub(super) fn ready(&self) -> Result<(), &'static str> {
+    pub(super) fn check_ready(&self) -> Result<(), &'static str> {
         let now = milliseconds(self.clock.now());
         let last_tick = self.last_tick.load(Ordering::Acquire);
         if now.saturating_sub(last_tick) > milliseconds(self.threshold) {
--- a/crates/daemon/src/control/view.rs
+++ b/crates/daemon/src/control/view.rs
@@ -30,7 +30,7 @@
 
 impl View {
     /// Returns the reason if no new requests may be accepted.
-    pub(crate) fn ready(&self) -> Result<(), &'static str> {
+    pub(crate) fn check_ready(&self) -> Result<(), &'static str> {
         match (
             &self.configuration,
             self.members_current,
--- a/crates/daemon/src/gateway/control.rs
+++ b/crates/daemon/src/gateway/control.rs
@@ -388,7 +388,7 @@
         table: &Table,
         route: document::Route,
         expected: BTreeMap<BackendServerId, Expected>,
-        far: BTreeSet<BackendServerId>,
+        remote_servers: BTreeSet<BackendServerId>,
     ) -> Home {
         let settings = &self.settings;
         info!(settings.log, "shards"; "what" => "in use", "set" => shards::name(set),
@@ -402,7 +402,7 @@
             route: route.clone(),
             allocation: Allocation {
                 division: self.division(set, table),
-                far,
+                remote_servers,
             },
             // Each host sends only a small share of a server's requests, so a lost connection counts as a crash only if
             // a connect fails afterwards.
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -234,7 +234,7 @@
         only_keys: Option<&KeySet>,
     ) -> event::Request<Opaque> {
         let route = context.route;
-        let params = route.terms(delivery_margin);
+        let params = route.params(delivery_margin);
         let params = match (&route.target, only_keys) {
             (Target::FanOut(fan_out), Some(only_keys)) => {
                 params.for_groups(only_keys.len(), fan_out.shards.len())
--- a/crates/daemon/src/gateway/members/mod.rs
+++ b/crates/daemon/src/gateway/members/mod.rs
@@ -161,8 +161,8 @@
                     self.publish(Update::Readers(readers));
                 }
                 Action::Log(line) => {
-                    info!(self.log, "member"; "what" => line.what, "member" => %line.member,
-                        "why" => line.why);
+                    info!(self.log, "member"; "what" => line.label, "member" => %line.member,
+                        "why" => line.reason);
                 }
             }
         }
--- a/crates/daemon/src/node/execute.rs
+++ b/crates/daemon/src/node/execute.rs
@@ -72,7 +72,7 @@
 
 impl Node {
     pub(super) async fn mint_call(&self, call: Call) -> Result<String, Outcome> {
-        if self.control.ready().is_err() {
+        if self.control.check_ready().is_err() {
             return Err(unavailable());
         }
         let entry = self.routes.get(&call.route.name).ok_or_else(unavailable)?;
@@ -180,7 +180,7 @@
             Decision::Refuse(refusal) => SendReply::Refused(refusal),
             // A request that waited in the socket of a paused process may be long past its
             // deadline, and a peer could not tell. The caller learns the outcome with a resend.
-            Decision::ForwardTo(_) | Decision::LookUp if self.control.ready().is_err() => {
+            Decision::ForwardTo(_) | Decision::LookUp if self.control.check_ready().is_err() => {
                 SendReply::Ended(Outcome::Unknown {
                     reason: Reason::Unavailable,
                 })
@@ -213,7 +213,7 @@
     async fn run(self: &Arc<Self>, permit: Permit<Unsent>, call: Call, key: &Key) -> Outcome {
         // A process that was paused or has just started may have outdated homes and facts. The key
         // is recorded as not run, so that no later send runs it.
-        if self.control.ready().is_err() {
+        if self.control.check_ready().is_err() {
             return self.conclude(AnyPermit::Unsent(permit), unavailable());
         }
         let (permit, may_run) = AnyPermit::Unsent(permit).mark_sent(self.clock.now());
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -106,9 +106,9 @@
         self.0.control.view().configuration
     }
 
-    fn ready(&self) -> Result<(), &'static str> {
-        self.0.stopping.ready()?;
-        self.0.control.ready()
+    fn check_ready(&self) -> Result<(), &'static str> {
+        self.0.stopping.check_ready()?;
+        self.0.control.check_ready()
     }
 
     fn search(&self, call: Call) -> BoxFuture<'_, Outcome> {
--- a/crates/daemon/src/node/search.rs
+++ b/crates/daemon/src/node/search.rs
@@ -165,7 +165,7 @@
 
 impl Node {
     pub(super) async fn search_call(&self, call: Call) -> Outcome {
-        if self.control.ready().is_err() {
+        if self.control.check_ready().is_err() {
             return unavailable();
         }
         let Some(entry) = self.routes.get(&call.route.name) else {
@@ -273,7 +273,7 @@
     /// Declines a forwarded request if this daemon is not ready, so that the peer tries another
     /// home.
     pub(super) fn check_ready(&self) -> Result<(), Rejection> {
-        self.control.ready().map_err(|_| Rejection::NotHome)
+        self.control.check_ready().map_err(|_| Rejection::NotHome)
     }
 
     /// Runs a search that a peer forwarded.
--- a/crates/daemon/src/node/state.rs
+++ b/crates/daemon/src/node/state.rs
@@ -11,7 +11,10 @@
     /// Returns the daemon's state as JSON.
     pub(super) async fn describe(&self) -> Value {
         let view = self.control.view();
-        let ready = self.stopping.ready().and_then(|()| self.control.ready());
+        let ready = self
+            .stopping
+            .check_ready()
+            .and_then(|()| self.control.check_ready());
         json!({
             "address": self.own.id,
             "data_centre": &*self.own.data_centre,
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -31,7 +31,7 @@
 
 impl StopState {
     /// Returns the reason if no new requests may be accepted.
-    pub(super) fn ready(&self) -> Result<(), &'static str> {
+    pub(super) fn check_ready(&self) -> Result<(), &'static str> {
         match self.stopping.load(Ordering::Acquire) {
             true => Err("stopping"),
             false => Ok(()),
@@ -107,10 +107,10 @@
             .members
             .iter()
             .filter(|member| member.id != self.own.id);
-        let (near, far): (Vec<_>, Vec<_>) = others
+        let (near, remote): (Vec<_>, Vec<_>) = others
             .cloned()
             .partition(|member| member.data_centre == self.own.data_centre);
-        let pool = if near.is_empty() { far } else { near };
+        let pool = if near.is_empty() { remote } else { near };
         placement::select(SUCCESSOR_KEY, &pool, 1).first().copied()
     }
 
--- a/crates/daemon/src/operator/console/mod.rs
+++ b/crates/daemon/src/operator/console/mod.rs
@@ -135,7 +135,7 @@
         Base {
             revision: configuration.as_ref().map(|found| found.revision()),
             document: configuration.map(|found| found.document().clone()),
-            not_ready: self.service.ready().err(),
+            not_ready: self.service.check_ready().err(),
         }
     }
 
--- a/crates/daemon/src/route/controller.rs
+++ b/crates/daemon/src/route/controller.rs
@@ -115,7 +115,7 @@
             if let Some(server) = decision.backend_server {
                 write!(formatter, "{server}: ")?;
             }
-            write!(formatter, "{}", decision.why)?;
+            write!(formatter, "{}", decision.rationale)?;
         }
         Ok(())
     }
@@ -243,10 +243,10 @@
         for decision in decisions {
             self.metrics
                 .home
-                .record_decision(&self.route, decision.what);
+                .record_decision(&self.route, decision.label);
         }
         let is_same_kind = |left: &Decision, right: &Decision| {
-            left.request.is_some() && (left.request, left.what) == (right.request, right.what)
+            left.request.is_some() && (left.request, left.label) == (right.request, right.label)
         };
         for chunk in decisions.chunk_by(is_same_kind) {
             let [first, ..] = chunk else { continue };
@@ -255,8 +255,8 @@
                 route: &self.route,
                 range: None,
                 backend_server: first.backend_server,
-                what: first.what,
-                reason: &first.why,
+                what: first.label,
+                reason: &first.rationale,
             };
             match chunk {
                 [_] => line.log(&self.log),
@@ -281,10 +281,10 @@
             request,
             at: self.clock.now(),
             route: self.route.clone(),
-            label: decision.what,
+            label: decision.label,
             backend_server: decision.backend_server,
             home: None,
-            rationale: decision.why,
+            rationale: decision.rationale,
         });
     }
 
--- a/crates/daemon/src/service.rs
+++ b/crates/daemon/src/service.rs
@@ -131,7 +131,7 @@
     /// # Errors
     ///
     /// Returns the reason, in a word or two, if it is not.
-    fn ready(&self) -> Result<(), &'static str>;
+    fn check_ready(&self) -> Result<(), &'static str>;
 
     /// Runs a search.
     fn search(&self, call: Call) -> BoxFuture<'_, Outcome>;
--- a/crates/daemon/tests/support/service.rs
+++ b/crates/daemon/tests/support/service.rs
@@ -109,7 +109,7 @@
         self.configuration.clone()
     }
 
-    fn ready(&self) -> Result<(), &'static str> {
+    fn check_ready(&self) -> Result<(), &'static str> {
         match self.configuration {
             Some(_) => Ok(()),
             None => Err("no configuration"),
--- a/crates/decision/examples/instructions.rs
+++ b/crates/decision/examples/instructions.rs
@@ -205,7 +205,7 @@
         fingerprint: u64::from(number),
         body: "{\"near\":[1,2]}".into(),
         execute_key: None,
-        params: ranked().then(|| terms(number)),
+        params: ranked().then(|| params(number)),
         scope: Scope::default(),
     }
 }
@@ -215,7 +215,7 @@
     std::env::args().any(|argument| argument == "--ranked")
 }
 
-fn terms(number: u32) -> Params {
+fn params(number: u32) -> Params {
     let rank = number % 2;
     Params {
         kind: Kind::Search,
--- a/crates/decision/src/backend/choice.rs
+++ b/crates/decision/src/backend/choice.rs
@@ -95,7 +95,7 @@
         Repeat::Possible => 0.0,
         Repeat::Never => OVERDUE_PENALTY * server.overdue as f64,
     };
-    let remote_penalty = match server.far {
+    let remote_penalty = match server.remote {
         true => REMOTE_PENALTY.max(baseline.slots * REMOTE_PENALTY_PER_SLOT),
         false => 0.0,
     };
@@ -107,8 +107,8 @@
 
 /// Returns the index of the lowest score; ties are broken uniformly at random.
 pub(crate) fn index_of_least(scores: &[f64], rng: &mut impl Rng) -> Option<usize> {
-    let least = scores.iter().copied().reduce(f64::min)?;
-    let tied = |score: &f64| *score - least < TIE_TOLERANCE;
+    let min_score = scores.iter().copied().reduce(f64::min)?;
+    let tied = |score: &f64| *score - min_score < TIE_TOLERANCE;
     let ties = scores.iter().filter(|score| tied(score)).count();
     let nth = rng.random_range(0..ties);
     let mut tied_indices = (0..scores.len()).filter(|index| tied(&scores[*index]));
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -157,9 +157,9 @@
     }
 
     /// Sets which servers are in other data centres.
-    pub fn set_far(&mut self, far: &BTreeSet<BackendServerId>) {
+    pub fn set_remote(&mut self, remote: &BTreeSet<BackendServerId>) {
         for (id, server) in &mut self.servers {
-            server.far = far.contains(id);
+            server.remote = remote.contains(id);
         }
     }
 
@@ -201,8 +201,8 @@
 
     /// Returns how many attempts per second this home may send to a cold server.
     fn cold_quota(&self, server: BackendServerId, limit: ColdLimit) -> usize {
-        let is_far = self.servers.get(&server).is_none_or(|state| state.far);
-        match is_far {
+        let is_remote = self.servers.get(&server).is_none_or(|state| state.remote);
+        match is_remote {
             true => 0,
             false => self.division.cold_quota(limit.max_rate, server),
         }
--- a/crates/decision/src/backend/group_load.rs
+++ b/crates/decision/src/backend/group_load.rs
@@ -141,8 +141,8 @@
     fn least_wait(&self, group: usize, now: Time) -> Option<Duration> {
         let usable = self.usable(group, now);
         let loads = usable.map(|server| self.expected_load(server, now));
-        let least = loads.reduce(f64::min)?;
-        Some(self.baseline(group).wait(least))
+        let min_load = loads.reduce(f64::min)?;
+        Some(self.baseline(group).wait(min_load))
     }
 
     fn usable(&self, group: usize, now: Time) -> impl Iterator<Item = &Server> {
--- a/crates/decision/src/backend/pool/mod.rs
+++ b/crates/decision/src/backend/pool/mod.rs
@@ -67,7 +67,7 @@
     capacity: Capacity,
     division: Division,
     /// Servers in other data centres, for which no idle connections are kept without demand.
-    far: BTreeSet<BackendServerId>,
+    remote: BTreeSet<BackendServerId>,
     /// Identity of this home, used to select the servers for which it keeps idle connections.
     identity: u64,
     /// Servers with events since the last [`Pool::reconcile`].
@@ -95,7 +95,7 @@
             identity: 0,
             capacity: route.capacity,
             division,
-            far: BTreeSet::new(),
+            remote: BTreeSet::new(),
             changed: BTreeSet::new(),
             closing: Vec::new(),
             due: None,
@@ -128,8 +128,8 @@
     }
 
     /// Sets which servers are in other data centres.
-    pub fn set_far(&mut self, far: BTreeSet<BackendServerId>) {
-        self.far = far;
+    pub fn set_remote(&mut self, remote: BTreeSet<BackendServerId>) {
+        self.remote = remote;
         self.changed.extend(self.server_pools.keys());
     }
 
@@ -408,7 +408,7 @@
         let idle_share = self.division.idle_share(self.capacity.connections);
         let is_selected =
             idle_share >= 1.0 || placement::uniform_hash(self.identity, server) < idle_share;
-        let keeps_idle = is_selected && !self.far.contains(&server);
+        let keeps_idle = is_selected && !self.remote.contains(&server);
         Limits {
             min_idle: if keeps_idle { self.limits.min_idle } else { 0 },
             ..self.limits
--- a/crates/decision/src/backend/server.rs
+++ b/crates/decision/src/backend/server.rs
@@ -59,7 +59,7 @@
     pub(crate) configured: bool,
     pub(crate) reachable: bool,
     /// Whether the server is in another data centre than this home.
-    pub(crate) far: bool,
+    pub(crate) remote: bool,
     pub(crate) outstanding: usize,
     pub(crate) cancelling: usize,
     /// Outstanding attempts that have exceeded the silence timeout.
@@ -94,7 +94,7 @@
             group,
             configured: true,
             reachable: true,
-            far: false,
+            remote: false,
             outstanding: 0,
             cancelling: 0,
             overdue: 0,
@@ -125,7 +125,7 @@
     pub(crate) fn restarted(&self) -> Self {
         Self {
             configured: self.configured,
-            far: self.far,
+            remote: self.remote,
             outstanding: self.outstanding,
             cancelling: self.cancelling,
             overdue: self.overdue,
--- a/crates/decision/src/backend/suspect.rs
+++ b/crates/decision/src/backend/suspect.rs
@@ -164,7 +164,7 @@
 
     /// Returns whether another attempt may be sent now: always for a clear fingerprint, one at a
     /// time in quarantine, never when refused.
-    pub fn may_send(&self, fingerprint: Fingerprint, now: Time) -> bool {
+    pub fn can_send(&self, fingerprint: Fingerprint, now: Time) -> bool {
         match self.status(fingerprint, now) {
             Status::Clear => true,
             Status::Quarantined => !self.has_quarantined_attempt(fingerprint),
--- a/crates/decision/src/configuration/event.rs
+++ b/crates/decision/src/configuration/event.rs
@@ -85,9 +85,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
     /// Decision: `adopted`, `conflict`, `rejected`, `stale`, …
-    pub what: &'static str,
+    pub label: &'static str,
     /// Version that the decision is about.
     pub version: Version,
     /// Reason for the decision.
-    pub why: String,
+    pub reason: String,
 }
--- a/crates/decision/src/configuration/holder.rs
+++ b/crates/decision/src/configuration/holder.rs
@@ -201,9 +201,9 @@
         if self.is_greater(version) {
             self.offers.insert(peer, version);
             if self.offers.len() > MAX_REMEMBERED {
-                let least = self.offers.iter().min_by_key(|(_, version)| **version);
-                let least = least.map(|(peer, _)| *peer);
-                least.map(|peer| self.offers.remove(&peer));
+                let lowest = self.offers.iter().min_by_key(|(_, version)| **version);
+                let lowest = lowest.map(|(peer, _)| *peer);
+                lowest.map(|peer| self.offers.remove(&peer));
             }
         }
     }
@@ -252,8 +252,8 @@
         if version.revision == in_force.revision {
             self.report_conflict(version, actions);
         } else if source == Source::Service && remember(&mut self.logged, version) {
-            let why = format!("the service is behind revision {}", in_force.revision);
-            actions.push(log("stale", version, why));
+            let reason = format!("the service is behind revision {}", in_force.revision);
+            actions.push(log("stale", version, reason));
         }
     }
 
@@ -263,9 +263,9 @@
     fn report_conflict(&mut self, version: Version, actions: &mut Vec<Action>) {
         if remember(&mut self.conflicting, version.revision) {
             self.conflicts += 1;
-            let why =
+            let reason =
                 "two documents with the same revision; the one with the greater digest is in force";
-            actions.push(log("conflict", version, why.to_owned()));
+            actions.push(log("conflict", version, reason.to_owned()));
         }
     }
 
@@ -351,8 +351,12 @@
     }
 }
 
-fn log(what: &'static str, version: Version, why: String) -> Action {
-    Action::Log(LogLine { what, version, why })
+fn log(label: &'static str, version: Version, reason: String) -> Action {
+    Action::Log(LogLine {
+        label,
+        version,
+        reason,
+    })
 }
 
 /// Adds an item, and drops the least one if there are too many. Returns whether the item was new.
--- a/crates/decision/src/fact/table.rs
+++ b/crates/decision/src/fact/table.rs
@@ -204,7 +204,7 @@
             .last_repeated
             .take()
             .map_or(Bound::Unbounded, Bound::Excluded);
-        let mut left = bytes;
+        let mut remaining = bytes;
         for key in self
             .records
             .range((from, Bound::Unbounded))
@@ -213,10 +213,10 @@
             let Some(entry) = Self::entry(&self.records, key, now) else {
                 continue;
             };
-            if entry.size() > left {
+            if entry.size() > remaining {
                 break;
             }
-            left -= entry.size();
+            remaining -= entry.size();
             self.last_repeated = Some(entry.key.clone());
             if !picked.iter().any(|other| other.key == entry.key) {
                 picked.push(entry);
--- a/crates/decision/src/gateway/members/mod.rs
+++ b/crates/decision/src/gateway/members/mod.rs
@@ -283,8 +283,8 @@
             Datagram::Probe(probe, message) => self.receive_probe(from, probe, *message, now),
             Datagram::Answer(probe, message) => self.receive_answer(probe, *message, now),
             Datagram::ProbeFor(probe, target) => self.relay_probe(from, probe, target, now),
-            Datagram::Pull(span) => {
-                let page = self.table.page(span);
+            Datagram::Pull(range) => {
+                let page = self.table.page(range);
                 self.send(from, Datagram::Page(page));
             }
             Datagram::Page(page) => {
@@ -406,12 +406,12 @@
                     self.send(helper, Datagram::ProbeFor(probe, target));
                 }
             }
-            TableAction::Pull(from, span) => {
+            TableAction::Pull(from, range) => {
                 self.pending_pull = Some(Pending {
                     target: from,
                     until: now + REQUEST_TIMEOUT,
                 });
-                self.send(from, Datagram::Pull(span));
+                self.send(from, Datagram::Pull(range));
             }
             TableAction::Log(line) => self.actions.push(Action::Log(line)),
             // Replies are sent in `receive_probe`. The others need no action: after a pause, a host learns
--- a/crates/decision/src/gateway/split.rs
+++ b/crates/decision/src/gateway/split.rs
@@ -25,9 +25,9 @@
         for (credit, part) in self.credits.iter_mut().zip(parts) {
             *credit += part.weight;
         }
-        let most = |a: &usize, b: &usize| self.credits[*a].total_cmp(&self.credits[*b]);
+        let by_credit = |a: &usize, b: &usize| self.credits[*a].total_cmp(&self.credits[*b]);
         let weighted = (0..parts.len()).filter(|index| parts[*index].weight > 0.0);
-        let next = weighted.max_by(most)?;
+        let next = weighted.max_by(by_credit)?;
         self.credits[next] -= total;
         Some(next)
     }
--- a/crates/decision/src/gateway/table.rs
+++ b/crates/decision/src/gateway/table.rs
@@ -89,7 +89,7 @@
 
     /// Returns the parameters of its requests at a home, with `margin` reserved for delivering the
     /// answer.
-    pub fn terms(&self, margin: Duration) -> Params {
+    pub fn params(&self, margin: Duration) -> Params {
         let soft = match &self.target {
             Target::FanOut(gather) => Some(SoftDeadline {
                 after_ms: delivery::cutoff(self.objective, margin).as_millis() as u64,
--- a/crates/decision/src/home/action.rs
+++ b/crates/decision/src/home/action.rs
@@ -66,9 +66,9 @@
     /// The request, if the decision concerns a single one.
     pub request: Option<RequestId>,
     /// Kind of decision: `send`, `hedge`, `retry`, `refuse`, `deny`, `discard`, `leave`, `pin`, …
-    pub what: &'static str,
+    pub label: &'static str,
     /// The backend server, if the decision concerns one.
     pub backend_server: Option<BackendServerId>,
     /// Reason for the decision.
-    pub why: Rationale,
+    pub rationale: Rationale,
 }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -124,7 +124,7 @@
 
     fn can_send(&self, id: AttemptId, now: Time) -> bool {
         let flight = self.flights.get(id);
-        flight.is_some_and(|flight| self.suspects.may_send(flight.fingerprint, now))
+        flight.is_some_and(|flight| self.suspects.can_send(flight.fingerprint, now))
     }
 
     /// Withdraws an attempt whose fingerprint was quarantined while the attempt was queued; its
--- a/crates/decision/src/home/execute.rs
+++ b/crates/decision/src/home/execute.rs
@@ -41,7 +41,7 @@
             self.end_unassigned(execution, now);
             return;
         }
-        if !self.suspects.may_send(execution.request.fingerprint, now) {
+        if !self.suspects.can_send(execution.request.fingerprint, now) {
             self.quarantine_execution(execution);
             return;
         }
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -168,7 +168,7 @@
         let pinned = search.pin?;
         let newer = self.pin.version().filter(|version| *version > pinned)?;
         let is_below_min = pinned < self.route.minimum_index_version;
-        let is_lost = |part: &&Part| part.vanished || is_below_min;
+        let is_lost = |part: &&Part| part.version_gone || is_below_min;
         let part = search.parts.values().find(is_lost)?;
         let server = self.route.groups.get(part.group)?.backend_servers.first()?;
         let latency = self.fleet.hedge_delay(*server, RESTART_QUANTILE, now);
@@ -208,7 +208,7 @@
             };
             if part.live.is_empty() {
                 part.given_up = None;
-                part.vanished = false;
+                part.version_gone = false;
                 let cause = part.cause;
                 home.assign(search, id, cause, now);
             }
@@ -248,7 +248,7 @@
             return;
         }
         let group = part.group;
-        if !self.suspects.may_send(search.request.fingerprint, now) {
+        if !self.suspects.can_send(search.request.fingerprint, now) {
             if part.live.is_empty() {
                 let quarantined = self
                     .quarantined
@@ -389,7 +389,7 @@
         if candidates.iter().any(is_available) {
             return;
         }
-        part.vanished = self.has_lost_version(part.group, version);
+        part.version_gone = self.has_lost_version(part.group, version);
         part.give_up();
         let group = part.group;
         let skip_reasons = self.skip_reasons(group, version, deadline, now);
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -104,7 +104,10 @@
         policy: Policy,
         now: Time,
     ) -> (Self, Vec<Action<C>>) {
-        let Allocation { division, far } = allocation.into();
+        let Allocation {
+            division,
+            remote_servers,
+        } = allocation.into();
         let mut home = Self {
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -138,7 +141,7 @@
         };
         home.fleet.set_policy(policy);
         home.pool.set_identity(seed);
-        home.set_remote(far);
+        home.set_remote(remote_servers);
         let actions = home.finish_event(now);
         (home, actions)
     }
@@ -230,8 +233,8 @@
     }
 
     fn set_remote(&mut self, servers: BTreeSet<BackendServerId>) {
-        self.fleet.set_far(&servers);
-        self.pool.set_far(servers);
+        self.fleet.set_remote(&servers);
+        self.pool.set_remote(servers);
     }
 
     fn arrived(&mut self, request: Request<C>, now: Time) {
@@ -489,15 +492,15 @@
     pub(super) fn log(
         &mut self,
         request: Option<RequestId>,
-        what: &'static str,
+        label: &'static str,
         backend_server: Option<BackendServerId>,
-        why: impl Into<Rationale>,
+        rationale: impl Into<Rationale>,
     ) {
         self.actions.push(Action::Log(Decision {
             request,
-            what,
+            label,
             backend_server,
-            why: why.into(),
+            rationale: rationale.into(),
         }));
     }
 }
--- a/crates/decision/src/member/event.rs
+++ b/crates/decision/src/member/event.rs
@@ -146,9 +146,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
     /// Decision: `suspect`, `dead`, `alive`, `left`, `refute`, `paused`, `isolated`, …
-    pub what: &'static str,
+    pub label: &'static str,
     /// Member that the decision is about.
     pub member: MemberId,
     /// Reason, with the numbers that it is based on.
-    pub why: String,
+    pub reason: String,
 }
--- a/crates/decision/src/member/exchange.rs
+++ b/crates/decision/src/member/exchange.rs
@@ -282,8 +282,8 @@
         if theirs.start > own.incarnation.start {
             if !self.superseded {
                 self.superseded = true;
-                let why = format!("a process with start {} has this address", theirs.start);
-                self.log("superseded", self.own, why);
+                let reason = format!("a process with start {} has this address", theirs.start);
+                self.log("superseded", self.own, reason);
             }
             return None;
         }
@@ -333,18 +333,18 @@
     }
 
     fn report_change(&mut self, change: &Change, before: Option<State>) {
-        let what = match change.state {
+        let label = match change.state {
             State::Alive => "alive",
             State::Suspect => "suspect",
             State::Dead => "dead",
             State::Left { .. } => "left",
         };
         let incarnation = change.incarnation;
-        let why = format!(
+        let reason = format!(
             "was {before:?}; start {} refutation {}",
             incarnation.start, incarnation.refutation
         );
-        self.log(what, change.id, why);
+        self.log(label, change.id, reason);
         self.actions.push(Action::Changed(change.id, change.state));
     }
 }
--- a/crates/decision/src/member/table.rs
+++ b/crates/decision/src/member/table.rs
@@ -279,8 +279,8 @@
         let isolated = deaths >= MIN_ISOLATION_DEATHS && deaths >= serving;
         if isolated != self.isolated {
             self.isolated = isolated;
-            let what = if isolated { "isolated" } else { "rejoined" };
-            self.log(what, self.own, format!("{deaths} dead, {serving} serving"));
+            let label = if isolated { "isolated" } else { "rejoined" };
+            self.log(label, self.own, format!("{deaths} dead, {serving} serving"));
         }
     }
 
@@ -328,9 +328,12 @@
         }
     }
 
-    pub(super) fn log(&mut self, what: &'static str, member: MemberId, why: String) {
-        self.actions
-            .push(Action::Log(LogLine { what, member, why }));
+    pub(super) fn log(&mut self, label: &'static str, member: MemberId, reason: String) {
+        self.actions.push(Action::Log(LogLine {
+            label,
+            member,
+            reason,
+        }));
     }
 
     pub(super) fn all_buckets() -> BucketRange {
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -213,12 +213,12 @@
     /// many of them leave no room for the homes that return.
     pub fn idle_time(&self, limit: u32) -> Duration {
         let near = self.homes.near as f64;
-        let far = self.count() as f64 - near;
-        if far < 1.0 || self.homes.role == Role::Strong {
+        let remote = self.count() as f64 - near;
+        if remote < 1.0 || self.homes.role == Role::Strong {
             return MAX_IDLE_TIME;
         }
         let max_idle = f64::from(limit) * IDLE_CONNECTION_SHARE - near;
-        MAX_IDLE_TIME.mul_f64((max_idle / far).clamp(0.0, 1.0))
+        MAX_IDLE_TIME.mul_f64((max_idle / remote).clamp(0.0, 1.0))
     }
 
     /// Returns the fraction of the homes in a server's data centre that keep an idle connection to it,
@@ -309,14 +309,14 @@
     /// Division of the capacity among the homes.
     pub division: Division,
     /// Backend servers outside the home's data centre.
-    pub far: BTreeSet<BackendServerId>,
+    pub remote_servers: BTreeSet<BackendServerId>,
 }
 
 impl<T: Into<Division>> From<T> for Allocation {
     fn from(division: T) -> Self {
         Self {
             division: division.into(),
-            far: BTreeSet::new(),
+            remote_servers: BTreeSet::new(),
         }
     }
 }
--- a/crates/decision/src/query/coverage.rs
+++ b/crates/decision/src/query/coverage.rs
@@ -164,11 +164,11 @@
 }
 
 /// Returns how many of `groups` groups of equal weight can be missing at a coverage of at least
-/// `least`.
-pub fn dispensable(least: f64, groups: f64) -> usize {
+/// `min_coverage`.
+pub fn dispensable(min_coverage: f64, groups: f64) -> usize {
     /// Tolerance for rounding errors, so that a tenth of ten groups is one group.
     const ROUNDING: f64 = 1e-9;
-    ((1.0 - least) * groups + ROUNDING) as usize
+    ((1.0 - min_coverage) * groups + ROUNDING) as usize
 }
 
 /// Returns the share of the data in `wanted` that `set` covers, from 0 to 1; exactly 1 if and only
--- a/crates/decision/src/query/merge.rs
+++ b/crates/decision/src/query/merge.rs
@@ -45,9 +45,9 @@
     }
 
     /// Merges the new keys of a reply that passed [`check`], and returns them.
-    pub fn accept(&mut self, asked: &KeySet, reply: Reply<V>) -> KeySet {
+    pub fn accept(&mut self, requested: &KeySet, reply: Reply<V>) -> KeySet {
         let claimed: KeySet = reply.ranges.into_iter().collect();
-        let new = claimed.intersection(asked).difference(&self.covered);
+        let new = claimed.intersection(requested).difference(&self.covered);
         let new_items = reply
             .items
             .into_iter()
--- a/crates/decision/src/query/search.rs
+++ b/crates/decision/src/query/search.rs
@@ -96,7 +96,7 @@
     /// Reason for giving up the part; `None` while it is pursued.
     pub(crate) given_up: Option<Reason>,
     /// Whether no server of the group serves the pinned version any more.
-    pub(crate) vanished: bool,
+    pub(crate) version_gone: bool,
 }
 
 impl Part {
@@ -250,10 +250,10 @@
     pub(crate) fn accept(
         &mut self,
         part: PartId,
-        asked: &KeySet,
+        requested: &KeySet,
         reply: Reply<C::Value>,
     ) -> Change {
-        let new = self.merge.accept(asked, reply);
+        let new = self.merge.accept(requested, reply);
         let mut change = Change {
             progress: !new.is_empty(),
             ..Change::default()
@@ -407,8 +407,13 @@
     }
 
     /// Ends the search with the merged items. After a restart the version with the higher coverage
-    /// is returned, the newer one if both are equal. Coverage below `least` is a failure.
-    pub(crate) fn finish(mut self, route: &Route, least: f64, reason: Reason) -> Outcome<C::Value> {
+    /// is returned, the newer one if both are equal. Coverage below `min_coverage` is a failure.
+    pub(crate) fn finish(
+        mut self,
+        route: &Route,
+        min_coverage: f64,
+        reason: Reason,
+    ) -> Outcome<C::Value> {
         // The other home may have sent attempts, so "not run" is not proven.
         if self.has_delegated() {
             self.fanout.record_send();
@@ -423,7 +428,7 @@
         let merged = older.or(self.pin.map(|version| (version, self.merge)));
         let minimum = route.minimum_index_version;
         let is_usable = |found: &(IndexVersion, Merge<C::Value>)| {
-            found.0 >= minimum && !found.1.covered().is_empty() && share(&found.1) >= least
+            found.0 >= minimum && !found.1.covered().is_empty() && share(&found.1) >= min_coverage
         };
         match merged.filter(is_usable) {
             Some((version, merge)) => Outcome::Answered(Answer {
--- a/crates/decision/tests/added_routes.rs
+++ b/crates/decision/tests/added_routes.rs
@@ -64,7 +64,7 @@
         let mut route = route(1, SERVERS);
         route.capacity.connections = CONFIGURED_CONNECTIONS;
         let mut pool = Pool::new(&route, division, 1, ms(0));
-        pool.set_far(remote.iter().map(|number| server(*number)).collect());
+        pool.set_remote(remote.iter().map(|number| server(*number)).collect());
         Self {
             pool,
             near: (0..SERVERS)
--- a/crates/decision/tests/configuration.rs
+++ b/crates/decision/tests/configuration.rs
@@ -34,7 +34,7 @@
 fn has_logged(actions: &[Action], label: &str) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Log(line) if line.what == label))
+        .any(|a| matches!(a, Action::Log(line) if line.label == label))
 }
 
 fn calls(actions: &[Action]) -> usize {
--- a/crates/decision/tests/delivery.rs
+++ b/crates/decision/tests/delivery.rs
@@ -54,7 +54,7 @@
     session.advance(arrived);
     let search_request = request(1, session.now);
     let search_request = Request {
-        params: Some(search(objective).terms(margin)),
+        params: Some(search(objective).params(margin)),
         ..search_request
     };
     session.handle(Event::Request(search_request));
--- a/crates/decision/tests/home_failures.rs
+++ b/crates/decision/tests/home_failures.rs
@@ -417,7 +417,7 @@
             next += 1;
         }
     }
-    let silent = session.log.iter().filter(|line| line.what == "silent");
+    let silent = session.log.iter().filter(|line| line.label == "silent");
     assert_eq!(silent.count(), 0);
 }
 
--- a/crates/decision/tests/home_properties.rs
+++ b/crates/decision/tests/home_properties.rs
@@ -230,9 +230,9 @@
         self.ended.get(&send.attempt).copied().unwrap_or(false)
     }
 
-    fn logged_count(&self, what: &str) -> usize {
+    fn logged_count(&self, label: &str) -> usize {
         let log = self.session.log.iter();
-        log.filter(|decision| decision.what == what).count()
+        log.filter(|decision| decision.label == label).count()
     }
 }
 
@@ -306,7 +306,7 @@
         let allowed = 1.0 + PERCENT / 100.0 * trial.logged_count("send") as f64;
         let returned = |what: &str| {
             let log = trial.session.log.iter();
-            log.filter(|decision| decision.why.to_string().contains(what)).count()
+            log.filter(|decision| decision.rationale.to_string().contains(what)).count()
         };
         let retries = trial.logged_count("retry") + trial.logged_count("overdue");
         let retries = retries - returned("retry given back");
--- a/crates/decision/tests/home_skip.rs
+++ b/crates/decision/tests/home_skip.rs
@@ -15,8 +15,8 @@
         start: None,
     });
     session.submit(1);
-    let reasons = session.log.iter().filter(|line| line.what == "give_up");
-    let reasons: Vec<String> = reasons.map(|line| line.why.to_string()).collect();
+    let reasons = session.log.iter().filter(|line| line.label == "give_up");
+    let reasons: Vec<String> = reasons.map(|line| line.rationale.to_string()).collect();
     assert_eq!(
         reasons,
         [
--- a/crates/decision/tests/many_hosts.rs
+++ b/crates/decision/tests/many_hosts.rs
@@ -63,7 +63,7 @@
 /// slower for `seconds`. Returns the choices of that server and all choices in this time.
 fn choices_while_slow(seconds: u64) -> (u32, u32) {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
-    fleet.set_far(&[server(1), server(2)].into());
+    fleet.set_remote(&[server(1), server(2)].into());
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let servers: Vec<_> = (0..3).map(server).collect();
     let (mut slow_choices, mut choices) = (0, 0);
@@ -97,7 +97,7 @@
 #[test]
 fn choose_after_one_pause_keeps_server() {
     let mut fleet = Fleet::new(&route(1, 3), 1, ms(0));
-    fleet.set_far(&[server(1), server(2)].into());
+    fleet.set_remote(&[server(1), server(2)].into());
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let servers: Vec<_> = (0..3).map(server).collect();
     for step in 0..60 {
@@ -137,7 +137,7 @@
 fn reconcile_remote_connection_is_held_while_connections_last(all: usize, hold_time: u64) {
     let division = Division::among_all_hosts(homes(all), 218.0);
     let mut pool = Pool::new(&route(1, 2), division, 1, ms(0));
-    pool.set_far([server(1)].into());
+    pool.set_remote([server(1)].into());
     assert_eq!(
         settle(&mut pool, ms(0)),
         [1, 0],
--- a/crates/decision/tests/network/mod.rs
+++ b/crates/decision/tests/network/mod.rs
@@ -255,7 +255,7 @@
 }
 
 pub(crate) fn is_log(action: &Action, label: &str) -> bool {
-    matches!(action, Action::Log(line) if line.what == label)
+    matches!(action, Action::Log(line) if line.label == label)
 }
 
 /// Lists all members as seeds to each of them.
--- a/crates/decision/tests/session/mod.rs
+++ b/crates/decision/tests/session/mod.rs
@@ -360,8 +360,8 @@
     }
 
     /// Returns whether the home has logged a decision with this `what` label.
-    pub(crate) fn has_logged(&self, what: &str) -> bool {
-        self.log.iter().any(|decision| decision.what == what)
+    pub(crate) fn has_logged(&self, label: &str) -> bool {
+        self.log.iter().any(|decision| decision.label == label)
     }
 }
 
@@ -396,7 +396,7 @@
         Action::Log(decision) => {
             let server = decision.backend_server;
             let server = server.map_or_else(String::new, |server| format!(" {server}"));
-            format!("log {}{server} ({})", decision.what, decision.why)
+            format!("log {}{server} ({})", decision.label, decision.rationale)
         }
         Action::Finish(request, outcome) => format!("finish {request} {outcome:?}"),
         other => format!("{other:?}"),
--- a/crates/decision/tests/suspect.rs
+++ b/crates/decision/tests/suspect.rs
@@ -37,7 +37,7 @@
         detector.status(CULPRIT, ms(1_010)),
         Status::Refused(_)
     ));
-    assert!(!detector.may_send(CULPRIT, ms(1_010)));
+    assert!(!detector.can_send(CULPRIT, ms(1_010)));
 }
 
 // Guards against a request that crashes the only server of a group each time that it restarts.
@@ -126,11 +126,11 @@
 fn may_send_in_quarantine_allows_one_at_a_time() {
     let mut detector = Detector::new();
     crash_server(&mut detector, 1, &[7], ms(0));
-    assert!(detector.may_send(7, ms(10)));
+    assert!(detector.can_send(7, ms(10)));
     detector.sent(9, 7, server(2), ms(10));
-    assert!(!detector.may_send(7, ms(11)));
+    assert!(!detector.can_send(7, ms(11)));
     detector.ended(9, ms(12));
-    assert!(detector.may_send(7, ms(12)));
+    assert!(detector.can_send(7, ms(12)));
 }
 
 #[test]
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -33,7 +33,7 @@
 /// One home and its connections.
 pub struct Driver {
     home: Home<Blank>,
-    alarm: Wakeup,
+    wakeup: Wakeup,
     /// Server at the other end of each connection.
     pub connections: HashMap<ConnectionId, BackendServerId>,
     /// Connection that each attempt is on.
@@ -53,13 +53,16 @@
         let (set, usable) = (site.shards(pool), registry.usable());
         let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
         let own = Site::place_name(place).into();
-        let far: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
+        let remote_servers: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
         let division = Division::among_all_hosts(site.reckoned_hosts(), site.slack);
-        let part = Allocation { division, far };
-        let (home, actions) = Home::with_policy(route, part, seed, policy, Time::ZERO);
+        let allocation = Allocation {
+            division,
+            remote_servers,
+        };
+        let (home, actions) = Home::with_policy(route, allocation, seed, policy, Time::ZERO);
         let mut driver = Self {
             home,
-            alarm: Wakeup::default(),
+            wakeup: Wakeup::default(),
             connections: HashMap::new(),
             attempts: HashMap::new(),
         };
@@ -68,7 +71,7 @@
     }
 
     /// Feeds an event. Returns what is to be done.
-    pub fn on(&mut self, event: Event<Blank>, now: Time) -> Vec<Action<Blank>> {
+    pub fn handle(&mut self, event: Event<Blank>, now: Time) -> Vec<Action<Blank>> {
         match &event {
             Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
                 self.connections.remove(connection);
@@ -78,7 +81,7 @@
             }
             _ => {}
         }
-        self.alarm.on_event(now);
+        self.wakeup.on_event(now);
         let actions = self.home.handle(event, now);
         self.note(&actions);
         actions
@@ -86,7 +89,7 @@
 
     /// Returns when the home is to be woken.
     pub fn wake(&self) -> Option<Time> {
-        self.alarm.next()
+        self.wakeup.next()
     }
 
     /// Returns what the end of a connection means: the attempt on it is lost.
@@ -108,7 +111,7 @@
                 Action::Send(send) => {
                     self.attempts.insert(send.attempt, send.connection);
                 }
-                Action::Wake(at) => self.alarm.schedule(*at),
+                Action::Wake(at) => self.wakeup.schedule(*at),
                 _ => {}
             }
         }
--- a/crates/experiment/src/simulation/world/callers.rs
+++ b/crates/experiment/src/simulation/world/callers.rs
@@ -52,7 +52,7 @@
             fingerprint: caller.id as u64,
             body: (),
             execute_key: None,
-            params: Some(self.routes[caller.kind].terms(delivery::margin(STRENGTH))),
+            params: Some(self.routes[caller.kind].params(delivery::margin(STRENGTH))),
             scope: Scope::default(),
         };
         self.heard(host, kind.pool, Event::Request(request));
--- a/crates/experiment/src/simulation/world/mod.rs
+++ b/crates/experiment/src/simulation/world/mod.rs
@@ -203,7 +203,7 @@
     }
 
     fn heard(&mut self, host: usize, pool: usize, event: Event<Blank>) {
-        let actions = self.homes[host][pool].on(event, self.now);
+        let actions = self.homes[host][pool].handle(event, self.now);
         self.carry_out(host, pool, actions);
     }
 
