--- a/crates/daemon/tests/caller.rs
+++ b/crates/daemon/tests/caller.rs
@@ -1,4 +1,4 @@
-//! What callers are told: each refusal, each outcome, and what reaches the service.
+//! The callers' HTTP interface: refusals, outcomes, and the calls that reach the service.
 
 mod support;
 
@@ -27,12 +27,12 @@
 #[test_case(&post(QUERY, &[CLERK], "1"), 401, "caller"; "missing_token_is_unidentified")]
 #[test_case(&post(QUERY, &[CLERK, "authorization: Bearer wrong"], "1"), 401, "caller"; "wrong_token_is_unidentified")]
 #[test_case(&post(QUERY, &[DISPATCH, DISPATCH], "1"), 400, "header"; "caller_given_twice_is_refused")]
-#[test_case(&post(QUERY, &["monsoonring-caller: planner"], "1"), 403, "authorisation"; "route_of_others_is_forbidden")]
+#[test_case(&post(QUERY, &["monsoonring-caller: planner"], "1"), 403, "authorisation"; "route_of_other_callers_is_forbidden")]
 #[test_case(&post("/routes/none/query", &[DISPATCH], "1"), 404, "route"; "unknown_route_is_not_found")]
 #[test_case(&post("/routes/tickets/query", &[DISPATCH], "1"), 404, "route"; "query_of_an_execute_route_is_not_found")]
 #[test_case(&post("/routes/hydrants/execute", &[DISPATCH, KEY], "1"), 404, "route"; "execute_of_a_search_route_is_not_found")]
 #[test_case(&post(QUERY, &[DISPATCH, "monsoonring-deadline-ms: soon"], "1"), 400, "header"; "deadline_unparsable_is_refused")]
-#[test_case(&post(QUERY, &[DISPATCH, "monsoonring-deadline-ms: -5"], "1"), 400, "header"; "deadline_below_zero_is_refused")]
+#[test_case(&post(QUERY, &[DISPATCH, "monsoonring-deadline-ms: -5"], "1"), 400, "header"; "deadline_negative_is_refused")]
 #[test_case(&post(QUERY, &[DISPATCH, "monsoonring-deadline-ms: 0"], "1"), 504, "deadline"; "deadline_passed_is_not_run")]
 #[test_case(&post(QUERY, &[DISPATCH], "{\"a\":"), 400, "body"; "body_malformed_is_refused")]
 #[test_case(&post(QUERY, &[DISPATCH], ""), 400, "body"; "body_empty_is_refused")]
@@ -44,9 +44,8 @@
 #[test_case(&post(EXECUTE, &[DISPATCH, KEY, "monsoonring-send: 0"], "1"), 400, "header"; "execute_with_send_zero_is_refused")]
 #[tokio::test]
 async fn request(request: &str, status: u16, kind: &str) {
-    // Symptom: a caller is refused and can't tell whether its request ran.
-    // Events: a request that a filter refuses, for each reason that the filters have.
-    // Cause: a refusal without a problem document, or one whose request went on to the service.
+    // Guards against refusals without a problem document, and against refused requests that reach
+    // the service nevertheless.
     let daemon = Daemon::start(Fake::default(), &[]).await;
     let response = exchange(daemon.caller_address, request).await;
     assert_eq!(
@@ -55,17 +54,14 @@
     );
     assert!(
         daemon.service.received_calls().is_empty(),
-        "nothing reached the service"
+        "a refused request must not reach the service"
     );
     daemon.signal();
     daemon.stopped().await;
 }
 
-// Symptom: a ticket runs twice, although its caller followed what it was told.
-// Events: a send runs and its answer is lost; the caller sends again under the same key, and a daemon
-// that has just started, or takes the route for unknown, refuses it as "not run"; the caller files the
-// ticket anew under another key.
-// Cause: the refusal spoke of this send and was read as speaking of the request.
+// Guards against double execution: a refused send under a key that may have been sent before must
+// not report "not run", since an earlier send may have executed.
 #[test_case(&post("/routes/none/execute", &[DISPATCH, ISSUED_KEY], "1"), 404, "unknown"; "under_issued_key_is_unknown")]
 #[test_case(&post(EXECUTE, &["monsoonring-caller: x", ISSUED_KEY], "1"), 401, "unknown"; "of_unknown_caller_is_unknown")]
 #[test_case(&post(EXECUTE, &[DISPATCH, ISSUED_KEY, "monsoonring-deadline-ms: 0"], "1"), 504, "unknown"; "too_late_is_unknown")]
@@ -143,7 +139,7 @@
     .await;
     assert_eq!(response.status, 200);
     let calls = daemon.service.received_calls();
-    let call = calls.first().expect("it reached the service");
+    let call = calls.first().expect("the request reached the service");
     assert_eq!((&*call.caller, call.class), ("clerk", Class::Normal));
     assert_eq!(&*call.body, " {\"b\":1, \"a\":2}");
     assert_eq!(
@@ -176,9 +172,8 @@
 
 #[tokio::test]
 async fn request_ids_of_one_trace_differ() {
-    // Symptom: a dispatcher is shown the answer to another question of the same dispatch.
-    // Events: a caller sends two searches at a time with one `traceparent`.
-    // Cause: the trace id taken as request id, by which daemons tell requests apart.
+    // Guards against mixed-up answers when a caller sends two requests with one `traceparent`:
+    // the trace id must not serve as request id.
     let daemon = Daemon::start(Fake::default(), &[]).await;
     let trace = "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     for body in ["1", "2"] {
@@ -188,15 +183,14 @@
     let calls = daemon.service.received_calls();
     assert_ne!(
         calls[0].request, calls[1].request,
-        "two requests have two ids"
+        "requests of one trace have different ids"
     );
 }
 
 #[tokio::test]
 async fn key_with_and_without_quotes_is_the_same() {
-    // Symptom: a repair ticket is made twice.
-    // Events: a caller sends its key in quotes, as the draft standard has it, and once without.
-    // Cause: two texts taken for two keys.
+    // Guards against double execution when a caller sends its key once quoted, as the
+    // `Idempotency-Key` draft specifies, and once unquoted.
     let daemon = Daemon::start(Fake::default(), &[]).await;
     for key in ["idempotency-key: \"k1\"", KEY] {
         let request = post(EXECUTE, &[DISPATCH, key, "monsoonring-send: 2"], "1");
@@ -206,7 +200,7 @@
         .service
         .executed
         .lock()
-        .expect("not poisoned")
+        .expect("the mutex is not poisoned")
         .clone();
     assert_eq!(executed, vec![("k1".to_owned(), Some(2)); 2]);
 }
@@ -254,7 +248,8 @@
         };
         let daemon = Daemon::start(Fake::with_outcome(outcome), &[]).await;
         let response = exchange(daemon.caller_address, &search("1")).await;
-        write!(session, "# {title}\n{}\n", response.golden()).expect("a string takes all");
+        write!(session, "# {title}\n{}\n", response.golden())
+            .expect("writing to a string succeeds");
     }
     insta::assert_snapshot!(session);
 }
@@ -305,7 +300,8 @@
             &post(EXECUTE, &[DISPATCH, KEY], "{}"),
         )
         .await;
-        write!(session, "{}\n{}\n", keys.golden(), response.golden()).expect("a string takes all");
+        write!(session, "{}\n{}\n", keys.golden(), response.golden())
+            .expect("writing to a string succeeds");
     }
     insta::assert_snapshot!(session);
 }
--- a/crates/daemon/tests/console.rs
+++ b/crates/daemon/tests/console.rs
@@ -1,4 +1,4 @@
-//! The console of forms, as a browser meets it.
+//! The configuration console, driven as a browser does.
 
 mod support;
 
@@ -24,14 +24,14 @@
     Form::parse(&exchange(operator_address, &get("/console")).await.body)
 }
 
-/// The draft that a page carries.
+/// Returns the draft document in a page.
 fn draft(page: &Response) -> Value {
     let form = Form::parse(&page.body);
     let text = form.value("draft").expect("the page has a draft");
     serde_json::from_str(text).expect("the draft is JSON")
 }
 
-/// A page for a golden file: one tag a line, without the style and the draft.
+/// Formats a page for a golden file: one tag per line, without style and draft.
 fn golden(page: &Response) -> String {
     let style = page.body.split("<style>").nth(1).unwrap_or_default();
     let style = style.split("</style>").next().unwrap_or_default();
@@ -55,13 +55,13 @@
         .press(operator_address, "open:/routes/0")
         .await;
     insta::assert_snapshot!("session_2_route", golden(&route));
-    let wrong = Form::parse(&route.body)
+    let faulty = Form::parse(&route.body)
         .with("/routes/0/deadline_ms", "soon")
         .with("/routes/0/groups/0/keys/end", "50")
         .press(operator_address, "check")
         .await;
-    insta::assert_snapshot!("session_3_faults", golden(&wrong));
-    let added = Form::parse(&wrong.body)
+    insta::assert_snapshot!("session_3_faults", golden(&faulty));
+    let added = Form::parse(&faulty.body)
         .with("/routes/0/deadline_ms", "30000")
         .press(operator_address, "add:/routes/0/groups")
         .await;
@@ -109,7 +109,8 @@
     }
 }
 
-/// The pointers of all fields below a place; of lists of objects, those of the first item.
+/// Returns the pointers of all fields below `pointer`; for lists of objects, those of the first
+/// item.
 fn leaves(part: &'static Value, pointer: &str) -> Vec<String> {
     let part = schema::resolve(part);
     if let Some(fields) = part["properties"].as_object() {
@@ -125,23 +126,23 @@
 #[test_case("/routes/0/name", "a b", "has the wrong form"; "name")]
 #[test_case("/routes/0/name", "", "the field is missing"; "missing")]
 #[test_case("/routes/0/deadline_ms", "0", "is too low"; "too_low")]
-#[test_case("/routes/0/deadline_ms", "1.5", "has the wrong type"; "no_whole_number")]
+#[test_case("/routes/0/deadline_ms", "1.5", "has the wrong type"; "not_an_integer")]
 #[test_case("/routes/0/kind", "delete", "isn't one of the known values"; "unknown_choice")]
-#[test_case("/routes/0/capacity/slots", "", "the field is missing"; "missing_inside")]
+#[test_case("/routes/0/capacity/slots", "", "the field is missing"; "missing_in_object")]
 #[test_case("/routes/0/hedge/quantile", "2", "is too high"; "too_high")]
-#[test_case("/routes/0/soft_deadline/coverage", "0.9", "the field is missing"; "half_an_object")]
+#[test_case("/routes/0/soft_deadline/coverage", "0.9", "the field is missing"; "incomplete_object")]
 #[test_case("/routes/0/callers", "nobody", "there is no caller `nobody`"; "unknown_caller")]
 #[test_case("/routes/0/groups/0/backend_servers", "host:1", "isn't an IP address with a port"; "address")]
-#[test_case("/routes/0/groups/0/keys/end", "99", "no group holds the keys 99..100"; "hole")]
+#[test_case("/routes/0/groups/0/keys/end", "99", "no group holds the keys 99..100"; "gap_in_keys")]
 #[test_case("/routes/0/groups/0/weight", "-1", "is too low"; "weight")]
 #[tokio::test]
-async fn console_fault_is_shown_and_input_preserved(field: &str, value: &str, wrong: &str) {
+async fn console_fault_is_shown_and_input_preserved(field: &str, value: &str, message: &str) {
     let daemon = daemon().await;
     let start = first_page(daemon.operator_address).await;
     let route = start.press(daemon.operator_address, "open:/routes/0").await;
     let form = Form::parse(&route.body).with(field, value);
     let page = form.clone().press(daemon.operator_address, "check").await;
-    assert!(unescape(&page.body).contains(wrong), "{}", page.body);
+    assert!(unescape(&page.body).contains(message), "{}", page.body);
     let preserved = Form::parse(&page.body).0;
     let preserved = preserved
         .iter()
@@ -150,10 +151,10 @@
     let refused = form
         .send(daemon.operator_address, "/console/document")
         .await;
-    let kind = refused.header("content-type").unwrap_or_default();
+    let content_type = refused.header("content-type").unwrap_or_default();
     assert!(
-        kind.starts_with("text/html"),
-        "a faulty document is never handed out"
+        content_type.starts_with("text/html"),
+        "an invalid document is not offered for download"
     );
 }
 
@@ -166,11 +167,11 @@
 #[test_case("remove:/routes/0/groups/0", "/routes/0/groups", json!([]); "remove_group")]
 #[test_case("remove:/callers/0", "/routes/0/callers", json!(["clerk"]); "remove_caller")]
 #[test_case("remove:/callers", "/callers", Value::Null; "remove_field")]
-#[test_case("remove:/callers/9", "/callers/0/name", json!("dispatch"); "remove_nothing")]
+#[test_case("remove:/callers/9", "/callers/0/name", json!("dispatch"); "remove_missing_caller")]
 #[test_case("copy:", "/callers/0/name", json!("dispatch"); "copy_document")]
-#[test_case("add:/elsewhere", "/elsewhere", Value::Null; "add_elsewhere")]
-#[test_case("add:/routes/7/groups", "/routes/7", Value::Null; "add_to_nothing")]
-#[test_case("open:/routes/7", "/routes/1/name", json!("tickets"); "open_nothing")]
+#[test_case("add:/elsewhere", "/elsewhere", Value::Null; "add_at_unknown_path")]
+#[test_case("add:/routes/7/groups", "/routes/7", Value::Null; "add_to_missing_route")]
+#[test_case("open:/routes/7", "/routes/1/name", json!("tickets"); "open_missing_route")]
 #[tokio::test]
 async fn console_button_edits_the_draft(button: &str, pointer: &str, expected: Value) {
     let daemon = daemon().await;
@@ -213,9 +214,8 @@
 
 #[tokio::test]
 async fn console_newer_revision_in_force_is_reported() {
-    // Symptom: a change that another operator published is undone, and nobody meant it.
-    // Events: two operators start from one revision, and publish one after the other.
-    // Cause: the second draft still holds what the first has changed.
+    // Guards against reverting another operator's change: two operators start from the same
+    // revision and publish one after the other.
     let daemon = daemon().await;
     let start = first_page(daemon.operator_address)
         .await
@@ -242,7 +242,7 @@
 #[test_case("", "it isn't JSON", ""; "empty")]
 #[test_case("{\"callers\":[],\"callers\":[],\"routes\":[]}", "the same name it has kept the last", ""; "field_twice")]
 #[test_case("{\"callers\":[],\"routes\":[],\"colour\":1}", "there is no field of this name", ""; "unknown_field")]
-#[test_case("[]", "has the wrong type", ""; "no_object")]
+#[test_case("[]", "has the wrong type", ""; "not_an_object")]
 #[test_case("{\"callers\":{},\"routes\":[3]}", "has the wrong type", ""; "wrong_types")]
 #[tokio::test]
 async fn console_pasted_text_shows_its_faults(text: &str, message: &str, preserved: &str) {
@@ -259,9 +259,7 @@
 
 #[tokio::test]
 async fn console_text_of_a_draft_is_escaped() {
-    // Symptom: a document that somebody sent acts in the operator's browser.
-    // Events: an operator pastes it to look at it.
-    // Cause: names go into the page as they are.
+    // Guards against script injection through the names in a pasted document.
     let daemon = daemon().await;
     let markup = "\"><script>alert(1)</script>";
     let text = json!({
@@ -280,11 +278,11 @@
     }
 }
 
-#[test_case("/console", &["content-type: application/json"], "{}", 415; "no_form")]
-#[test_case("/console", &[], "a=b", 415; "no_type")]
-#[test_case("/console", &[FORM_TYPE, "sec-fetch-site: cross-site"], "draft={}", 403; "other_site")]
-#[test_case("/console", &[FORM_TYPE, "sec-fetch-site: same-origin"], "draft={}", 200; "same_site")]
-#[test_case("/metrics", &[FORM_TYPE], "a=b", 405; "no_console")]
+#[test_case("/console", &["content-type: application/json"], "{}", 415; "not_a_form")]
+#[test_case("/console", &[], "a=b", 415; "without_content_type")]
+#[test_case("/console", &[FORM_TYPE, "sec-fetch-site: cross-site"], "draft={}", 403; "cross_site")]
+#[test_case("/console", &[FORM_TYPE, "sec-fetch-site: same-origin"], "draft={}", 200; "same_origin")]
+#[test_case("/metrics", &[FORM_TYPE], "a=b", 405; "not_the_console")]
 #[tokio::test]
 async fn console_post(path: &str, headers: &[&str], body: &str, status: u16) {
     let daemon = daemon().await;
@@ -301,9 +299,7 @@
 
 #[tokio::test]
 async fn console_form_too_large_is_refused() {
-    // Symptom: the daemon is killed for its use of memory while it serves few queries.
-    // Events: a script sends the console a form without end, or one of many small fields.
-    // Cause: a form is kept whole until it ends.
+    // Guards against running out of memory on forms that are very large or have very many fields.
     let daemon = daemon().await;
     let large = post("/console", &[FORM_TYPE], &"a".repeat(4_000_001));
     assert_eq!(exchange(daemon.operator_address, &large).await.status, 413);
@@ -317,7 +313,7 @@
     );
 }
 
-/// A piece of JSON that is somewhat like a document.
+/// Generates JSON that resembles a document.
 fn arbitrary_value() -> impl Strategy<Value = Value> {
     let names = [
         "callers", "routes", "groups", "name", "keys", "start", "end", "hedge", "capacity", "~/",
@@ -417,10 +413,8 @@
 
 #[test]
 fn console_form_of_any_kind_is_answered() {
-    // Symptom: an operator sees "the page could not be built", or nothing at all.
-    // Events: a form whose draft, fields and buttons don't fit together.
-    // Cause: a panic on a place that isn't there, or that holds something else than expected.
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    // Guards against panics on forms whose draft, fields and buttons are inconsistent.
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let daemon = runtime.block_on(daemon());
     let config = Config {
         cases: CASES,
--- a/crates/daemon/tests/fetch.rs
+++ b/crates/daemon/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! How a daemon comes by the configuration that another one has.
+//! Fetching the configuration from a peer.
 
 mod support;
 
@@ -16,11 +16,11 @@
 use support::{launch_daemon, within};
 use test_case::test_case;
 
-/// Between two looks at something that must change.
+/// Time between two checks of the configuration in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn document() -> Document {
-    check::parse(example::HYDRANT.as_bytes()).expect("examples are valid")
+    check::parse(example::HYDRANT.as_bytes()).expect("the example is valid")
 }
 
 fn edited(by: u64) -> Document {
@@ -33,7 +33,7 @@
     launch_daemon(&[&format!("--peers={}", peer.address)]).await
 }
 
-/// The configuration that operators see: revision, digest and conflicts.
+/// Returns revision, digest and number of conflicts that `/state` reports.
 async fn status(daemon: &Launched) -> (u64, String, u64) {
     let state = exchange(daemon.running.operator_address(), &get("/state")).await;
     let configuration = &state.json()["configuration"];
@@ -42,7 +42,7 @@
     (number("revision"), digest.to_owned(), number("conflicts"))
 }
 
-/// Waits until a version other than `before` is in force, and returns what is seen then.
+/// Waits until the revision in force differs from `before`, and returns the new status.
 async fn wait_for_change(daemon: &Launched, before: u64) -> (u64, String, u64) {
     within(async {
         loop {
@@ -74,7 +74,7 @@
         Part::Sent { body, .. } => Some(body),
         Part::Held(_) => None,
     });
-    body.expect("a part was sent")
+    body.expect("at least one part carries a body")
 }
 
 fn truncate(mut parts: Vec<Part>) -> Vec<Part> {
@@ -83,11 +83,13 @@
     parts
 }
 
-/// Leaves a valid document, though not the one that was announced.
+/// Changes a value, so that the document is valid but its digest is not the announced one.
 fn tamper(mut parts: Vec<Part>) -> Vec<Part> {
     let body = first_sent_body(&mut parts);
-    let text = String::from_utf8(body.to_vec()).expect("JSON text");
-    let (before, after) = text.split_once("\"deadline_ms\":").expect("a deadline");
+    let text = String::from_utf8(body.to_vec()).expect("sections are UTF-8");
+    let (before, after) = text
+        .split_once("\"deadline_ms\":")
+        .expect("the section has a deadline");
     *body = format!("{before}\"deadline_ms\":1{after}")
         .into_bytes()
         .into();
@@ -104,10 +106,8 @@
     parts
 }
 
-// Symptom: a daemon serves a route that no operator wrote, and other daemons take it from there.
-// Events: of the sections that a peer sends, one is cut short, changed, lost, or named as held though
-// it is not.
-// Cause: the sections that came are put beside the held ones without a look at the whole's digest.
+// Guards against a corrupted configuration: a daemon verifies the digest of the whole document
+// before it combines fetched sections with those that it holds.
 #[test_case(truncate; "section_cut_short")]
 #[test_case(tamper; "section_changed")]
 #[test_case(drop_sent; "section_lost")]
@@ -124,9 +124,8 @@
     assert_eq!(peer.state().incremental, [false, true, false]);
 }
 
-// Symptom: while operators publish often, a daemon that is a little behind never catches up.
-// Events: a peer announces a version; before the fetch comes it has put the next one in force.
-// Cause: a peer that gives nothing but the very version which was asked for.
+// Guards against a daemon that never catches up while operators publish often: a peer that has gone
+// past the announced version serves its newer one.
 #[tokio::test]
 async fn fetch_takes_a_newer_version_than_announced() {
     let peer = Fake::start().await;
@@ -147,7 +146,7 @@
     let daemon = start_with_peer(&peer).await;
     wait_for_change(&daemon, 0).await;
     let connection = connect(daemon.peer_address, &endpoint()).await;
-    let connection = connection.expect("it listens");
+    let connection = connection.expect("the port accepts connections");
     let min_revision = Version {
         revision: min_revision,
         ..in_force
@@ -156,21 +155,18 @@
     let call = connection
         .client()
         .sections(context, min_revision, Base::default());
-    let sections = within(call).await.expect("an answer");
+    let sections = within(call).await.expect("the call is answered");
     assert_eq!(sections.map(|sections| sections.version.revision), returned);
 }
 
-// Symptom: a conflict is reported and routes are rebuilt though no operator changed anything.
-// Events: a daemon reads the service, whose text has other white space and another order of lists
-// than the sections that a peer has under the same revision.
-// Cause: a digest over the text in place of one over what it says.
+// Guards against false conflicts: white space and the order of lists must not change the digest.
 #[tokio::test]
 async fn read_other_white_space_has_the_same_digest() {
     let service = Service::start();
     let mut reordered = document();
     reordered.routes.reverse();
     reordered.callers.reverse();
-    let text = serde_json::to_string_pretty(&reordered).expect("a document is plain JSON");
+    let text = serde_json::to_string_pretty(&reordered).expect("the document can be encoded");
     let revision = service.publish(DOCUMENT, text);
     let daemon = launch_daemon(&[&format!("--configuration-service={}", service.address())]).await;
     let (version, _) = version(revision, &document());
--- a/crates/daemon/tests/fuzz.rs
+++ b/crates/daemon/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes arrive at the callers' port, the daemon goes on.
+//! Arbitrary bytes at the callers' port must not stop a daemon.
 
 mod support;
 
@@ -14,7 +14,7 @@
 const MAX_BYTES: usize = 512;
 const MAX_MUTATIONS: usize = 8;
 
-/// One change to a valid request.
+/// A mutation of a valid request.
 #[derive(Clone, Debug)]
 enum Mutation {
     Replace(prop::sample::Index, u8),
@@ -97,10 +97,10 @@
     ]
 }
 
-/// Sends the bytes and nothing more, and reads whatever comes until the other side ends.
+/// Sends the bytes, shuts the write side down, and reads until the daemon closes.
 async fn send_and_close(address: SocketAddr, bytes: &[u8]) {
     let mut client = Client::connect(address).await;
-    // The daemon may have closed the connection before it had read everything.
+    // The daemon may close the connection before it has read everything.
     let _closed = client.0.write_all(bytes).await;
     let _closed = client.0.shutdown().await;
     let _closed = within(client.0.read_to_end(&mut Vec::new())).await;
@@ -108,11 +108,9 @@
 
 #[test]
 fn bytes_of_any_kind_leave_the_daemon_serving() {
-    // Symptom: a daemon answers nobody after one odd request.
-    // Events: bytes that are no request, or a request with bytes changed, cut or repeated.
-    // Cause: a panic, or a connection that holds something up for the others.
+    // Guards against panics and blocked connections after random bytes or a mutated request.
     count_panics();
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let daemon = runtime.block_on(Daemon::start(Fake::default(), &[]));
     let mut runner = runner(CASES, 7);
     let result = runner.run(&bytes(), |bytes| {
@@ -128,6 +126,6 @@
     assert_eq!(
         daemon.metrics.front.in_flight.get(),
         0,
-        "nothing is left over"
+        "no request stays in flight"
     );
 }
--- a/crates/daemon/tests/hostile.rs
+++ b/crates/daemon/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever arrives at the peers' port, the daemon goes on.
+//! Arbitrary bytes and excess connections at the peers' port must not stop a daemon.
 
 mod support;
 
@@ -18,23 +18,23 @@
 const CASES: u32 = 512;
 const MAX_BYTES: usize = 256;
 
-/// Methods between daemons, and some that there are not.
+/// Exclusive upper bound of method numbers: those of the peer protocol, and some unknown ones.
 const METHODS: u8 = 14;
 
-/// Time that a call is given.
+/// Deadline of a call, in seconds.
 const DEADLINE_SECONDS: u8 = 60;
 
-/// Bytes of the ids that a call has for tracing.
+/// Length of a call's encoded trace context.
 const TRACE_BYTES: usize = 17;
 
-/// Mark of a number of eight bytes.
+/// Byte by which bincode announces an integer of eight bytes.
 const U64_TAG: u8 = 253;
 
-/// Between two tries of something that must succeed.
+/// Time between two attempts to connect.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A call as far as its head goes; its body has small numbers, so that many bodies can be read, and
-/// some that are as large as can be.
+/// Generates a call with a valid head. Its body has mostly small numbers, so that many bodies
+/// decode, and some huge ones.
 fn call() -> impl Strategy<Value = Vec<u8>> {
     let byte = prop_oneof![8 => 0_u8..8, 1 => any::<u8>(), 1 => Just(U64_TAG)];
     (0..METHODS, prop::collection::vec(byte, 0..MAX_BYTES)).prop_map(|(method, body)| {
@@ -56,16 +56,21 @@
     within(page).await.is_ok_and(|page| page.is_some())
 }
 
-/// Sends bytes as someone without the key does, or sealed as messages of someone with it.
+/// Sends bytes over plain TCP, or in an encrypted frame of an authenticated connection, and closes.
 async fn send_and_close(peer: SocketAddr, authenticated: bool, bytes: &[u8]) {
     if authenticated {
-        let stream = endpoint().connect(peer).await.expect("the key is right");
+        let stream = endpoint()
+            .connect(peer)
+            .await
+            .expect("the daemon accepts the key");
         let mut frames = framed(stream);
         let _closed = frames.send(Bytes::copy_from_slice(bytes)).await;
         let _closed = SinkExt::<Bytes>::close(&mut frames).await;
         return;
     }
-    let mut stream = TcpStream::connect(peer).await.expect("it listens");
+    let mut stream = TcpStream::connect(peer)
+        .await
+        .expect("the port accepts connections");
     let _closed = stream.write_all(bytes).await;
     let _closed = stream.shutdown().await;
     let _closed = within(stream.read_to_end(&mut Vec::new())).await;
@@ -73,15 +78,15 @@
 
 #[test]
 fn bytes_of_any_kind_leave_the_daemon_serving() {
-    // Symptom: a daemon answers no peer after one odd message, and is taken for dead.
-    // Events: bytes that are no handshake, a frame that claims to be huge, or sealed bytes that are no
-    // call.
-    // Cause: a panic, or a connection that holds something up for the others.
+    // Guards against panics and blocked connections after an invalid handshake, a frame with a huge
+    // length, or an authenticated message that is no valid call.
     count_panics();
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let daemon = runtime.block_on(launch_daemon(&[]));
     let peer = daemon.peer_address;
-    let connection = runtime.block_on(try_connect(peer)).expect("it listens");
+    let connection = runtime
+        .block_on(try_connect(peer))
+        .expect("the port accepts connections");
     let mut runner = runner(CASES, 5);
     let any_bytes = prop::collection::vec(any::<u8>(), 0..MAX_BYTES);
     let bytes = prop_oneof![
@@ -97,7 +102,7 @@
     assert_eq!(result, Ok(()));
 }
 
-/// Tries until a connection is served.
+/// Connects until a connection is served.
 async fn wait_until_served(peer: SocketAddr) {
     within(async {
         loop {
@@ -112,9 +117,7 @@
 
 #[tokio::test]
 async fn connections_above_the_limit_are_closed() {
-    // Symptom: a daemon accepts nobody any more, callers neither.
-    // Events: more and more connections are opened at the peers' port and kept.
-    // Cause: connections without a limit use up the process's descriptors.
+    // Guards against running out of file descriptors when peers open many connections.
     let daemon = launch_daemon(&["--max-peer-connections=2"]).await;
     let peer = daemon.peer_address;
     let first = try_connect(peer).await.expect("within the limit");
@@ -123,14 +126,16 @@
     assert!(is_served(&first).await && is_served(&second).await);
     drop(first);
     wait_until_served(peer).await;
-    assert!(is_served(&second).await, "it is served on");
+    assert!(
+        is_served(&second).await,
+        "the second connection stays usable"
+    );
 }
 
 #[tokio::test]
 async fn handshake_that_does_not_end_frees_its_slot() {
-    // Symptom: daemons can't reach one of them, though it runs.
-    // Events: someone without the key opens connections up to the limit and says nothing.
-    // Cause: a wait for the handshake without an end.
+    // Guards against a daemon that its peers cannot reach because connections without a handshake
+    // use up the limit.
     let daemon = launch_daemon(&["--max-peer-connections=2"]).await;
     let peer = daemon.peer_address;
     let silent = [
@@ -138,5 +143,8 @@
         TcpStream::connect(peer).await,
     ];
     wait_until_served(peer).await;
-    assert!(silent.iter().all(Result::is_ok), "they are kept open here");
+    assert!(
+        silent.iter().all(Result::is_ok),
+        "the silent connections were opened"
+    );
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Callers that are slow, silent, greedy or gone.
+//! Limits on callers: timeouts for slow and idle connections, size limits, disconnects.
 
 mod support;
 
@@ -12,10 +12,10 @@
 use test_case::test_case;
 use tokio::io::AsyncReadExt;
 
-/// Between two looks at something that must change.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bytes that no socket buffer holds.
+/// Size of an answer in bytes, more than the socket buffers hold.
 const LARGE: usize = 64 << 20;
 
 async fn wait_until_no_connection(daemon: &Daemon) {
@@ -32,9 +32,7 @@
 #[test_case("--body-timeout-ms=50000", "\r\nmonsoonring-deadline-ms: 50", 504, "deadline"; "slower_than_its_deadline_is_not_run")]
 #[tokio::test]
 async fn body(setting: &str, header: &str, status: u16, kind: &str) {
-    // Symptom: the connections of a daemon are used up while nothing is in flight.
-    // Events: a caller sends the head of a request and a part of its body, then nothing.
-    // Cause: a wait for the rest without an end.
+    // Guards against connections that stay open because a caller never finishes its request body.
     let daemon = Daemon::start(Fake::default(), &[setting]).await;
     let mut client = Client::connect(daemon.caller_address).await;
     let request = search("[1,2]").replace("\r\n\r\n[1,2]", &format!("{header}\r\n\r\n[1"));
@@ -45,21 +43,24 @@
     );
     assert!(
         daemon.service.received_calls().is_empty(),
-        "nothing reached the service"
+        "a refused request must not reach the service"
     );
 }
 
 #[test_case("--header-timeout-ms=50", "POST /rou"; "head_that_does_not_end_is_closed")]
-#[test_case("--idle-timeout-ms=50", ""; "silence_is_closed")]
+#[test_case("--idle-timeout-ms=50", ""; "idle_is_closed")]
 #[tokio::test]
 async fn connection(setting: &str, bytes: &str) {
-    // Symptom: the connections of a daemon are used up while nothing is in flight.
-    // Events: a caller opens a connection and sends nothing, or the beginning of a head.
-    // Cause: a wait for the rest without an end.
+    // Guards against connections that stay open because a caller sends nothing, or an incomplete
+    // head.
     let daemon = Daemon::start(Fake::default(), &[setting]).await;
     let mut client = Client::connect(daemon.caller_address).await;
     client.send(bytes.as_bytes()).await;
-    assert_eq!(client.receive().await, Response::default(), "it was closed");
+    assert_eq!(
+        client.receive().await,
+        Response::default(),
+        "the daemon closes the connection"
+    );
     wait_until_no_connection(&daemon).await;
 }
 
@@ -72,7 +73,7 @@
     assert_eq!(
         client.exchange(&search("1")).await.status,
         200,
-        "idle time is not head time"
+        "idle time does not count towards the header timeout"
     );
 }
 
@@ -85,9 +86,8 @@
 
 #[tokio::test]
 async fn answer_unread_is_closed() {
-    // Symptom: a planned stop does not end, and connections stay open with nothing in flight.
-    // Events: a caller sends a request and never reads the answer.
-    // Cause: a wait for the room to write without an end.
+    // Guards against connections that stay open, and stops that hang, because a caller never reads
+    // its answer.
     let large = Answer {
         items: vec![Item {
             key: 1,
@@ -103,14 +103,13 @@
     wait_until_no_connection(&daemon).await;
     let mut rest = Vec::new();
     let _reset = client.0.read_to_end(&mut rest).await;
-    assert!(rest.len() < LARGE, "the answer was cut off");
+    assert!(rest.len() < LARGE, "the answer is truncated");
 }
 
 #[tokio::test]
 async fn connections_above_the_limit_are_refused_with_a_problem() {
-    // Symptom: callers wait for good on connections that nobody serves.
-    // Events: callers open more connections than the limit allows.
-    // Cause: connections left in the kernel's queue instead of being told.
+    // Guards against callers that wait in the accept queue without an answer above the connection
+    // limit.
     let daemon = Daemon::start(Fake::default(), &["--max-connections=1"]).await;
     let mut first = Client::connect(daemon.caller_address).await;
     assert_eq!(first.exchange(&search("1")).await.status, 200);
@@ -122,28 +121,26 @@
             .await
             .status,
         200,
-        "the process lives"
+        "health checks are served above the limit"
     );
     assert_eq!(
         first.exchange(&search("1")).await.status,
         200,
-        "the first is served on"
+        "the first connection stays usable"
     );
     assert_eq!(daemon.service.received_calls().len(), 2);
 }
 
 #[tokio::test]
 async fn caller_disconnect_drops_its_request() {
-    // Symptom: backend servers work for callers that have long hung up.
-    // Events: a caller closes its connection while its request is at the service.
-    // Cause: a request that goes on without anyone to answer.
+    // Guards against work at backend servers for callers that have disconnected.
     let daemon = Daemon::start(Fake::blocked(), &[]).await;
     let mut client = Client::connect(daemon.caller_address).await;
     client.send(search("1").as_bytes()).await;
     daemon.service.wait_for_requests(1).await;
     drop(client);
     let dropped = within(daemon.service.cancellations.acquire()).await;
-    dropped.expect("never closed").forget();
+    dropped.expect("the fake never closes it").forget();
     wait_until_no_connection(&daemon).await;
     assert_eq!(daemon.metrics.front.in_flight.get(), 0);
 }
--- a/crates/daemon/tests/log.rs
+++ b/crates/daemon/tests/log.rs
@@ -1,4 +1,4 @@
-//! The bound on the lines of the log.
+//! The rate limit of log lines.
 
 use monsoonring_daemon::log;
 use monsoonring_daemon::settings::{LogFormat, LogLevel};
@@ -11,7 +11,10 @@
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
-        self.0.lock().expect("no poison").extend_from_slice(bytes);
+        self.0
+            .lock()
+            .expect("the mutex is not poisoned")
+            .extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -20,9 +23,8 @@
     }
 }
 
-// Symptom: answers become slow just when requests are many, and the log is full of them.
-// Events:  a storm of requests, each of which leaves a dozen lines.
-// Cause:   lines cost processor time, and nothing bounded them but the writer's queue.
+// Guards against slow answers under load: log lines cost CPU time, so lines below warnings are
+// limited to a rate.
 #[test]
 fn start_bounded_drops_excess_lines_but_no_warning() {
     let output = Output::default();
@@ -40,10 +42,10 @@
     slog::warn!(log, "store"; "what" => "lost");
     drop(log);
     drop(guard);
-    let text = output.0.lock().expect("no poison").clone();
-    let text = String::from_utf8(text).expect("it is JSON");
+    let text = output.0.lock().expect("the mutex is not poisoned").clone();
+    let text = String::from_utf8(text).expect("the log is UTF-8");
     let requests = text.lines().filter(|line| line.contains("request")).count();
-    // A second may end in the midst of it.
+    // The burst may extend over two one-second windows.
     assert!((10..=20).contains(&requests), "{requests}");
     assert_eq!(dropped.get() as usize, 200 - requests);
     assert!(text.contains("lost"));
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics: their names, the page that explains them, and their bounds.
+//! Names, documentation and cardinality of the metrics.
 
 mod support;
 
@@ -16,7 +16,7 @@
 use support::http::{exchange, get, post, search};
 use support::service::Fake;
 
-/// Counts everything that the parts behind the front count, each with one of its labels.
+/// Records a sample of each metric that the fake service does not touch.
 fn record_all(metrics: &Metrics) {
     record_home(metrics);
     metrics.front.record_refusal(None, None, "caller");
@@ -77,14 +77,16 @@
     metrics.home.set_gauges(&route, &snapshot);
 }
 
-/// The lines of all metrics, without their values and without the buckets of histograms.
+/// Returns the exposition lines, sorted, without values and histogram buckets.
 async fn names(daemon: &Daemon) -> Vec<String> {
     record_all(&daemon.metrics);
     exchange(daemon.caller_address, &search("1")).await;
     exchange(daemon.caller_address, &post("/routes/none/query", &[], "1")).await;
     let response = exchange(daemon.operator_address, &get("/metrics")).await;
-    let kind = response.header("content-type").expect("it has one");
-    assert!(kind.starts_with("application/openmetrics-text"));
+    let content_type = response
+        .header("content-type")
+        .expect("the response has a content type");
+    assert!(content_type.starts_with("application/openmetrics-text"));
     let without_value = |line: &str| match line.rsplit_once(' ') {
         Some((name, _)) if !line.starts_with('#') => name.to_owned(),
         _ => line.to_owned(),
@@ -107,10 +109,10 @@
     insta::assert_snapshot!(names.join("\n"));
 }
 
-/// The page that explains each metric to operators.
+/// Operators' documentation of each metric.
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// All words of the page that name a metric, without the suffixes of samples.
+/// Returns the metric names that the page mentions, without sample suffixes.
 fn documented() -> BTreeSet<String> {
     let is_part = |character: char| character.is_ascii_lowercase() || character == '_';
     let words = PAGE.split(|character: char| !is_part(character));
@@ -125,9 +127,8 @@
 
 #[test]
 fn metrics_page_documents_exactly_the_metrics() {
-    // Symptom: an alarm never fires, and nobody notices before the failure that it was made for.
-    // Events: a metric is renamed; the page, and the rules copied from it, keep the old name.
-    // Cause: nothing holds the page against the code.
+    // Guards against alerts on a metric that was renamed or removed: the operators' page must match
+    // the code.
     let metrics = Metrics::default();
     let known: BTreeSet<String> = metrics.names().iter().cloned().collect();
     assert_eq!(documented(), known);
@@ -143,25 +144,26 @@
                 .and_then(|line| line.strip_prefix(name.as_str()));
             head.is_some_and(|rest| rest.starts_with("` |") || rest.starts_with("_total` |"))
         };
-        assert!(PAGE.lines().any(row), "{name} has no row of its own");
+        assert!(PAGE.lines().any(row), "{name} has no row in a table");
     }
 }
 
 #[test]
 fn metrics_of_many_routes_are_bounded() {
-    // Symptom: a daemon that has run for months takes more memory each day.
-    // Events: operators rename routes; the series of the old names stay.
-    // Cause: a series for each route that ever was.
+    // Guards against memory growth from series of routes that were renamed or removed.
     let metrics = Metrics::default();
     for number in 0..2 * MAX_ROUTES {
         let route = format!("route-{number}").into();
         metrics.home.record_decision(&route, "send");
     }
-    let text = metrics.text().expect("it can be written");
+    let text = metrics.text().expect("the metrics can be encoded");
     let series = text
         .lines()
         .filter(|line| line.starts_with("monsoonring_attempts_total{"));
     assert_eq!(series.count(), MAX_ROUTES + 1);
     let others = format!("route=\"{OTHERS}\",kind=\"first\"}} {MAX_ROUTES}");
-    assert!(text.contains(&others), "the rest is counted together");
+    assert!(
+        text.contains(&others),
+        "routes above the limit share one series"
+    );
 }
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' port and the log.
+//! The operators' port, decision lines, and the log's queue.
 
 mod support;
 
@@ -17,14 +17,14 @@
 #[test_case("/explain?request=0000000000000000000000000000000a", 200, "\"Request(10)\""; "explain_request")]
 #[test_case("/explain?route=a%20b&backend_server=127.0.0.1%3A7000", 200, "\"BackendServer { route: \\\"a b\\\", backend_server: 127.0.0.1:7000 }\""; "explain_backend_server")]
 #[test_case("/explain?request=0", 404, "nothing is known of it"; "explain_unknown_request")]
-#[test_case("/explain?request=x", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_wrong_request")]
+#[test_case("/explain?request=x", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_malformed_request")]
 #[test_case("/explain?route=a", 400, "give `request`, or `route` and `backend_server`"; "explain_without_backend_server")]
 #[test_case("/explain", 400, "give `request`, or `route` and `backend_server`"; "explain_without_query")]
 #[test_case("/explain?request=%", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_truncated_escape")]
 #[test_case("/explain?request=%ff%fe", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_invalid_utf8")]
 #[test_case("/explain?request=-1", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_negative")]
 #[test_case("/explain?request=fffffffffffffffffffffffffffffffff", 400, "`request` is not a request id of 32 hexadecimal digits"; "explain_too_long")]
-#[test_case("/explain?route=&backend_server=[::1", 400, "`backend_server` is not an address such as 127.0.0.1:7000"; "explain_wrong_address")]
+#[test_case("/explain?route=&backend_server=[::1", 400, "`backend_server` is not an address such as 127.0.0.1:7000"; "explain_malformed_address")]
 #[test_case("/explain?&&==&route&backend_server", 400, "`backend_server` is not an address such as 127.0.0.1:7000"; "explain_empty_parts")]
 #[test_case("/elsewhere", 404, "there is nothing at this path"; "unknown_path")]
 #[tokio::test]
@@ -34,7 +34,7 @@
     assert_eq!((response.status, &*response.body), (status, body));
 }
 
-/// What a log wrote, and a gate that holds its writer up.
+/// A log output that keeps the written text and can block its writer.
 #[derive(Clone, Default)]
 struct Output(Arc<Shared>);
 
@@ -112,9 +112,7 @@
 
 #[test]
 fn log_blocked_drops_and_counts_lines() {
-    // Symptom: requests hang while nothing is wrong with any backend server.
-    // Events: whoever reads the daemon's standard error stops reading; the pipe fills up.
-    // Cause: a request that waits until its line is written.
+    // Guards against requests that block on logging while the reader of standard error is stalled.
     let output = Output::default();
     output.set_blocked(true);
     let dropped = Counter::default();
@@ -135,6 +133,6 @@
     assert_eq!(
         output.text().lines().count() as u64 + drop_count,
         lines,
-        "each line is written or counted"
+        "each line is either written or counted as dropped"
     );
 }
--- a/crates/daemon/tests/page.rs
+++ b/crates/daemon/tests/page.rs
@@ -1,4 +1,4 @@
-//! The operators' page against the code: no setting, log line or path may be missing from it.
+//! The operators' page must document each setting and each log message.
 
 use clap::CommandFactory;
 use monsoonring_daemon::settings::Settings;
@@ -8,7 +8,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// Macros that write a line to the log.
+/// Logging macros whose first literal is the message.
 const MACROS: [&str; 5] = ["info!(", "warn!(", "debug!(", "error!(", "crit!("];
 
 #[test]
@@ -21,22 +21,28 @@
         let variable = argument.get_env().and_then(|name| name.to_str());
         if argument.is_hide_set() {
             let is_policy = flag.starts_with("policy-") && variable.is_none();
-            assert!(is_policy, "--{flag} is hidden, but not for measurements");
+            assert!(
+                is_policy,
+                "--{flag} is hidden, but is no `--policy-` setting without a variable"
+            );
             continue;
         }
-        let variable = variable.expect("each setting has a variable");
+        let variable = variable.expect("each visible setting has an environment variable");
         let row = format!("| `--{flag}` | `{variable}` |");
-        assert!(PAGE.contains(&row), "no row {row}");
+        assert!(PAGE.contains(&row), "the page has no row {row}");
     }
-    assert!(PAGE.contains("`--policy-`"), "the hidden ones are told of");
+    assert!(
+        PAGE.contains("`--policy-`"),
+        "the page mentions the hidden `--policy-` settings"
+    );
 }
 
-/// The rows of the page's table of log lines, by their messages.
+/// Returns the messages in the page's table of log lines.
 fn documented() -> BTreeSet<String> {
     let table = PAGE
         .split("| `msg` |")
         .nth(1)
-        .expect("the page has the table");
+        .expect("the page has the table of log lines");
     let rows = table
         .lines()
         .skip(2)
@@ -48,15 +54,15 @@
         .collect()
 }
 
-/// The messages of all log lines in the sources below a directory.
+/// Collects the messages of all log lines in the sources below a directory.
 fn collect_messages(directory: &Path, found: &mut BTreeSet<String>) {
-    for entry in fs::read_dir(directory).expect("the sources are there") {
-        let path = entry.expect("it can be read").path();
+    for entry in fs::read_dir(directory).expect("the source directory can be read") {
+        let path = entry.expect("the directory entry can be read").path();
         if path.is_dir() {
             collect_messages(&path, found);
             continue;
         }
-        let text = fs::read_to_string(&path).expect("it can be read");
+        let text = fs::read_to_string(&path).expect("the source file can be read");
         for name in MACROS {
             let calls = text.split(name).skip(1);
             let messages = calls.filter_map(|call| call.split('"').nth(1));
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are missing or wrong, and the process's exit codes.
+//! Error messages for missing and invalid settings.
 
 mod support;
 
@@ -9,7 +9,7 @@
 
 #[test]
 fn read_without_arguments_lists_required_settings() {
-    let error = Settings::read(["monsoonringd"]).expect_err("settings are required");
+    let error = Settings::read(["monsoonringd"]).expect_err("required settings are missing");
     insta::assert_snapshot!(error.to_string().replace("; ", ";\n"));
 }
 
@@ -36,7 +36,7 @@
         "--idle-timeout-ms=0",
         "--write-timeout-ms=0",
     ];
-    let error = Settings::read(arguments).expect_err("nothing is right");
+    let error = Settings::read(arguments).expect_err("the settings are invalid");
     insta::assert_snapshot!(error.to_string().replace("; ", ";\n"));
 }
 
@@ -47,15 +47,14 @@
 #[test_case("--log-level=loud", "--log-level (MONSOONRING_LOG_LEVEL): must be one of error, warning, info, debug, not `loud`"; "log_level")]
 #[test_case("--nothing=1", "--nothing: there is no such setting"; "unknown_flag")]
 fn read_wrong(argument: &str, message: &str) {
-    let error = Settings::read(["monsoonringd", argument]).expect_err("it is wrong");
+    let error = Settings::read(["monsoonringd", argument]).expect_err("the argument is invalid");
     assert_eq!(error.to_string(), format!("wrong settings: {message}"));
 }
 
 #[test]
 fn read_previous_key_without_key_is_refused() {
-    // Symptom: daemons accept requests from anyone although a key was given.
-    // Events: an operator changes the key and gives only the previous one.
-    // Cause: a previous key that is ignored where there is no present one.
+    // Guards against a daemon without authentication when only the previous key is given during a
+    // key rotation.
     let arguments = [
         "monsoonringd",
         "--listen=127.0.0.1:0",
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops, and those that are cut short.
+//! Graceful stops, and stops that cut open requests off.
 
 mod support;
 
@@ -13,14 +13,13 @@
 
 const CALLERS: u32 = 8;
 
-/// Bytes that no socket buffer holds.
+/// Size of an answer in bytes, more than the socket buffers hold.
 const LARGE: usize = 64 << 20;
 
 #[tokio::test]
 async fn stop_graceful_completes_requests() {
-    // Symptom: callers see connections reset whenever a daemon is replaced.
-    // Events: requests are in flight when the signal comes; they end long after accepting has.
-    // Cause: a process that ends, or closes connections, before it has answered.
+    // Guards against connection resets when a daemon is replaced: requests in flight are answered
+    // after the listener has closed.
     let mut daemon = Daemon::start(Fake::blocked(), &["--drain-wait-ms=1"]).await;
     let callers = daemon.caller_address;
     let spawn_request = || tokio::spawn(async move { exchange(callers, &search("1")).await });
@@ -30,8 +29,13 @@
     wait_until_closed(callers).await;
     daemon.service.blocked.send_replace(false);
     for request in requests {
-        let response = within(request).await.expect("no panic");
-        assert_eq!(response.status, 200, "it was answered: {response:?}");
+        let response = within(request)
+            .await
+            .expect("the client task does not panic");
+        assert_eq!(
+            response.status, 200,
+            "open requests are answered during a stop: {response:?}"
+        );
         assert_eq!(response.header("connection"), Some("close"));
     }
     assert_eq!(daemon.wait().await, StopOutcome::Complete);
@@ -48,9 +52,8 @@
 
 #[tokio::test]
 async fn stop_is_announced_while_requests_are_still_served() {
-    // Symptom: callers are refused for as long as the balancer takes to notice a stop.
-    // Events: the signal comes; the balancer sends on until it has seen "not ready".
-    // Cause: accepting that ends together with readiness.
+    // Guards against refused requests between a stop signal and the load balancer's next readiness
+    // check: the daemon reports "not ready" first and accepts connections meanwhile.
     let daemon = Daemon::start(Fake::default(), &["--drain-wait-ms=50000"]).await;
     let mut persistent = Client::connect(daemon.caller_address).await;
     assert_eq!(
@@ -68,7 +71,7 @@
     assert_eq!(
         exchange(daemon.caller_address, &search("1")).await.status,
         200,
-        "new ones are served"
+        "new requests are still served"
     );
     let last = persistent.exchange(&search("1")).await;
     assert_eq!(
@@ -83,43 +86,42 @@
 #[test_case("--stop-bound-ms=300", 1; "by_its_timeout_cuts_open_requests")]
 #[tokio::test]
 async fn stop_short(setting: &str, signals: usize) {
-    // Symptom: a process that was asked to stop stays for good.
-    // Events: a request does not end; a second signal comes, or the bound is reached.
-    // Cause: a wait for what is in flight without an end.
+    // Guards against a stop that never ends because a request in flight does not end.
     let daemon = Daemon::start(Fake::blocked(), &[setting]).await;
     let mut client = Client::connect(daemon.caller_address).await;
     client.send(search("1").as_bytes()).await;
     daemon.service.wait_for_requests(1).await;
     (0..signals).for_each(|_| daemon.signal());
-    assert_eq!(client.receive().await.status, 0, "it was cut off");
+    assert_eq!(
+        client.receive().await.status,
+        0,
+        "the open request is cut off"
+    );
     assert_eq!(daemon.stopped().await, StopOutcome::Cut { requests: 1 });
 }
 
 #[tokio::test]
 async fn stop_waits_for_forwarded_requests() {
-    // Symptom: callers of other daemons see failures whenever a daemon is replaced.
-    // Events: no caller of its own waits, but requests that peers passed on are in flight.
-    // Cause: a process that looks at its own callers only before it ends.
+    // Guards against a stop that drops requests which peers forwarded, when no request of the
+    // daemon's own callers is in flight.
     let mut daemon = Daemon::start(Fake::blocked(), &[]).await;
     daemon.signal();
     wait_until_closed(daemon.caller_address).await;
     assert!(
         daemon.service.leave_called.load(Ordering::SeqCst),
-        "it was told"
+        "the service learns of the stop"
     );
     daemon.service.blocked.send_replace(false);
     assert_eq!(daemon.wait().await, StopOutcome::Complete);
     assert!(
         daemon.service.drained.load(Ordering::SeqCst),
-        "it has drained"
+        "the daemon waits for the service to drain"
     );
 }
 
 #[tokio::test]
 async fn stop_with_forwarded_requests_left_is_cut() {
-    // Symptom: a stop that its exit code calls planned has cut off requests of other daemons.
-    // Events: a request that a peer passed on does not end; the bound is reached.
-    // Cause: a count of what was cut that has the daemon's own callers only.
+    // Guards against a stop that cuts forwarded requests off but is reported as complete.
     let daemon = Daemon::start(Fake::blocked(), &["--stop-bound-ms=300"]).await;
     daemon.signal();
     assert_eq!(daemon.stopped().await, StopOutcome::Cut { requests: 0 });
@@ -127,9 +129,8 @@
 
 #[tokio::test]
 async fn stop_that_cuts_an_answer_is_reported() {
-    // Symptom: a stop that its log and exit code call planned has left callers with half an answer.
-    // Events: a caller reads slowly; the bound of the stop is reached while its answer is written.
-    // Cause: a request that counts as ended as soon as its answer is made.
+    // Guards against a stop that truncates an answer but is reported as complete: a request counts
+    // as in flight until its answer is written.
     let large = Answer {
         items: vec![Item {
             key: 1,
--- a/crates/daemon/tests/support/form.rs
+++ b/crates/daemon/tests/support/form.rs
@@ -1,14 +1,14 @@
-//! A browser as far as the console needs one: it sends the fields of a page back, with changes.
+//! A minimal browser for the console: reads the form of a page, changes fields and submits it.
 
 use super::http::{Response, exchange, post};
 use std::net::SocketAddr;
 
-/// The fields of a form, in their order.
+/// Names and values of a form's fields, in page order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Form(pub(crate) Vec<(String, String)>);
 
 impl Form {
-    /// Reads the fields of the first form of a page, as a browser would send them.
+    /// Parses the fields that a browser would submit for the first form of a page.
     pub(crate) fn parse(page: &str) -> Self {
         let form = page.split("<form").nth(1).unwrap_or_default();
         let form = form.split("</form>").next().unwrap_or_default();
@@ -33,33 +33,33 @@
         Self(fields)
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     pub(crate) fn value(&self, name: &str) -> Option<&str> {
         let found = self.0.iter().find(|(found, _)| found == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The form with another value in a field; a field that isn't there is added.
+    /// Sets a field, and adds it if it is missing. The field moves to the end.
     pub(crate) fn with(mut self, name: &str, value: &str) -> Self {
         self.0.retain(|(found, _)| found != name);
         self.0.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// The bytes of the form.
+    /// Returns the form, URL-encoded.
     pub(crate) fn body(&self) -> String {
         let mut body = form_urlencoded::Serializer::new(String::new());
         body.extend_pairs(&self.0);
         body.finish()
     }
 
-    /// Sends the form to a path.
+    /// Submits the form to a path.
     pub(crate) async fn send(&self, operator_address: SocketAddr, path: &str) -> Response {
         let content_type = "content-type: application/x-www-form-urlencoded";
         exchange(operator_address, &post(path, &[content_type], &self.body())).await
     }
 
-    /// Sends the form by one of its buttons, and returns the next page.
+    /// Submits the form with one of its buttons, and returns the next page.
     pub(crate) async fn press(self, operator_address: SocketAddr, button: &str) -> Response {
         self.with("do", button)
             .send(operator_address, "/console")
@@ -67,7 +67,7 @@
     }
 }
 
-/// Tells whether a browser sends an input: boxes only where they are ticked.
+/// Returns whether a browser submits an input: checkboxes only if checked.
 fn is_submitted(tag: &str) -> bool {
     !tag.contains("type=\"checkbox\"") || tag.ends_with(" checked")
 }
@@ -77,7 +77,7 @@
     Some(unescape(rest.split('"').next()?))
 }
 
-/// Turns the characters that a page escapes back.
+/// Decodes the HTML entities that pages use.
 pub(crate) fn unescape(text: &str) -> String {
     let entities = [
         ("&lt;", "<"),
--- a/crates/daemon/tests/support/fuzzing.rs
+++ b/crates/daemon/tests/support/fuzzing.rs
@@ -1,11 +1,11 @@
-//! Bytes of any kind against a daemon in this process.
+//! Deterministic property tests, and a count of panics in any thread.
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 static PANICS: AtomicUsize = AtomicUsize::new(0);
 
-/// Counts the panics of all threads from now on; they are still written.
+/// Starts counting panics of all threads. They are still printed.
 pub(crate) fn count_panics() {
     let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
@@ -14,12 +14,12 @@
     }));
 }
 
-/// Returns the panics counted so far.
+/// Returns the number of panics since [`count_panics`].
 pub(crate) fn panics() -> usize {
     PANICS.load(Ordering::Relaxed)
 }
 
-/// Returns a runner of so many cases that draws the same ones each time.
+/// Returns a runner that generates the same cases for a seed each time.
 pub(crate) fn runner(cases: u32, seed: u8) -> TestRunner {
     let config = Config {
         cases,
--- a/crates/daemon/tests/support/http.rs
+++ b/crates/daemon/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! A caller that sends and sees bytes, so that it can send what no library would.
+//! An HTTP client on raw bytes, which can send requests that an HTTP library would reject.
 
 use super::within;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 const END_OF_HEAD: &str = "\r\n\r\n";
 
-/// A response, or what there was of it when the connection ended.
+/// A response. The default, with status 0, stands for a connection closed before a whole response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Response {
     pub(crate) status: u16,
@@ -16,19 +16,19 @@
 }
 
 impl Response {
-    /// The value of a header.
+    /// Returns the first value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|line| line.split_once(": "));
         let mut values = lines.filter(|(found, _)| found.eq_ignore_ascii_case(name));
         values.next().map(|(_, value)| value)
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub(crate) fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).expect("the body is JSON")
     }
 
-    /// Last part of the problem's type and the outcome that it tells.
+    /// Returns the problem document's type, without the URN prefix, and its `outcome`.
     pub(crate) fn problem(&self) -> (String, String) {
         let json = self.json();
         let text = |name: &str| json[name].as_str().unwrap_or_default().to_owned();
@@ -36,7 +36,7 @@
         (kind, text("outcome"))
     }
 
-    /// Status line, headers but for the date, and body, for golden files.
+    /// Formats status line, headers except `date`, and body for golden files.
     pub(crate) fn golden(&self) -> String {
         let head: Vec<&str> = self
             .head
@@ -47,19 +47,26 @@
     }
 }
 
-/// One connection.
+/// A client with one connection.
 pub(crate) struct Client(pub(crate) TcpStream);
 
 impl Client {
     pub(crate) async fn connect(address: SocketAddr) -> Self {
-        Self(TcpStream::connect(address).await.expect("it listens"))
+        Self(
+            TcpStream::connect(address)
+                .await
+                .expect("the port accepts connections"),
+        )
     }
 
     pub(crate) async fn send(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).await.expect("it reads");
+        self.0
+            .write_all(bytes)
+            .await
+            .expect("the daemon reads the connection");
     }
 
-    /// Reads one response; one with status 0 where the connection ended instead.
+    /// Reads one response, or returns the default if the connection closes first.
     pub(crate) async fn receive(&mut self) -> Response {
         let mut received = Vec::new();
         loop {
@@ -93,12 +100,12 @@
     Some(response)
 }
 
-/// Sends a request on a connection of its own.
+/// Sends a request on a new connection and returns the response.
 pub(crate) async fn exchange(address: SocketAddr, request: &str) -> Response {
     Client::connect(address).await.exchange(request).await
 }
 
-/// The bytes of a `POST` with these header lines.
+/// Formats a `POST` request with these header lines.
 pub(crate) fn post(path: &str, headers: &[&str], body: &str) -> String {
     let mut lines = vec![format!("POST {path} HTTP/1.1"), "host: test".to_owned()];
     lines.push(format!("content-length: {}", body.len()));
@@ -106,7 +113,7 @@
     format!("{}{END_OF_HEAD}{body}", lines.join("\r\n"))
 }
 
-/// The bytes of a search by a dispatcher.
+/// Formats a search request of the caller `dispatch`.
 pub(crate) fn search(body: &str) -> String {
     post(
         "/routes/hydrants/query",
@@ -115,7 +122,7 @@
     )
 }
 
-/// The bytes of a `GET`.
+/// Formats a `GET` request.
 pub(crate) fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: test{END_OF_HEAD}")
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A daemon around a fake service, and a caller that sees bytes.
+//! Starts daemons in the test process, and provides fakes and clients for their tests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 pub(crate) mod form;
 pub(crate) mod fuzzing;
@@ -19,20 +19,20 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Ends a test that hangs; no test waits for this to pass.
+/// Fails a test that hangs. No test depends on its length.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits for something that must come.
+/// Waits for a future, and fails the test after [`TEST_TIMEOUT`].
 pub(crate) async fn within<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(TEST_TIMEOUT, future)
         .await
-        .expect("the test must not hang")
+        .expect("the test timed out")
 }
 
-/// A quarter of the key between daemons.
+/// A quarter of the key that daemons share.
 pub(crate) const KEY: &str = "0123456789abcdef";
 
-/// Settings with every port free to choose, and `more` on top.
+/// Returns valid settings that bind every listener to port 0, with `extra` arguments.
 pub(crate) fn settings(extra: &[&str]) -> Settings {
     let key = KEY.repeat(4);
     let mut arguments = vec!["monsoonringd", "--seed=1", "--key", &key];
@@ -52,20 +52,20 @@
         arguments.push("--drain-wait-ms=1");
     }
     arguments.extend(extra);
-    Settings::read(arguments).expect("the settings are right")
+    Settings::read(arguments).expect("the settings are valid")
 }
 
-/// Starts a daemon with all that is behind its front.
+/// Launches a complete daemon, with its real service.
 pub(crate) async fn launch_daemon(extra: &[&str]) -> Launched {
     let telemetry = Telemetry {
         log: slog::Logger::root(slog::Discard, slog::o!()),
         metrics: Arc::new(Metrics::default()),
     };
     let launched = launch(&settings(extra), telemetry).await;
-    launched.expect("port 0 is free")
+    launched.expect("binding port 0 succeeds")
 }
 
-/// A daemon that runs in the test.
+/// A daemon around a fake service, running in the test process.
 pub(crate) struct Daemon {
     pub(crate) service: Arc<Fake>,
     pub(crate) metrics: Arc<Metrics>,
@@ -76,7 +76,7 @@
 }
 
 impl Daemon {
-    /// Starts a daemon around a service.
+    /// Starts a daemon that discards its log.
     pub(crate) async fn start(service: Fake, extra: &[&str]) -> Self {
         let log = slog::Logger::root(slog::Discard, slog::o!());
         Self::start_with(service, extra, log).await
@@ -92,7 +92,7 @@
         };
         let running = Running::start(&settings(extra), service.clone(), telemetry)
             .await
-            .expect("port 0 is free");
+            .expect("binding port 0 succeeds");
         let (signals, received) = mpsc::unbounded_channel();
         let received = signal_stream(received);
         Self {
@@ -105,19 +105,19 @@
         }
     }
 
-    /// Sends a signal to stop.
+    /// Sends a stop signal. The second one cuts open requests off.
     pub(crate) fn signal(&self) {
-        self.signals.send(()).expect("the daemon runs");
+        self.signals.send(()).expect("the daemon is running");
     }
 
-    /// Waits for the end.
+    /// Waits until the daemon has stopped.
     pub(crate) async fn stopped(self) -> StopOutcome {
         within(self.stopped)
             .await
             .expect("the daemon does not panic")
     }
 
-    /// The same, without giving the daemon away.
+    /// Waits as [`Self::stopped`] does, and keeps the daemon for further checks.
     pub(crate) async fn wait(&mut self) -> StopOutcome {
         within(&mut self.stopped)
             .await
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! Another daemon as seen over the wire, which says what a test wants it to.
+//! A fake peer daemon that announces and serves a configuration over the wire.
 
 use futures::StreamExt;
 use monsoonring_configuration::document::Document;
@@ -22,32 +22,35 @@
 use tarpc::context::Context;
 use tokio::net::TcpListener;
 
-/// Damage to an answer on its way.
+/// Corrupts the sections of an answer.
 pub(crate) type Damage = fn(Vec<Part>) -> Vec<Part>;
 
-/// What the peer has and was asked.
+/// Configuration of the peer, and the fetches that it received.
 #[derive(Default)]
 pub(crate) struct State {
-    /// The version that it says it has.
+    /// Version that the peer announces in probe replies.
     pub(crate) announced: Option<Version>,
-    /// The version that it has, and its sections.
+    /// Version that the peer serves, and its sections.
     pub(crate) held: Option<(Version, Vec<Section>)>,
-    /// What is done to the next answers.
+    /// Corruptions of the next answers, one for each.
     pub(crate) damage: VecDeque<Damage>,
-    /// For each time it was asked for sections, whether the asker held some.
+    /// For each fetch, whether the requester already held some sections.
     pub(crate) incremental: Vec<bool>,
 }
 
-/// A peer on a port of the loopback interface.
+/// A peer that listens on the loopback interface.
 #[derive(Clone)]
 pub(crate) struct Fake {
     pub(crate) address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-/// The end that a process with the tests' key has.
+/// Returns a channel endpoint that authenticates with the tests' key.
 pub(crate) fn endpoint() -> Endpoint {
-    let key = super::KEY.repeat(4).parse().expect("the tests' key");
+    let key = super::KEY
+        .repeat(4)
+        .parse()
+        .expect("the tests' key is valid");
     let ring = Ring {
         current: Some(key),
         previous: None,
@@ -55,9 +58,9 @@
     Endpoint::new(Ipv4Addr::LOCALHOST.into(), ring, Meter::default())
 }
 
-/// Cuts a document and gives it a version.
+/// Splits a document into sections and computes its version.
 pub(crate) fn version(revision: u64, document: &Document) -> (Version, Vec<Section>) {
-    let sections = section::split(document).expect("a document can be written");
+    let sections = section::split(document).expect("the document can be encoded");
     let digest = Index::of(&sections).digest().half();
     (Version { revision, digest }, sections)
 }
@@ -65,9 +68,9 @@
 impl Fake {
     pub(crate) async fn start() -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let listener = listener.await.expect("a free port");
+        let listener = listener.await.expect("binding port 0 succeeds");
         let fake = Self {
-            address: listener.local_addr().expect("a bound address"),
+            address: listener.local_addr().expect("the listener has an address"),
             state: Arc::default(),
         };
         tokio::spawn(fake.clone().listen(listener));
@@ -78,13 +81,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a document in force here and says so.
+    /// Serves and announces a document.
     pub(crate) fn adopt(&self, revision: u64, document: &Document) -> Version {
         let held = version(revision, document);
         let mut state = self.state();
         state.announced = Some(held.0);
         state.held = Some(held);
-        state.announced.expect("just set")
+        state.announced.expect("`announced` was just set")
     }
 
     async fn listen(self, listener: TcpListener) {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// What it says of itself.
+    /// Builds the gossip message of the peer.
     pub(crate) fn message(&self) -> Message {
         Message {
             from: self.address,
--- a/crates/daemon/tests/support/service.rs
+++ b/crates/daemon/tests/support/service.rs
@@ -1,4 +1,4 @@
-//! A service that says what a test wants it to.
+//! A fake service with preset outcomes, which records its calls and can block them.
 
 use futures::future::BoxFuture;
 use monsoonring_configuration::{Document, Range};
@@ -13,7 +13,7 @@
 /// Revision of the fake configuration.
 pub(crate) const REVISION: u64 = 42;
 
-/// A service whose outcomes are set beforehand.
+/// A service with preset outcomes.
 pub(crate) struct Fake {
     pub(crate) configuration: Option<Arc<Configuration>>,
     pub(crate) outcome: Outcome,
@@ -23,12 +23,13 @@
     pub(crate) executed: Mutex<Vec<(String, Option<u32>)>>,
     /// One permit for each request that has reached the service.
     pub(crate) arrivals: Semaphore,
-    /// One permit for each request that was dropped.
+    /// One permit for each request whose future was dropped before it completed.
     pub(crate) cancellations: Semaphore,
-    /// Whether the service was told of a stop, and whether its draining has ended.
+    /// Whether `leave` was called.
     pub(crate) leave_called: AtomicBool,
+    /// Whether `drain` has completed.
     pub(crate) drained: AtomicBool,
-    /// Requests, and draining, wait while this is true.
+    /// Requests and `drain` wait while this is true.
     pub(crate) blocked: watch::Sender<bool>,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl Fake {
-    /// A service that gives every search this outcome.
+    /// Returns a service that ends every search with this outcome.
     pub(crate) fn with_outcome(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -59,20 +60,20 @@
         }
     }
 
-    /// A service at which requests wait.
+    /// Returns a service that blocks requests until `blocked` is set to false.
     pub(crate) fn blocked() -> Self {
         let fake = Self::default();
         fake.blocked.send_replace(true);
         fake
     }
 
-    /// Waits until so many requests have reached the service.
+    /// Waits until `requests` more requests have reached the service.
     pub(crate) async fn wait_for_requests(&self, requests: u32) {
         let permits = super::within(self.arrivals.acquire_many(requests)).await;
-        permits.expect("never closed").forget();
+        permits.expect("the fake never closes it").forget();
     }
 
-    /// The calls that have reached the service.
+    /// Returns the calls that have reached the service.
     pub(crate) fn received_calls(&self) -> Vec<Call> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         calls.clone()
@@ -89,11 +90,12 @@
         blocked
             .wait_for(|blocked| !blocked)
             .await
-            .expect("never closed");
+            .expect("the fake never closes it");
         guard.0 = None;
     }
 }
 
+/// Counts a cancelled request when its future is dropped early.
 struct CancelGuard<'a>(Option<&'a Semaphore>);
 
 impl Drop for CancelGuard<'_> {
@@ -151,7 +153,7 @@
             blocked
                 .wait_for(|blocked| !blocked)
                 .await
-                .expect("never closed");
+                .expect("the fake never closes it");
             self.drained.store(true, Ordering::SeqCst);
         })
     }
@@ -170,7 +172,7 @@
     }
 }
 
-/// An answer that lacks one range.
+/// Returns an answer in which one range of keys is missing.
 pub(crate) fn answer() -> Answer {
     Answer {
         index_version: 7,
@@ -207,5 +209,5 @@
         "routes": [route("hydrants", "search"), route("tickets", "execute")],
     });
     let text = document.to_string();
-    monsoonring_configuration::check::parse(text.as_bytes()).expect("the document is right")
+    monsoonring_configuration::check::parse(text.as_bytes()).expect("the document is valid")
 }
--- a/crates/daemon/tests/versions.rs
+++ b/crates/daemon/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Two versions beside each other, during a roll-out.
+//! Compatibility of two protocol versions during a rolling upgrade.
 
 mod support;
 
@@ -14,10 +14,11 @@
 use tarpc::context;
 use tarpc::tokio_serde::formats::Bincode;
 
-/// Between two tries of something that must succeed.
+/// Time between two fetches.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The calls of a later version: those of this one, and one more.
+/// A later version of the peer protocol, with a call `added` that this version cannot decode. Only
+/// `sections` has its real arguments.
 #[tarpc::service]
 trait Later {
     async fn probe();
@@ -33,17 +34,16 @@
     async fn added(message: Vec<String>) -> u64;
 }
 
-// Symptom: during a roll-out, queries that pass from new daemons to old ones are lost now and then.
-// Events: a new daemon calls a method that the old one lacks, on the stream that carries its queries.
-// Cause: a call that can't be read is taken for a broken stream, which is closed with all calls on it.
+// Guards against lost requests during a rolling upgrade: a call that a daemon cannot decode must
+// fail alone and leave the stream, with all other calls on it, open.
 #[tokio::test]
 async fn call_of_a_later_version_keeps_the_stream() {
     let peer = Fake::start().await;
-    let document = check::parse(example::HYDRANT.as_bytes()).expect("examples are valid");
+    let document = check::parse(example::HYDRANT.as_bytes()).expect("the example is valid");
     let in_force = peer.adopt(7, &document);
     let daemon = launch_daemon(&[&format!("--peers={}", peer.address)]).await;
     let stream = endpoint().connect(daemon.peer_address).await;
-    let stream = framed(stream.expect("it listens"));
+    let stream = framed(stream.expect("the port accepts connections"));
     let calls = tarpc::serde_transport::new(stream, Bincode::default());
     let client = LaterClient::new(Config::default(), calls).spawn();
     let message = vec!["later".to_owned()];
@@ -52,7 +52,7 @@
     let sections = within(async {
         loop {
             let call = client.sections(context::current(), in_force, Base::default());
-            if let Some(sections) = call.await.expect("the stream is open") {
+            if let Some(sections) = call.await.expect("the stream stays open") {
                 return sections;
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
