--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Starts daemons in the test process, and provides fakes and clients for their tests.
 
-#![allow(dead_code, reason = "each test file uses only some of these helpers")]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub(crate) mod form;
 pub(crate) mod fuzzing;
