--- a/crates/cli/src/command/disagreement.rs
+++ b/crates/cli/src/command/disagreement.rs
@@ -72,7 +72,7 @@
 }
 
 /// Returns a line for each route whose homes the daemons compute differently. Until they agree, they
-/// may hold more connections than the route allows.
+/// may hold more connections than intended.
 fn homes(states: &[(SocketAddr, &State)]) -> Vec<String> {
     let mut views: BTreeMap<&str, BTreeMap<&[SocketAddr], Vec<SocketAddr>>> = BTreeMap::new();
     for (at, state) in states {
--- a/crates/monsoonringd/tests/soak/mod.rs
+++ b/crates/monsoonringd/tests/soak/mod.rs
@@ -82,7 +82,7 @@
         let mut servers = Vec::new();
         for (number, service) in SHARDS.into_iter().chain([ONCE_SERVICE]).enumerate() {
             for replica in 0..REPLICAS {
-                // The process id keeps instances apart from those of other runs, which may have had the same port.
+                // Another run may reuse the port: the process id keeps its hosts from taking this run's answers.
                 let instance = format!("i-{service}-{replica}-{}", std::process::id());
                 let record = record(service);
                 let server = Server::start(&store, &instance, service, &[&record]).await;
