--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -3,10 +3,10 @@
 //! Every check collects its faults and continues, so that an operator sees all of them at once. There
 //! are three stages:
 //!
-//! 1. [`reader`] parses the JSON and finds duplicate keys.
-//! 2. [`structure`] validates the value against the JSON schema: types, missing and unknown fields,
+//! 1. `reader` parses the JSON and finds duplicate keys.
+//! 2. `structure` validates the value against the JSON schema: types, missing and unknown fields,
 //!    bounds of single fields.
-//! 3. [`rule`] checks what the schema can't express: references, uniqueness, order and tiling. It
+//! 3. `rule` checks what the schema can't express: references, uniqueness, order and tiling. It
 //!    reads the JSON value rather than the typed document and skips what it can't read, so that a
 //!    misspelt field in one group doesn't hide an overlap between two others.
 //!
