--- a/crates/experiment/examples/control.rs
+++ b/crates/experiment/examples/control.rs
@@ -10,7 +10,7 @@
 use monsoonring_experiment::caller::Caller;
 use monsoonring_experiment::deployment::{Daemon, Deployment, Launch, Setup};
 use monsoonring_experiment::memory;
-use monsoonring_experiment::operator::{Fact, LEAVING, Numbers, Operator, SUSPECT, State};
+use monsoonring_experiment::operator::{Counters, Fact, LEAVING, Operator, SUSPECT, State};
 use monsoonring_experiment::scenario::Policy;
 use monsoonring_fakes::backend_server::Crash;
 use monsoonring_fakes::fleet::{self, Shape};
@@ -102,10 +102,10 @@
             deployment.hosts.calls(),
         )
     };
-    let (before, called) = (numbers(deployment).await?, calls());
+    let (before, called) = (counters(deployment).await?, calls());
     let began = Instant::now();
     sleep(time).await;
-    let (after, calls) = (numbers(deployment).await?, calls());
+    let (after, calls) = (counters(deployment).await?, calls());
     let seconds = began.elapsed().as_secs_f64();
     let pairs = || before.iter().zip(&after);
     let bytes = pairs().map(|(b, a)| (a.sent - b.sent + a.received - b.received) / seconds);
@@ -129,11 +129,11 @@
     Ok(memory::resident(daemon.process_id)? as f64)
 }
 
-async fn numbers(deployment: &Deployment) -> Outcome<Vec<Numbers>> {
+async fn counters(deployment: &Deployment) -> Outcome<Vec<Counters>> {
     let operator = Operator::default();
     let mut all = Vec::new();
     for daemon in &deployment.daemons {
-        all.push(operator.numbers(daemon.operator).await?);
+        all.push(operator.counters(daemon.operator).await?);
     }
     Ok(all)
 }
--- a/crates/experiment/examples/demo.rs
+++ b/crates/experiment/examples/demo.rs
@@ -126,7 +126,7 @@
             );
             self.promises.keep(
                 "a search is answered by every daemon, from one snapshot and completely",
-                answer.outcome == Outcome::Complete && verify::is_true(&answer, &data),
+                answer.outcome == Outcome::Complete && verify::is_correct(&answer, &data),
             );
         }
     }
@@ -310,7 +310,7 @@
             answer.items.len()
         ),
         (Outcome::Executed, _) => format!("executed, result {}", answer.value),
-        (outcome, _) => format!("{outcome} ({})", answer.why.trim()),
+        (outcome, _) => format!("{outcome} ({})", answer.reason.trim()),
     }
 }
 
--- a/crates/experiment/examples/memory.rs
+++ b/crates/experiment/examples/memory.rs
@@ -164,7 +164,7 @@
     let operator = Operator::default();
     let mut total = 0.0;
     for daemon in &deployment.daemons {
-        total += operator.numbers(daemon.operator).await?.processor;
+        total += operator.counters(daemon.operator).await?.processor;
     }
     Ok(total)
 }
--- a/crates/experiment/src/arrival.rs
+++ b/crates/experiment/src/arrival.rs
@@ -1,10 +1,10 @@
-//! Times at which requests are sent.
+//! Send times of requests.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Poisson arrivals at a fixed mean rate, without end; the same for the same seed.
+/// Endless Poisson arrivals at a fixed mean rate, determined by the seed.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     random: ChaCha8Rng,
@@ -13,7 +13,7 @@
 }
 
 impl Arrivals {
-    /// Starts arrivals at `rate` a second; a rate of nothing or less gives none.
+    /// Returns arrivals at `rate` per second; none if `rate` is zero or negative.
     pub fn new(rate: f64, seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -27,7 +27,7 @@
     type Item = Duration;
 
     fn next(&mut self) -> Option<Duration> {
-        // Uniform over (0, 1], so that the logarithm is finite.
+        // Uniform over (0, 1] to keep the logarithm finite.
         let uniform = 1.0 - self.random.random::<f64>();
         self.at -= uniform.ln() * self.mean_gap;
         Duration::try_from_secs_f64(self.at).ok()
--- a/crates/experiment/src/caller/answer.rs
+++ b/crates/experiment/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! What a daemon answered, and what that proves.
+//! Decodes the answers of daemons.
 
 use super::{Error, Failure};
 use crate::sample::Outcome;
@@ -7,33 +7,33 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-/// An answer of a daemon, decoded.
+/// A decoded answer of a daemon.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// How the request ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
     /// Id of the request.
     pub request: String,
-    /// Share of the data that the items were taken from, from 0 to 1.
+    /// Share of the data that the answer covers, from 0 to 1.
     pub coverage: f64,
-    /// Snapshot that the items were taken from.
+    /// Index version of the items.
     pub index_version: Option<IndexVersion>,
-    /// Key ranges that are not covered.
+    /// Key ranges that the answer does not cover.
     pub missing: Vec<Range>,
     /// Items of a search.
     pub items: Vec<Item>,
     /// Result of a non-idempotent request.
     pub value: Value,
-    /// Why there is no answer.
-    pub why: String,
+    /// Title of the problem document, or the error of the exchange; empty if there is an answer.
+    pub reason: String,
 }
 
-/// One item of a search.
+/// An item found by a search.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Item {
     /// Position in the key space.
     pub key: Key,
-    /// What was found there.
+    /// Value of the item.
     pub value: Value,
 }
 
@@ -41,7 +41,7 @@
 #[serde(default)]
 struct Document {
     request: String,
-    #[serde(deserialize_with = "lenient")]
+    #[serde(deserialize_with = "status_or_none")]
     status: Option<Outcome>,
     outcome: Option<Outcome>,
     coverage: f64,
@@ -52,8 +52,8 @@
     title: String,
 }
 
-/// Reads the member `status`, which is a word on success and a number in a problem document.
-fn lenient<'a, D: Deserializer<'a>>(from: D) -> Result<Option<Outcome>, D::Error> {
+/// Deserializes `status`, which is an outcome on success but a number in a problem document.
+fn status_or_none<'a, D: Deserializer<'a>>(from: D) -> Result<Option<Outcome>, D::Error> {
     let value = Value::deserialize(from)?;
     Ok(serde_json::from_value(value).ok())
 }
@@ -66,35 +66,37 @@
         } else {
             document.outcome
         };
-        let possible = |outcome: &Outcome| outcome.is_answer() == success;
+        let is_consistent = |outcome: &Outcome| outcome.is_answer() == success;
         Self {
-            outcome: stated.filter(possible).unwrap_or(unclear(executes)),
+            outcome: stated
+                .filter(is_consistent)
+                .unwrap_or(undecodable(executes)),
             request: document.request,
             coverage: document.coverage,
             index_version: document.index_version,
             missing: document.missing,
             items: document.items,
             value: document.value,
-            why: document.title,
+            reason: document.title,
         }
     }
 
-    pub(super) fn unanswered(failure: &Failure, executes: bool) -> Self {
+    pub(super) fn from_failure(failure: &Failure, executes: bool) -> Self {
         let outcome = match failure {
-            Failure::Silence => Outcome::Silent,
+            Failure::TimedOut => Outcome::Silent,
             Failure::Send { source } if source.is_connect() => Outcome::Unreachable,
             Failure::Compose { .. } => Outcome::Unreachable,
-            Failure::Send { .. } | Failure::Read { .. } => unclear(executes),
+            Failure::Send { .. } | Failure::Read { .. } => undecodable(executes),
         };
         Self::without(outcome, failure.to_string())
     }
 
-    /// Makes the answer to a request that was not sent for want of a key.
+    /// Returns the answer to a request that was not sent because no idempotency key was issued.
     pub fn not_run(error: &Error) -> Self {
         Self::without(Outcome::NotRun, error.to_string())
     }
 
-    fn without(outcome: Outcome, why: String) -> Self {
+    fn without(outcome: Outcome, reason: String) -> Self {
         Self {
             outcome,
             request: String::new(),
@@ -103,13 +105,14 @@
             missing: Vec::new(),
             items: Vec::new(),
             value: Value::Null,
-            why,
+            reason,
         }
     }
 }
 
-/// An answer that can't be understood proves nothing about a non-idempotent request.
-fn unclear(executes: bool) -> Outcome {
+/// Returns the outcome of an answer that can't be decoded. A non-idempotent request may have been
+/// executed.
+fn undecodable(executes: bool) -> Outcome {
     if executes {
         Outcome::Unknown
     } else {
--- a/crates/experiment/src/caller/mod.rs
+++ b/crates/experiment/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller: a pooled HTTP client for the daemons' caller port.
+//! HTTP client for the daemons' caller port, with pooled connections.
 
 mod answer;
 
@@ -16,77 +16,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time that an answer may take beyond the deadline before the caller stops waiting for it.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Idle connections kept to one daemon.
-const IDLE_CONNECTIONS: usize = 4096;
-/// Time after which an idle connection is closed.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+/// Time beyond the deadline for which the caller waits for an answer.
+const GRACE: Duration = Duration::from_secs(2);
+/// Maximum number of idle connections per daemon.
+const MAX_IDLE_CONNECTIONS: usize = 4096;
+/// Time after which the pool closes an idle connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Result of asking a daemon for a key.
+/// Result of requesting an idempotency key.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a daemon gave no key.
+/// Error of requesting an idempotency key.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     #[snafu(display("get a key, daemon {peer}: {source}"))]
     Exchange {
-        /// The daemon.
+        /// Caller address of the daemon.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The error of the client or the connection.
         source: Failure,
     },
-    /// The answer carries no key.
+    /// The answer has no key.
     #[snafu(display("get a key, daemon {peer}: status {status} without a key"))]
     NoKey {
-        /// The daemon.
+        /// Caller address of the daemon.
         peer: SocketAddr,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
 }
 
-/// Why an exchange gave no whole answer.
+/// Why an exchange returned no complete answer.
 #[derive(Debug, Snafu)]
 pub enum Failure {
-    /// The request could not be composed.
+    /// The request could not be built.
     #[snafu(display("compose the request: {source}"))]
     Compose {
-        /// What is wrong with it.
+        /// The invalid part of the request.
         source: hyper::http::Error,
     },
-    /// The request could not be sent, or the connection ended before the answer.
+    /// The request could not be sent, or the connection was closed before the answer.
     #[snafu(display("send the request: {source}"))]
     Send {
-        /// What went wrong.
+        /// The error of the client or the connection.
         source: ClientError,
     },
-    /// The answer broke off.
+    /// The connection was closed in the middle of the answer.
     #[snafu(display("read the answer: {source}"))]
     Read {
-        /// What went wrong.
+        /// The error of the client or the connection.
         source: hyper::Error,
     },
     /// No answer arrived in time.
     #[snafu(display("no answer"))]
-    Silence,
+    TimedOut,
 }
 
-/// A request to send.
+/// A request to a daemon.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct Call {
     /// Path on the caller port, such as `/routes/dispatch/query`.
     pub path: String,
-    /// Time in which an answer is wanted.
+    /// Deadline of the request, relative to its sending.
     pub deadline: Duration,
     /// Idempotency key of a non-idempotent request.
     pub key: Option<String>,
-    /// JSON text.
+    /// JSON body.
     pub body: String,
 }
 
-/// A client with connections to any number of daemons; clones share them.
+/// Client of any number of daemons. Clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct Caller {
     name: CallerId,
@@ -94,14 +94,14 @@
 }
 
 impl Caller {
-    /// Makes a client for the caller of this name.
+    /// Creates a client that identifies itself as the caller `name`.
     pub fn new(name: CallerId) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIME)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .retry_canceled_requests(false)
             .build(connector);
         Self { name, client }
@@ -116,16 +116,16 @@
         deadline: Duration,
     ) -> Answer {
         let path = format!("/routes/{route}/query");
-        let question = Question {
+        let call = Call {
             path,
             deadline,
             key: None,
             body,
         };
-        self.ask(daemon, question).await
+        self.send(daemon, call).await
     }
 
-    /// Sends a non-idempotent request under a key and waits for its answer.
+    /// Sends a non-idempotent request with an idempotency key and waits for its answer.
     pub async fn execute(
         &self,
         daemon: SocketAddr,
@@ -135,29 +135,29 @@
         deadline: Duration,
     ) -> Answer {
         let path = format!("/routes/{route}/execute");
-        let question = Question {
+        let call = Call {
             path,
             deadline,
             key: Some(key.to_owned()),
             body,
         };
-        self.ask(daemon, question).await
+        self.send(daemon, call).await
     }
 
-    /// Gets a key for one non-idempotent request.
+    /// Requests an idempotency key for one non-idempotent request.
     ///
     /// # Errors
     ///
-    /// [`Error`] where the daemon does not answer with a key.
+    /// Returns [`Error`] if the daemon does not answer with a key.
     pub async fn key(&self, daemon: SocketAddr, route: &str, deadline: Duration) -> Result<String> {
-        let question = Question {
+        let call = Call {
             path: format!("/routes/{route}/keys"),
             deadline,
             key: None,
             body: String::new(),
         };
         let (head, _) = self
-            .exchange(daemon, question)
+            .exchange(daemon, call)
             .await
             .context(ExchangeSnafu { peer: daemon })?;
         let key = head.headers.get("idempotency-key");
@@ -169,16 +169,16 @@
         Ok(key.context(missing)?.to_owned())
     }
 
-    /// Tells whether a daemon says that it is ready.
-    pub async fn ready(&self, daemon: SocketAddr) -> bool {
+    /// Returns whether a daemon reports that it is ready.
+    pub async fn is_ready(&self, daemon: SocketAddr) -> bool {
         let Ok(address) = format!("http://{daemon}/ready").parse() else {
             return false;
         };
-        let response = tokio::time::timeout(PATIENCE, self.client.get(address)).await;
+        let response = tokio::time::timeout(GRACE, self.client.get(address)).await;
         matches!(response, Ok(Ok(response)) if response.status().is_success())
     }
 
-    /// Returns the number of members that a daemon takes for serving, from its operator port.
+    /// Returns the number of members that a daemon considers alive or suspect.
     pub async fn members(&self, operator: SocketAddr) -> Option<usize> {
         let state = self.state(operator).await?;
         let members = state["members"].as_array()?;
@@ -186,52 +186,52 @@
         Some(members.iter().filter(serving).count())
     }
 
-    /// Returns the state that a daemon shows on its operator port.
+    /// Returns the state of a daemon from its operator port; `None` if it can't be read.
     pub async fn state(&self, operator: SocketAddr) -> Option<Value> {
         let address = format!("http://{operator}/state").parse().ok()?;
-        let response = tokio::time::timeout(PATIENCE, self.client.get(address)).await;
+        let response = tokio::time::timeout(GRACE, self.client.get(address)).await;
         let (_, body) = read(response.ok()?.ok()?).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
-    async fn ask(&self, daemon: SocketAddr, question: Question) -> Answer {
-        let executes = question.key.is_some();
-        match self.exchange(daemon, question).await {
+    async fn send(&self, daemon: SocketAddr, call: Call) -> Answer {
+        let executes = call.key.is_some();
+        match self.exchange(daemon, call).await {
             Ok((head, body)) => Answer::decode(head.status.is_success(), &body, executes),
-            Err(failure) => Answer::unanswered(&failure, executes),
+            Err(failure) => Answer::from_failure(&failure, executes),
         }
     }
 
     async fn exchange(
         &self,
         daemon: SocketAddr,
-        question: Question,
+        call: Call,
     ) -> Result<(hyper::http::response::Parts, Bytes), Failure> {
-        let patience = question.deadline + PATIENCE;
-        let request = self.compose(daemon, question).context(ComposeSnafu)?;
+        let limit = call.deadline + GRACE;
+        let request = self.compose(daemon, call).context(ComposeSnafu)?;
         let exchange = async {
             let response = self.client.request(request).await.context(SendSnafu)?;
             read(response).await
         };
-        let timeout = tokio::time::timeout(patience, exchange);
-        timeout.await.unwrap_or(SilenceSnafu.fail())
+        let timeout = tokio::time::timeout(limit, exchange);
+        timeout.await.unwrap_or(TimedOutSnafu.fail())
     }
 
     fn compose(
         &self,
         daemon: SocketAddr,
-        question: Question,
+        call: Call,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-        let mut request = Request::post(format!("http://{daemon}{}", question.path))
+        let mut request = Request::post(format!("http://{daemon}{}", call.path))
             .header("monsoonring-caller", &*self.name)
             .header(
                 "monsoonring-deadline-ms",
-                question.deadline.as_millis().to_string(),
+                call.deadline.as_millis().to_string(),
             );
-        if let Some(key) = question.key {
+        if let Some(key) = call.key {
             request = request.header("idempotency-key", key);
         }
-        request.body(Full::new(question.body.into()))
+        request.body(Full::new(call.body.into()))
     }
 }
 
--- a/crates/experiment/src/capacity/backend_server.rs
+++ b/crates/experiment/src/capacity/backend_server.rs
@@ -1,12 +1,12 @@
-//! Whether the load fits what backend servers take.
+//! Load and connections of one backend server.
 
 use super::row::{Row, Section};
 use super::size::{MILLIS, Size};
 use super::values::{Result, Values};
 use monsoonring_decision::placement;
 
-/// Views of the members that are acted on at the same time while regions are cut off.
-const VIEWS: f64 = 2.0;
+/// Membership views in use at the same time during a partition between regions.
+const CONCURRENT_VIEWS: f64 = 2.0;
 
 pub(super) fn section(values: &Values) -> Result<Section> {
     let size = Size::of(values)?;
@@ -17,11 +17,11 @@
     let connections = f64::from(size.capacity.connections);
     let homes = size.homes as usize;
     let share = placement::share(size.capacity.connections, homes);
-    let working = size.homes * f64::from(share);
+    let usable = size.homes * f64::from(share);
     let held = size.homes * f64::from(share + placement::CONTROL_CONNECTIONS);
     let busy = requests * (service + round_trip);
-    let polled = values.get("servers_polled_per_second")? / size.servers_of_route;
-    let polls = 2.0 * size.homes * polled.min(1.0);
+    let poll_rate = values.get("servers_polled_per_second")? / size.servers_of_route;
+    let polls = 2.0 * size.homes * poll_rate.min(1.0);
     let module = "decision::placement::share";
     let rows = vec![
         Row::new("requests", requests, "/s", "decision::home"),
@@ -44,7 +44,7 @@
             "",
             "daemon::backend::connection",
         )
-        .within(working),
+        .within(usable),
         Row::new(
             "connections held by the homes of one view",
             held,
@@ -54,7 +54,7 @@
         .within(connections),
         Row::new(
             "of two views, while regions are cut off",
-            VIEWS * held,
+            CONCURRENT_VIEWS * held,
             "",
             module,
         )
--- a/crates/experiment/src/capacity/entry.rs
+++ b/crates/experiment/src/capacity/entry.rs
@@ -1,4 +1,4 @@
-//! The daemon that takes a query and passes it on.
+//! Load of the daemon that receives a query and forwards it to a home.
 
 use super::row::{Row, Section};
 use super::size::{MB, MICROS, PERCENT, Size};
@@ -7,7 +7,7 @@
 pub(super) fn section(values: &Values) -> Result<Section> {
     let size = Size::of(values)?;
     let queries = size.queries / size.daemons;
-    let here = size.homes / size.daemons;
+    let local_share = size.homes / size.daemons;
     let processor = queries * values.get("entry_us_per_query")? / MICROS;
     let routes = size.routes * values.get("resident_bytes_per_route")?;
     let configured = size.servers * values.get("resident_bytes_per_configured_server")?;
@@ -16,13 +16,13 @@
         Row::new("queries taken", queries, "/s", "daemon::caller"),
         Row::new(
             "of them for a home here",
-            here * PERCENT,
+            local_share * PERCENT,
             "%",
             "decision::placement",
         ),
         Row::new(
             "messages to homes",
-            2.0 * queries * (1.0 - here),
+            2.0 * queries * (1.0 - local_share),
             "/s",
             "daemon::node::search",
         ),
--- a/crates/experiment/src/capacity/home.rs
+++ b/crates/experiment/src/capacity/home.rs
@@ -1,4 +1,4 @@
-//! The daemons that hold a route's connections.
+//! Load of the daemons that hold a route's connections.
 
 use super::row::{Row, Section};
 use super::size::{MB, MICROS, PERCENT, Size};
@@ -15,9 +15,9 @@
         size.capacity.connections,
         size.homes as usize,
     ));
-    let served = size.servers_of_route * values.get("resident_bytes_per_served_server")?;
+    let server_memory = size.servers_of_route * values.get("resident_bytes_per_served_server")?;
     let connections = size.servers_of_route * share;
-    let connected = connections * values.get("resident_bytes_per_connection")?;
+    let connection_memory = connections * values.get("resident_bytes_per_connection")?;
     let polled = size
         .servers_of_route
         .min(values.get("servers_polled_per_second")?);
@@ -79,13 +79,13 @@
         ),
         Row::new(
             "state: served backend servers",
-            served / MB,
+            server_memory / MB,
             "MB",
             "decision::backend::fleet",
         ),
         Row::new(
             "state: connections",
-            connected / MB,
+            connection_memory / MB,
             "MB",
             "daemon::backend::connection",
         ),
--- a/crates/experiment/src/capacity/loss.rs
+++ b/crates/experiment/src/capacity/loss.rs
@@ -1,4 +1,4 @@
-//! A lost rack, a lost data centre, a cut between regions.
+//! Effects of losing a rack or a data centre, and of a partition between regions.
 
 use super::row::{Row, Section};
 use super::size::{MICROS, MILLIS, Size};
@@ -7,12 +7,12 @@
 pub(super) fn section(values: &Values) -> Result<Section> {
     let size = Size::of(values)?;
     let rack = values.get("hosts_per_rack")?;
-    let centre = size.daemons / size.data_centres;
+    let daemons_per_centre = size.daemons / size.data_centres;
     let roles = |daemons: f64| daemons * size.roles;
-    // Nearly every route loses a home or gains one when a data centre goes.
+    // The loss of a data centre changes the homes of nearly every route.
     let select = size.routes * values.get("select_us_3800")? / MICROS;
     let capacity = size.capacity;
-    let opening = capacity.connect_ms as f64 / MILLIS;
+    let connect_time = capacity.connect_ms as f64 / MILLIS;
     let budget = values.get("budget_in_force_s")?;
     let query = values.get("budget_p99_ms")? / MILLIS;
     let rows = vec![
@@ -31,13 +31,13 @@
         .within(budget),
         Row::new(
             "data centre: daemons that die",
-            centre,
+            daemons_per_centre,
             "",
             "decision::member::detector",
         ),
         Row::new(
             "data centre: home roles that move",
-            roles(centre),
+            roles(daemons_per_centre),
             "",
             "decision::placement",
         ),
@@ -71,7 +71,7 @@
         .within(query),
         Row::new(
             "a moved home opens one connection",
-            opening,
+            connect_time,
             "s",
             "decision::backend::pool",
         )
--- a/crates/experiment/src/capacity/member.rs
+++ b/crates/experiment/src/capacity/member.rs
@@ -1,17 +1,17 @@
-//! What every daemon does for membership, facts and the spread of news.
+//! Cost of membership, facts and gossip at every daemon.
 
 use super::row::{Row, Section};
 use super::size::{MB, MICROS, PERCENT, Size};
 use super::values::{Result, Values};
 
-/// Ticks of the control task a second.
-const TICKS: f64 = 20.0;
-/// Messages a second that the control task takes in: a probe, the answer to one of its own.
-const MESSAGES: f64 = 2.0;
-/// A change is passed on this many times the binary logarithm of the members.
-const RETRANSMITS: f64 = 3.0;
-/// Daemons at which the spread of news was timed.
-const TIMED_AT: f64 = 64.0;
+/// Ticks of the control task per second.
+const TICKS_PER_SECOND: f64 = 20.0;
+/// Messages that the control task receives per second: a probe, and the answer to its own probe.
+const MESSAGES_PER_SECOND: f64 = 2.0;
+/// Each daemon sends a change this many times the binary logarithm of the number of members.
+const RETRANSMIT_FACTOR: f64 = 3.0;
+/// Number of daemons in the measurement of gossip latency.
+const MEASURED_DAEMONS: f64 = 64.0;
 
 pub(super) fn section(values: &Values) -> Result<Section> {
     let size = Size::of(values)?;
@@ -29,34 +29,34 @@
 }
 
 fn traffic(values: &Values, size: &Size) -> Result<Vec<Row>> {
-    let grown = values.get("table_bytes_3800")? - values.get("table_bytes_64")?;
-    let quiet = values.get("control_bytes_64")? + grown.max(0.0);
-    let copies = RETRANSMITS * size.daemons.log2().ceil();
-    let told = size.churn * copies;
+    let growth = values.get("table_bytes_3800")? - values.get("table_bytes_64")?;
+    let idle = values.get("control_bytes_64")? + growth.max(0.0);
+    let copies = RETRANSMIT_FACTOR * size.daemons.log2().ceil();
+    let relayed = size.churn * copies;
     let change = values.get("change_bytes")?;
-    // What one sends another receives; both count.
-    let churn = 2.0 * told * change;
-    let room = MESSAGES * values.get("message_bytes")? / change;
+    // Count sent and received bytes.
+    let churn = 2.0 * relayed * change;
+    let max_relayed = MESSAGES_PER_SECOND * values.get("message_bytes")? / change;
     let budget = values.get("budget_control_bytes")?;
     Ok(vec![
-        Row::new("bytes at rest", quiet, "B/s", "decision::member").within(budget),
+        Row::new("bytes at rest", idle, "B/s", "decision::member").within(budget),
         Row::new("changes of members", size.churn, "/s", "decision::member"),
         Row::new("bytes for these", churn, "B/s", "decision::broadcast").within(budget),
-        Row::new("both together", quiet + churn, "B/s", "decision::member").within(budget),
-        Row::new("changes to pass on", told, "/s", "decision::broadcast").within(room),
+        Row::new("both together", idle + churn, "B/s", "decision::member").within(budget),
+        Row::new("changes to pass on", relayed, "/s", "decision::broadcast").within(max_relayed),
     ])
 }
 
 fn processor(values: &Values, size: &Size) -> Result<Vec<Row>> {
-    let looks = (TICKS + MESSAGES) * values.get("view_us_3800")?;
+    let view_time = (TICKS_PER_SECOND + MESSAGES_PER_SECOND) * values.get("view_us_3800")?;
     let table = values.get("table_us_3800")?;
-    let concern = size.routes * values.get("concern_us_3800")?;
-    // A change moves the homes of as many routes as the member has home roles.
+    let affected = size.routes * values.get("concern_us_3800")?;
+    // A change of a member affects one route per home role of the member.
     let select = size.roles * values.get("select_us_3800")?;
-    let look = values.get("list_us_3800")? + values.get("reader_us_3800")?;
-    let change = look + values.get("compare_us_3800")? + concern + select;
+    let rebuild = values.get("list_us_3800")? + values.get("reader_us_3800")?;
+    let change = rebuild + values.get("compare_us_3800")? + affected + select;
     let calls = values.get("control_processor_percent_64")?;
-    let (table, looks) = (table / MICROS * PERCENT, looks / MICROS * PERCENT);
+    let (table, view_time) = (table / MICROS * PERCENT, view_time / MICROS * PERCENT);
     let changes = size.churn * change / MICROS * PERCENT;
     let budget = values.get("budget_control_percent")?;
     Ok(vec![
@@ -76,7 +76,7 @@
         .within(budget),
         Row::new(
             "processor: the view, renewed",
-            looks,
+            view_time,
             "% of a core",
             "daemon::control::view",
         )
@@ -90,7 +90,7 @@
         .within(budget),
         Row::new(
             "all together",
-            calls + table + looks + changes,
+            calls + table + view_time + changes,
             "% of a core",
             "daemon::control",
         )
@@ -101,7 +101,7 @@
 fn memory(values: &Values, size: &Size) -> Result<Vec<Row>> {
     let records = size.daemons * values.get("member_bytes")?;
     let facts = values.get("fact_capacity")? * values.get("fact_bytes")?;
-    // In time a stream to each member, and one from each.
+    // Eventually there is one stream to and one from each member.
     let open = 2.0 * size.daemons;
     let streams = open * values.get("resident_bytes_per_peer_stream")?;
     let base = values.get("resident_mb_base")? * MB;
@@ -136,8 +136,8 @@
 }
 
 fn spread(values: &Values, size: &Size) -> Result<Vec<Row>> {
-    // News reaches all in a number of rounds that grows with the logarithm of the members.
-    let rounds = size.daemons.log2() / TIMED_AT.log2();
+    // The number of gossip rounds grows with the logarithm of the number of members.
+    let rounds = size.daemons.log2() / MEASURED_DAEMONS.log2();
     let worst = |name| Ok(values.get(name)? * rounds);
     let budget = values.get("budget_in_force_s")?;
     Ok(vec![
--- a/crates/experiment/src/capacity/mod.rs
+++ b/crates/experiment/src/capacity/mod.rs
@@ -1,10 +1,9 @@
-//! The capacity page: what each role costs at design size, worked out from measured slopes.
+//! Capacity model: computes the cost of each role at design size from measurements.
 //!
-//! `docs/CAPACITY.md` holds two tables that people fill in, one of assumptions and one of measured
-//! figures with the commands that gave them. Everything between the markers of the derived part is
-//! computed here from those two, so that a figure that is measured anew can't leave an old
-//! conclusion standing: the example `capacity` writes the part, and a test fails where the page has
-//! another. Formulas use the decisions' own functions and constants where there are any.
+//! `docs/CAPACITY.md` has two manually maintained tables, of assumptions and of measurements. This
+//! module computes the derived part of the page from them. The example `capacity` writes that part, and a
+//! test fails if it is out of date. Formulas use functions and constants of `monsoonring-decision` where
+//! possible.
 
 mod backend_server;
 mod entry;
@@ -21,11 +20,11 @@
 pub use row::{Row, Section};
 pub use values::{Error, Result, Values};
 
-/// Works out all sections from the page's figures.
+/// Computes all sections from the figures of the page.
 ///
 /// # Errors
 ///
-/// [`Error::Missing`] where a figure is not on the page.
+/// Returns [`Error::Missing`] if a figure is not on the page.
 pub fn derive(values: &Values) -> Result<Vec<Section>> {
     Ok(vec![
         entry::section(values)?,
--- a/crates/experiment/src/capacity/page.rs
+++ b/crates/experiment/src/capacity/page.rs
@@ -1,22 +1,22 @@
-//! The page's parts.
+//! Reads and rewrites the marked parts of the capacity page.
 
 use super::row::Section;
 use super::values::{Error, MarkerSnafu, Result, Values};
 use snafu::OptionExt;
 
-const ASSUMED: (&str, &str) = ("<!-- assumed -->", "<!-- end of assumed -->");
-const MEASURED: (&str, &str) = ("<!-- measured -->", "<!-- end of measured -->");
+const ASSUMPTIONS: (&str, &str) = ("<!-- assumed -->", "<!-- end of assumed -->");
+const MEASUREMENTS: (&str, &str) = ("<!-- measured -->", "<!-- end of measured -->");
 const DERIVED: (&str, &str) = ("<!-- derived -->", "<!-- end of derived -->");
 
-/// Returns the page with its derived part worked out anew.
+/// Returns the page with its derived part recomputed.
 ///
 /// # Errors
 ///
-/// [`Error`] where a marker or a figure is missing.
+/// Returns [`Error`] if a marker is missing, or a figure is missing, invalid or duplicated.
 pub fn rewrite(page: &str) -> Result<String> {
     let mut values = Values::default();
-    values.read(part(page, ASSUMED)?)?;
-    values.read(part(page, MEASURED)?)?;
+    values.read(part(page, ASSUMPTIONS)?)?;
+    values.read(part(page, MEASUREMENTS)?)?;
     let sections = super::derive(&values)?;
     let text: String = sections.iter().map(Section::markdown).collect();
     let old = part(page, DERIVED)?;
@@ -25,7 +25,7 @@
     Ok(format!("{before}\n\n{text}{after}"))
 }
 
-/// Returns what is between two markers.
+/// Returns the text between two markers.
 fn part<'a>(page: &'a str, markers: (&'static str, &'static str)) -> Result<&'a str, Error> {
     let marker = markers.0;
     let (_, rest) = page.split_once(marker).context(MarkerSnafu { marker })?;
--- a/crates/experiment/src/capacity/reader.rs
+++ b/crates/experiment/src/capacity/reader.rs
@@ -1,4 +1,4 @@
-//! The daemons that read the platform, and what each change of the document costs the others.
+//! Load of the daemons that read the platform, and cost of a document change at the others.
 
 use super::row::{Row, Section};
 use super::size::{MB, MICROS, PERCENT, SECONDS_PER_DAY, Size};
@@ -23,7 +23,7 @@
 fn calls(values: &Values, size: &Size, readers: f64) -> Result<Vec<Row>> {
     let watches = values.get("service_calls_per_reader_minute")? / 60.0;
     let calls = readers * (watches + size.changes);
-    let most = values.get("budget_service_calls")?;
+    let max_calls = values.get("budget_service_calls")?;
     Ok(vec![
         Row::new("readers", readers, "", "decision::configuration::reader"),
         Row::new(
@@ -32,39 +32,44 @@
             "/s",
             "decision::configuration::holder",
         )
-        .within(most),
+        .within(max_calls),
         Row::new(
             "all daemons start at once, calls",
-            size.daemons / START_SPREAD_S,
+            size.daemons / START_JITTER_S,
             "/s",
             "decision::configuration::holder",
         )
-        .within(most),
+        .within(max_calls),
     ])
 }
 
-/// Seconds over which daemons that find no peers spread their first reads.
-const START_SPREAD_S: f64 = 5.0;
+/// Jitter, in seconds, of the first read of daemons that find no peers.
+const START_JITTER_S: f64 = 5.0;
 
 fn documents(values: &Values, size: &Size) -> Result<Vec<Row>> {
     let server = values.get("document_bytes_per_server")?;
-    let whole = size.servers * server;
+    let document_bytes = size.servers * server;
     let section = size.servers_of_route * server;
     let index = size.routes * values.get("transfer_bytes_per_route")?;
     let check = size.servers * values.get("document_check_us_per_server")? / MICROS;
     let starts = values.get("restarts_per_day")? / SECONDS_PER_DAY / size.daemons;
     let bytes = values.get("budget_control_bytes")?;
     let busy = size.changes * check * PERCENT;
-    let document = Row::new("the document", whole / MB, "MB", "configuration::limit");
+    let document = Row::new(
+        "the document",
+        document_bytes / MB,
+        "MB",
+        "configuration::limit",
+    );
     let read = Row::new(
         "whole documents, a reader",
-        size.changes * whole,
+        size.changes * document_bytes,
         "B/s",
         "daemon::platform::configuration",
     );
     let changed = Row::new(
         "changed sections, a daemon",
-        size.changes * (section + index) + starts * whole,
+        size.changes * (section + index) + starts * document_bytes,
         "B/s",
         "configuration::section",
     );
--- a/crates/experiment/src/capacity/row.rs
+++ b/crates/experiment/src/capacity/row.rs
@@ -1,44 +1,44 @@
-//! One derived figure, held against its budget.
+//! Derived figures and their budgets.
 
 use std::fmt::Write;
 
-/// Figures of one role or question.
+/// A section of derived figures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Section {
-    /// Heading.
+    /// Heading of the section.
     pub title: &'static str,
-    /// What carries it, where the figures come from.
+    /// Description of the role and the source of the figures.
     pub prose: &'static str,
-    /// The figures.
+    /// Rows of the section's table.
     pub rows: Vec<Row>,
 }
 
-/// One derived figure.
+/// A derived figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What it is.
-    pub what: &'static str,
-    /// The figure.
+    /// Description of the figure.
+    pub label: &'static str,
+    /// Value in `unit`.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value and the budget; empty for a count.
     pub unit: &'static str,
-    /// What it may be at most, in the same unit.
+    /// Maximum of the value; `None` if there is no budget.
     pub budget: Option<f64>,
-    /// The module that carries it.
+    /// Module that implements the behaviour.
     pub module: &'static str,
 }
 
 impl Row {
-    /// Makes a figure without a budget.
+    /// Returns a figure without a budget.
     pub(super) fn new(
-        what: &'static str,
+        label: &'static str,
         value: f64,
         unit: &'static str,
         module: &'static str,
     ) -> Self {
         let budget = None;
         Self {
-            what,
+            label,
             value,
             unit,
             budget,
@@ -46,27 +46,30 @@
         }
     }
 
-    /// Holds the figure against a budget.
+    /// Sets the budget.
     pub(super) fn within(self, budget: f64) -> Self {
         let budget = Some(budget);
         Self { budget, ..self }
     }
 
-    /// Returns how much of its budget the figure takes; above 1 it misses it by this factor.
+    /// Returns the ratio of value to budget; above 1 the budget is exceeded.
     pub fn share(&self) -> Option<f64> {
         self.budget.map(|budget| self.value / budget)
     }
 
     fn markdown(&self) -> String {
         let Self {
-            what, unit, module, ..
+            label,
+            unit,
+            module,
+            ..
         } = self;
         let value = number(self.value);
         let (budget, verdict) = match (self.budget, self.share()) {
             (Some(budget), Some(share)) => (number(budget), verdict(share)),
             _ => ("—".to_owned(), "—".to_owned()),
         };
-        format!("| {what} | {value} {unit} | {budget} | {verdict} | `{module}` |\n")
+        format!("| {label} | {value} {unit} | {budget} | {verdict} | `{module}` |\n")
     }
 }
 
@@ -91,7 +94,7 @@
     }
 }
 
-/// Three significant digits, with separators; never more than the measurement gives.
+/// Formats a number with three significant digits and thousands separators.
 fn number(value: f64) -> String {
     const DIGITS: i32 = 3;
     if value == 0.0 {
@@ -111,8 +114,8 @@
 fn separated(digits: &str) -> String {
     const GROUP: usize = 3;
     let mut text = String::new();
-    for (place, digit) in digits.chars().enumerate() {
-        if place > 0 && (digits.len() - place) % GROUP == 0 {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index) % GROUP == 0 {
             text.push(',');
         }
         text.push(digit);
--- a/crates/experiment/src/capacity/size.rs
+++ b/crates/experiment/src/capacity/size.rs
@@ -1,4 +1,4 @@
-//! What several roles need of the design size.
+//! Design size and quantities derived from it.
 
 use super::values::{Result, Values};
 use monsoonring_configuration::document::Capacity;
@@ -10,26 +10,26 @@
 pub(super) const MB: f64 = 1e6;
 pub(super) const PERCENT: f64 = 100.0;
 
-/// The design size, with what follows from it alone.
+/// Design size of the deployment.
 pub(super) struct Size {
     pub(super) daemons: f64,
     pub(super) servers: f64,
     pub(super) data_centres: f64,
-    /// Queries a second over all daemons.
+    /// Queries per second over all daemons.
     pub(super) queries: f64,
-    /// Backend servers asked by one query.
+    /// Groups, and thus attempts, of one query.
     pub(super) groups: f64,
-    /// Changes of configuration a second.
+    /// Configuration changes per second.
     pub(super) changes: f64,
-    /// Changes of members a second: a restart is a leave and an arrival, a failure a suspicion, a
-    /// death and the arrival of its replacement.
+    /// Membership changes per second. A restart is two changes (leave, join), a failure three (suspicion,
+    /// death, join of the replacement).
     pub(super) churn: f64,
     pub(super) routes: f64,
     /// Backend servers of one route.
     pub(super) servers_of_route: f64,
     /// Homes of one route.
     pub(super) homes: f64,
-    /// Most homes of one route that one daemon serves, on average over the daemons.
+    /// Mean number of routes for which a daemon is a home.
     pub(super) roles: f64,
     pub(super) capacity: Capacity,
 }
@@ -65,12 +65,12 @@
         })
     }
 
-    /// Queries a second of one route at one of its homes.
+    /// Returns the queries per second of one route at one of its homes.
     pub(super) fn queries_at_home(&self) -> f64 {
         self.queries / self.routes / self.homes
     }
 
-    /// Requests a second that reach one backend server, hedges and retries left out.
+    /// Returns the requests per second at one backend server, without hedges and retries.
     pub(super) fn requests_at_server(&self) -> f64 {
         self.queries * self.groups / self.servers
     }
--- a/crates/experiment/src/capacity/values.rs
+++ b/crates/experiment/src/capacity/values.rs
@@ -1,37 +1,37 @@
-//! The figures that people fill in.
+//! Input figures of the capacity page.
 
 use snafu::{OptionExt, Snafu};
 use std::collections::BTreeMap;
 
-/// Result of working with the page's figures.
+/// Result of computing the capacity page.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What is wrong with the page.
+/// Error in the capacity page.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(super)))]
 pub enum Error {
     /// A figure that a formula needs is not on the page.
-    #[snafu(display("work out the capacity: no figure {name}"))]
+    #[snafu(display("compute the capacity: figure {name} is missing"))]
     Missing {
-        /// Its name.
+        /// Name of the figure.
         name: String,
     },
-    /// A figure is no number.
-    #[snafu(display("read the capacity page: {name} is no number"))]
-    Number {
-        /// Its name.
+    /// The value of a figure is not a number.
+    #[snafu(display("read the capacity page: {name} is not a number"))]
+    NotANumber {
+        /// Name of the figure.
         name: String,
     },
-    /// A figure is there twice.
-    #[snafu(display("read the capacity page: {name} is there twice"))]
-    Twice {
-        /// Its name.
+    /// A figure is defined twice.
+    #[snafu(display("read the capacity page: {name} is defined twice"))]
+    Duplicate {
+        /// Name of the figure.
         name: String,
     },
     /// A marker is missing.
-    #[snafu(display("read the capacity page: no marker {marker}"))]
+    #[snafu(display("read the capacity page: marker {marker} is missing"))]
     Marker {
-        /// The marker.
+        /// Text of the missing marker.
         marker: &'static str,
     },
 }
@@ -41,26 +41,26 @@
 pub struct Values(BTreeMap<String, f64>);
 
 impl Values {
-    /// Returns a figure.
+    /// Returns the figure `name`.
     ///
     /// # Errors
     ///
-    /// [`Error::Missing`] where there is none of this name.
+    /// Returns [`Error::Missing`] if there is no such figure.
     pub fn get(&self, name: &str) -> Result<f64> {
         self.0.get(name).copied().context(MissingSnafu { name })
     }
 
-    /// Returns a count.
+    /// Returns the figure `name`, truncated to an integer.
     ///
     /// # Errors
     ///
-    /// [`Error::Missing`] where there is none of this name.
+    /// Returns [`Error::Missing`] if there is no such figure.
     pub fn count(&self, name: &str) -> Result<usize> {
         Ok(self.get(name)? as usize)
     }
 
-    /// Reads the rows of a Markdown table whose first two cells are a name in back quotes and a
-    /// number; other lines are skipped.
+    /// Reads figures from a Markdown table. Rows start with a name in backquotes and a number; other lines
+    /// are skipped.
     pub(super) fn read(&mut self, table: &str) -> Result<()> {
         for line in table.lines() {
             let cells: Vec<&str> = line.split('|').map(str::trim).collect();
@@ -71,9 +71,9 @@
                 continue;
             };
             let number = number.replace(',', "").parse().ok();
-            let number = number.context(NumberSnafu { name })?;
+            let number = number.context(NotANumberSnafu { name })?;
             if self.0.insert(name.to_owned(), number).is_some() {
-                return TwiceSnafu { name }.fail();
+                return DuplicateSnafu { name }.fail();
             }
         }
         Ok(())
--- a/crates/experiment/src/deployment/mod.rs
+++ b/crates/experiment/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and real daemons, together on the loopback interface.
+//! Starts fakes and real daemons on the loopback interface.
 
 mod process;
 mod thread;
@@ -19,80 +19,80 @@
 use thread::Thread;
 use tokio::time::{sleep, timeout};
 
-/// Time in which a daemon has to be ready.
-const READY_BOUND: Duration = Duration::from_secs(20);
+/// Timeout of a daemon's start.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const READY_POLL: Duration = Duration::from_millis(20);
-/// Starts of a daemon, each on other ports, before it is given up.
-const STARTS: usize = 5;
-/// Secret that the daemons of an experiment share; it protects nothing.
+/// Maximum number of attempts to start a daemon, each on other ports.
+const MAX_STARTS: usize = 5;
+/// Shared key of the daemons of an experiment. Not a secret.
 const KEY: &str = "5f1d0c7a93b24e6880aa41c3e97f2b6d5f1d0c7a93b24e6880aa41c3e97f2b6d";
-/// Data centres, given to the daemons in turn.
+/// Data centres, assigned to the daemons round-robin.
 const DATA_CENTRES: [&str; 4] = ["north", "south", "east", "west"];
 
-/// Result of a deployment.
+/// Result of starting a deployment.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a deployment did not come up.
+/// Error of starting a deployment.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The daemons would reject the document.
+    /// The document is invalid.
     #[snafu(display("check the document: {source}"))]
     Document {
-        /// What is wrong with it.
+        /// The validation error.
         source: check::Error,
     },
-    /// No free port was to be had.
+    /// No free port was available.
     #[snafu(display("find a free port: {source}"))]
     Port {
-        /// What went wrong.
+        /// The cause.
         source: std::io::Error,
     },
     /// A daemon could not be started.
     #[snafu(display("start the daemon {daemon}: {source}"))]
     Start {
-        /// Its caller address.
+        /// Caller address of the daemon.
         daemon: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// A daemon was not ready in time.
-    #[snafu(display("wait for the daemon {daemon}: not ready within {} s", READY_BOUND.as_secs()))]
+    #[snafu(display("wait for the daemon {daemon}: not ready within {} s", READY_TIMEOUT.as_secs()))]
     NotReady {
-        /// Its caller address.
+        /// Caller address of the daemon.
         daemon: SocketAddr,
     },
 }
 
-/// How daemons are started.
+/// How daemons run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Launch {
-    /// Inside this process, each in a runtime of its own.
+    /// Inside this process, each with a separate runtime.
     Threads,
     /// As processes of the binary at this path.
     Processes(PathBuf),
 }
 
 impl Launch {
-    /// Returns processes of the binary where a path is given, else threads.
+    /// Returns [`Launch::Processes`] if a path to the binary is given, otherwise [`Launch::Threads`].
     pub fn new(processes: Option<PathBuf>) -> Self {
         processes.map_or(Self::Threads, Self::Processes)
     }
 }
 
-/// What is to be started.
+/// Settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The routes with their backend servers.
+    /// Shapes of the routes and their backend servers.
     pub shapes: Vec<Shape>,
-    /// The policy that is written into the document.
+    /// Policy to apply to the document and the daemons' flags.
     pub policy: Policy,
     /// Number of daemons.
     pub daemons: usize,
-    /// How they are started.
+    /// Whether daemons run as threads or processes.
     pub launch: Launch,
 }
 
-/// The addresses of one daemon.
+/// Listen addresses of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Addresses {
     /// For callers.
@@ -112,36 +112,36 @@
     pub operator: SocketAddr,
     /// Address for other daemons.
     pub peer: SocketAddr,
-    /// Id of its process, where it has one of its own.
+    /// Process id; `None` if the daemon runs inside this process.
     pub process_id: Option<u32>,
-    life: Life,
+    handle: Handle,
 }
 
-/// What a daemon lives in.
+/// Handle that stops a daemon.
 #[derive(Debug)]
-enum Life {
+enum Handle {
     Thread(Thread),
     Process(Process),
 }
 
-/// Stand-ins and daemons that run.
+/// Running fakes and daemons.
 pub struct Deployment {
-    /// The backend servers.
+    /// Fakes of the backend servers.
     pub fleet: Fleet,
-    /// The configuration service.
+    /// Fake of the configuration service.
     pub service: Service,
-    /// The host list.
+    /// Fake of the host list.
     pub hosts: List,
-    /// The daemons.
+    /// Running daemons, in start order.
     pub daemons: Vec<Daemon>,
 }
 
 impl Deployment {
-    /// Starts everything and waits until each daemon is ready.
+    /// Starts the fakes and the daemons, and waits until all daemons are ready.
     ///
     /// # Errors
     ///
-    /// [`Error`] where a daemon did not start or was not ready in time.
+    /// Returns [`Error`] if a daemon does not start or is not ready in time.
     pub async fn start(setup: Setup) -> Result<Self> {
         let fleet = Fleet::start(setup.shapes.iter().cloned());
         let service = Service::start();
@@ -160,7 +160,7 @@
         for data_centre in DATA_CENTRES.iter().cycle().take(setup.daemons) {
             deployment.add(&setup, data_centre).await?;
         }
-        deployment.ready().await?;
+        deployment.wait_until_ready().await?;
         Ok(deployment)
     }
 
@@ -169,46 +169,46 @@
         self.daemons.iter().map(|daemon| daemon.caller).collect()
     }
 
-    /// Stops the daemons and then the stand-ins.
+    /// Stops the daemons, then the fakes.
     pub async fn stop(self) {
         for daemon in self.daemons {
-            match daemon.life {
-                Life::Thread(thread) => thread.stop().await,
-                Life::Process(process) => process.stop().await,
+            match daemon.handle {
+                Handle::Thread(thread) => thread.stop().await,
+                Handle::Process(process) => process.stop().await,
             }
         }
     }
 
     async fn add(&mut self, setup: &Setup, data_centre: &str) -> Result<()> {
-        let (addresses, life) = self.begin(setup, data_centre).await?;
+        let (addresses, handle) = self.start_daemon(setup, data_centre).await?;
         self.hosts.set(addresses.peer, host_list::State::Live);
         self.daemons.push(Daemon {
             caller: addresses.caller,
             operator: addresses.operator,
             peer: addresses.peer,
-            process_id: match &life {
-                Life::Thread(_) => None,
-                Life::Process(process) => process.id(),
+            process_id: match &handle {
+                Handle::Thread(_) => None,
+                Handle::Process(process) => process.id(),
             },
-            life,
+            handle,
         });
         Ok(())
     }
 
-    /// Starts a daemon, on other ports where one of its ports was taken meanwhile.
-    async fn begin(&self, setup: &Setup, data_centre: &str) -> Result<(Addresses, Life)> {
-        let mut left = STARTS;
+    /// Starts a daemon. Retries with other ports if another program has taken one of them.
+    async fn start_daemon(&self, setup: &Setup, data_centre: &str) -> Result<(Addresses, Handle)> {
+        let mut remaining = MAX_STARTS;
         loop {
-            left -= 1;
+            remaining -= 1;
             let addresses = match setup.launch {
-                Launch::Threads => Addresses::any(),
+                Launch::Threads => Addresses::ephemeral(),
                 Launch::Processes(_) => Addresses::reserve().context(PortSnafu)?,
             };
             let arguments = self.arguments(&addresses, data_centre, &setup.policy);
             let daemon = addresses.caller;
             match start(&setup.launch, addresses, arguments).await {
-                Err(source) if left > 0 && source.is::<process::Ended>() => {}
-                started => return started.context(StartSnafu { daemon }),
+                Err(source) if remaining > 0 && source.is::<process::Exited>() => {}
+                result => return result.context(StartSnafu { daemon }),
             }
         }
     }
@@ -233,19 +233,19 @@
         arguments.chain(policy.arguments.iter().cloned()).collect()
     }
 
-    /// Waits until each daemon is ready and knows all the others. Before that the homes of the routes
-    /// still change, and a measurement would be one of the start.
-    async fn ready(&self) -> Result<()> {
+    /// Waits until each daemon is ready and knows all others. Until then the homes of the routes still
+    /// change, which would distort measurements.
+    async fn wait_until_ready(&self) -> Result<()> {
         let caller = Caller::new("experiment".into());
         for daemon in &self.daemons {
-            let is_ready = async {
-                while !caller.ready(daemon.caller).await
+            let ready = async {
+                while !caller.is_ready(daemon.caller).await
                     || caller.members(daemon.operator).await != Some(self.daemons.len())
                 {
                     sleep(READY_POLL).await;
                 }
             };
-            let in_time = timeout(READY_BOUND, is_ready).await.is_ok();
+            let in_time = timeout(READY_TIMEOUT, ready).await.is_ok();
             let daemon = daemon.caller;
             ensure!(in_time, NotReadySnafu { daemon });
         }
@@ -253,42 +253,42 @@
     }
 }
 
-type Started = Result<(Addresses, Life), Box<dyn std::error::Error + Send + Sync>>;
+type StartResult = Result<(Addresses, Handle), Box<dyn std::error::Error + Send + Sync>>;
 
-async fn start(launch: &Launch, addresses: Addresses, arguments: Vec<String>) -> Started {
+async fn start(launch: &Launch, addresses: Addresses, arguments: Vec<String>) -> StartResult {
     match launch {
         Launch::Threads => {
             let (addresses, thread) = Thread::spawn(arguments).await?;
-            Ok((addresses, Life::Thread(thread)))
+            Ok((addresses, Handle::Thread(thread)))
         }
         Launch::Processes(path) => {
             let mut process = Process::spawn(path, arguments)?;
-            process.serves(&addresses).await?;
-            Ok((addresses, Life::Process(process)))
+            process.wait_until_serving(&addresses).await?;
+            Ok((addresses, Handle::Process(process)))
         }
     }
 }
 
 impl Addresses {
-    /// Any free ports, which the daemon finds and tells.
-    fn any() -> Self {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    /// Returns addresses with port 0: the daemon binds free ports and reports them.
+    fn ephemeral() -> Self {
+        let ephemeral = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         Self {
-            caller: any,
-            operator: any,
-            peer: any,
+            caller: ephemeral,
+            operator: ephemeral,
+            peer: ephemeral,
         }
     }
 
-    /// Free ports for a process, which can't tell them. They are let go before it listens; if another
-    /// program takes one meanwhile, the daemon ends at once.
+    /// Finds free ports for a process, which can't report the ports that it binds. The ports are released
+    /// before the process listens; if another program takes one of them, the process exits.
     fn reserve() -> std::io::Result<Self> {
         let bind = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let held = [bind()?, bind()?, bind()?];
+        let listeners = [bind()?, bind()?, bind()?];
         Ok(Self {
-            caller: held[0].local_addr()?,
-            operator: held[1].local_addr()?,
-            peer: held[2].local_addr()?,
+            caller: listeners[0].local_addr()?,
+            operator: listeners[1].local_addr()?,
+            peer: listeners[2].local_addr()?,
         })
     }
 }
--- a/crates/experiment/src/deployment/process.rs
+++ b/crates/experiment/src/deployment/process.rs
@@ -1,6 +1,6 @@
-//! A daemon as a process of its own.
+//! A daemon in a separate process.
 
-use super::{Addresses, KEY, READY_BOUND, READY_POLL};
+use super::{Addresses, KEY, READY_POLL, READY_TIMEOUT};
 use crate::caller::Caller;
 use snafu::{ResultExt, Snafu};
 use std::path::{Path, PathBuf};
@@ -9,9 +9,9 @@
 use tokio::time::{sleep, timeout};
 
 const KEY_VARIABLE: &str = "MONSOONRING_KEY";
-const LOG_LEVEL: &str = "--log-level";
-/// Least severe level that is logged where a policy names none.
-const QUIET: &str = "warning";
+const LOG_LEVEL_FLAG: &str = "--log-level";
+/// Log level unless the policy sets one.
+const DEFAULT_LOG_LEVEL: &str = "warning";
 
 /// Result of starting a process.
 pub(super) type Result<T, E = Box<dyn std::error::Error + Send + Sync>> = std::result::Result<T, E>;
@@ -23,17 +23,17 @@
     source: std::io::Error,
 }
 
-/// The process ended before it served.
+/// The process exited before it was serving.
 #[derive(Debug, Snafu)]
-#[snafu(display("the process ended at once: {status}"))]
-pub(super) struct Ended {
+#[snafu(display("the process exited during its start: {status}"))]
+pub(super) struct Exited {
     status: std::process::ExitStatus,
 }
 
-/// The process neither served nor ended.
+/// The process did not serve within the timeout.
 #[derive(Debug, Snafu)]
-#[snafu(display("the process does not serve"))]
-struct Hanging;
+#[snafu(display("the process does not serve in time"))]
+struct NotServing;
 
 /// A running process; killed when dropped.
 #[derive(Debug)]
@@ -43,10 +43,10 @@
 
 impl Process {
     pub(super) fn spawn(path: &Path, arguments: Vec<String>) -> Result<Self> {
-        let names_level = arguments.iter().any(|argument| argument == LOG_LEVEL);
-        let level = (!names_level).then_some([LOG_LEVEL, QUIET]);
-        // Warnings are few and tell why a run failed; a line for each decision would drown them.
-        let log = match names_level {
+        let sets_level = arguments.iter().any(|argument| argument == LOG_LEVEL_FLAG);
+        let level = (!sets_level).then_some([LOG_LEVEL_FLAG, DEFAULT_LOG_LEVEL]);
+        // Show warnings, which explain failed runs. At other levels the log is too long to show.
+        let log = match sets_level {
             true => Stdio::null(),
             false => Stdio::inherit(),
         };
@@ -63,18 +63,18 @@
         Ok(Self { child })
     }
 
-    /// Waits until the process serves operators, as the member that its addresses say.
+    /// Waits until the process serves its operator port.
     ///
-    /// A port that was found free may be taken by another program before the process listens on it;
-    /// the process then ends, with [`Ended`]. That some program answers there proves nothing: it may
-    /// be the one that has taken the port.
-    pub(super) async fn serves(&mut self, addresses: &Addresses) -> Result<()> {
+    /// Another program may take a reserved port before the process listens on it; the process then exits
+    /// and this returns [`Exited`]. An answer only counts if it states the daemon's peer address, as it
+    /// may come from that other program.
+    pub(super) async fn wait_until_serving(&mut self, addresses: &Addresses) -> Result<()> {
         let caller = Caller::new("experiment".into());
         let own = addresses.peer.to_string();
-        let serves = async {
+        let serving = async {
             loop {
                 if let Some(status) = self.child.try_wait()? {
-                    return EndedSnafu { status }.fail()?;
+                    return ExitedSnafu { status }.fail()?;
                 }
                 let state = caller.state(addresses.operator).await;
                 if state.is_some_and(|state| state["address"] == own) {
@@ -83,17 +83,17 @@
                 sleep(READY_POLL).await;
             }
         };
-        let served = timeout(READY_BOUND, serves).await;
-        served.unwrap_or_else(|_| Ok(HangingSnafu.fail()?))
+        let result = timeout(READY_TIMEOUT, serving).await;
+        result.unwrap_or_else(|_| Ok(NotServingSnafu.fail()?))
     }
 
     pub(super) fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Ends the process and waits until it is gone.
+    /// Kills the process and waits for its exit.
     pub(super) async fn stop(mut self) {
-        // Nothing is in flight at the end of a run; an error means that it has ended by itself.
+        // No request is in flight at the end of a run. An error means that the process has already exited.
         let _ = self.child.kill().await;
     }
 }
--- a/crates/experiment/src/deployment/thread.rs
+++ b/crates/experiment/src/deployment/thread.rs
@@ -1,8 +1,7 @@
-//! A daemon inside this process, in a runtime and threads of its own.
+//! A daemon inside this process, with a separate runtime and threads.
 //!
-//! It is the daemon's own code from its settings on, sockets included; only the process is shared. Its
-//! threads bear a name of their own, so that their processor time can be told from that of the
-//! stand-ins and of the load generator.
+//! Runs the real daemon, including settings and sockets. The name of its threads separates their
+//! processor time from that of the fakes and the load generator.
 
 use super::{Addresses, KEY};
 use futures::FutureExt;
@@ -16,13 +15,13 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::oneshot;
 
-/// Name of the threads of daemons; the operating system keeps 15 bytes of it.
+/// Name of the daemons' threads. Linux truncates thread names to 15 bytes.
 pub const THREAD_NAME: &str = "daemon";
-/// Program name, which the settings expect first.
+/// Program name, expected as the first argument.
 const PROGRAM: &str = "monsoonringd";
-/// Threads that run the tasks of one daemon.
-const WORKERS: usize = 2;
-/// Nothing balances over the daemons of an experiment, so a stop needs no wait.
+/// Worker threads of one daemon's runtime.
+const WORKER_THREADS: usize = 2;
+/// No load balancer has to notice the stop of an experiment's daemon.
 const DRAIN_WAIT_MS: &str = "0";
 
 type Cause = Box<dyn std::error::Error + Send + Sync>;
@@ -41,21 +40,21 @@
         let program = program.into_iter().map(str::to_owned);
         let settings = Settings::read(program.chain(arguments))?;
         let runtime = Builder::new_multi_thread()
-            .worker_threads(WORKERS)
+            .worker_threads(WORKER_THREADS)
             .thread_name(THREAD_NAME)
             .enable_all()
             .build()?;
         let (started, start) = oneshot::channel();
         let (stop, stopping) = oneshot::channel();
-        let life = thread::Builder::new().name(THREAD_NAME.to_owned());
-        let thread = life.spawn(move || live(&runtime, &settings, started, stopping))?;
+        let builder = thread::Builder::new().name(THREAD_NAME.to_owned());
+        let thread = builder.spawn(move || run(&runtime, &settings, started, stopping))?;
         let addresses = start.await??;
         Ok((addresses, Self { stop, thread }))
     }
 
-    /// Stops the daemon as a signal does and waits until it has ended.
+    /// Stops the daemon as a signal would, and waits until it has stopped.
     pub(super) async fn stop(self) {
-        // A daemon that has ended by itself hears no signal; joining it is all that is left.
+        // Sending fails if the daemon has already stopped.
         let _ = self.stop.send(());
         let _ = tokio::task::spawn_blocking(move || self.thread.join()).await;
     }
@@ -63,10 +62,10 @@
 
 type Started = oneshot::Sender<Result<Addresses, Cause>>;
 
-fn live(runtime: &Runtime, settings: &Settings, started: Started, stopping: oneshot::Receiver<()>) {
+fn run(runtime: &Runtime, settings: &Settings, started: Started, stopping: oneshot::Receiver<()>) {
     let metrics = Arc::new(Metrics::default());
     let dropped = metrics.log_dropped.clone();
-    // Lines are composed as in production and then thrown away: their cost is the daemon's.
+    // Format log lines as in production and discard them, so that their cost is measured.
     let (log, _guard) = log::start_to(
         std::io::sink(),
         settings.log_format,
@@ -89,7 +88,7 @@
         operator: launched.running.operator_address(),
         peer: launched.peer_address,
     };
-    // Without anybody waiting for the addresses, the stop follows at once.
+    // If the receiver was dropped, so was the stop channel, and the daemon stops immediately.
     let _ = started.send(Ok(addresses));
     let signals = stopping.map(|_| ()).into_stream();
     launched.running.until_stopped(signals).await;
--- a/crates/experiment/src/fault.rs
+++ b/crates/experiment/src/fault.rs
@@ -1,4 +1,4 @@
-//! Bringing a scenario's fault about.
+//! Injects the fault of a scenario.
 
 use crate::caller::Caller;
 use crate::deployment::Deployment;
@@ -10,21 +10,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Factor on the service times of a straggler.
+/// Factor by which a straggler's service times grow.
 const STRAGGLER_SLOWDOWN: f64 = 10.0;
-/// Text of a request that crashes backend servers.
+/// Text in the body of a request that crashes backend servers.
 const CRASH_MARKER: &str = "crash-me";
-/// Time until a crashed backend server is back.
+/// Time until a crashed backend server restarts.
 const CRASH_RESTART: Duration = Duration::from_millis(500);
-/// Sends of the request that crashes backend servers.
+/// Number of times that the crashing request is sent.
 const CRASH_SENDS: usize = 10;
 const CRASH_SEND_GAP: Duration = Duration::from_millis(100);
-/// Time between two replicas of a roll-out.
+/// Time between the replicas of a roll-out.
 const ROLL_OUT_GAP: Duration = Duration::from_millis(500);
 const OLD_VERSION: u64 = 1;
 const NEW_VERSION: u64 = 2;
 
-/// Prepares the backend servers, before they start, for a fault that has to be known by then.
+/// Configures the backend servers for the fault, before they start.
 pub fn prepare(fault: Fault, shape: &mut Shape) {
     if fault == Fault::CrashingRequest {
         shape.settings.crash = Some(Crash {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Brings the fault about; returns when nothing further is to be done for it.
+/// Injects the fault and returns when it is complete.
 pub async fn inject(scenario: &Scenario, deployment: &Deployment) {
     let shape = scenario.fleet();
     let group = |place| deployment.fleet.group(&shape.route, place);
@@ -48,13 +48,13 @@
                 group(place)[0].silence_open();
             }
         }
-        Fault::MisleadingLoad => mislead(first, &shape),
+        Fault::MisleadingLoad => report_idle(first, &shape),
         Fault::IndexRollOut => roll_out(&shape, deployment).await,
         Fault::CrashingRequest => send_crashing(&shape, deployment).await,
     }
 }
 
-fn mislead(server: &Server, shape: &Shape) {
+fn report_idle(server: &Server, shape: &Shape) {
     let idle = Load {
         busy: 0,
         slots: shape.settings.slots,
@@ -67,21 +67,22 @@
     server.set_reply_load(Some(idle));
 }
 
-/// Each replica gets the new version, and gives the old one up once the next replica has the new.
+/// Rolls out a new index version. Each replica keeps the old version until the next replica has the new
+/// one.
 async fn roll_out(shape: &Shape, deployment: &Deployment) {
-    let column = |replica: usize| {
+    let nth_replicas = |replica: usize| {
         let groups = 0..shape.groups;
         groups.filter_map(move |place| deployment.fleet.group(&shape.route, place).get(replica))
     };
     for replica in 0..=shape.replicas {
-        column(replica).for_each(|server| server.add_index_version(NEW_VERSION));
-        let earlier = replica.checked_sub(1).into_iter().flat_map(column);
-        earlier.for_each(|server| server.retire_index_version(OLD_VERSION));
+        nth_replicas(replica).for_each(|server| server.add_index_version(NEW_VERSION));
+        let previous = replica.checked_sub(1).into_iter().flat_map(nth_replicas);
+        previous.for_each(|server| server.retire_index_version(OLD_VERSION));
         sleep(ROLL_OUT_GAP).await;
     }
 }
 
-/// A caller that sends its request again whenever it fails, to one daemon after the other.
+/// Sends the crashing request repeatedly, to each daemon in turn.
 async fn send_crashing(shape: &Shape, deployment: &Deployment) {
     if shape.kind == Kind::Execute {
         return;
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,14 +1,14 @@
-//! Open-loop load, experiments and the demonstration.
+//! Load generator, experiments, capacity model and simulation.
 //!
-//! An experiment puts the real daemon between a load generator and the stand-ins of
-//! `monsoonring-fakes`, all over sockets of the loopback interface. Load is open-loop: requests
-//! leave at times drawn beforehand, and latency is counted from those times, so that a slow answer
-//! can't hide the wait of the requests behind it. Everything random is drawn from a seed.
+//! An experiment runs real daemons between a load generator and the fakes of `monsoonring-fakes`, all
+//! over loopback sockets. Load is open-loop: send times are drawn in advance, and latency is measured
+//! from these times, so a slow answer can't hide the queueing of later requests (coordinated omission).
+//! All randomness is seeded.
 //!
-//! A [`trial`] goes through these modules: a [`scenario`] says what is tried, [`deployment`] starts
-//! stand-ins and daemons, [`load`] sends and records [`sample`]s by way of the [`caller`] client while
-//! [`fault`] breaks something and [`tally`] counts, [`verify`] holds each answer against what the stand-ins hold, and
-//! [`report`] turns the samples into tables and plots.
+//! A [`trial`] runs one [`scenario`]: [`deployment`] starts fakes and daemons, [`load`] sends requests
+//! through the [`caller`] client and records [`sample`]s, [`fault`] injects a fault, [`tally`] counts
+//! attempts, [`verify`] checks each answer against the fakes' data, and [`report`] writes tables and
+//! plots.
 
 pub mod arrival;
 pub mod caller;
--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -1,9 +1,8 @@
 //! The load generator.
 //!
-//! A thread of its own sleeps until each intended time and hands the request to the runtime at once,
-//! whether or not earlier ones were answered. The runtime's own timer has a grain of a millisecond,
-//! which would show in every latency; the thread's sleep is some tens of microseconds late, and the
-//! lag is recorded.
+//! A dedicated thread sleeps until each intended send time and spawns the request on the runtime,
+//! whether or not earlier requests were answered. The runtime's timer is too coarse for this: its
+//! resolution of a millisecond would add to every latency. Each sample records the remaining lag.
 
 use crate::arrival::Arrivals;
 use crate::caller::{Answer, Caller};
@@ -17,16 +16,16 @@
 use tokio::runtime::Handle;
 use tokio::task::JoinHandle;
 
-/// What is sent.
+/// Load to send.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests are sent.
+    /// Duration for which requests are sent.
     pub duration: Duration,
-    /// Seed of the intended times.
+    /// Seed of the intended send times.
     pub seed: u64,
-    /// Caller addresses of the daemons, used in turn.
+    /// Caller addresses of the daemons, used round-robin.
     pub daemons: Vec<SocketAddr>,
     /// Name of the route.
     pub route: RouteId,
@@ -34,13 +33,13 @@
     pub kind: Kind,
     /// Name of the caller.
     pub caller: CallerId,
-    /// Time in which each answer is wanted.
+    /// Deadline of each request.
     pub deadline: Duration,
-    /// What a whole answer holds.
+    /// Contents of a complete answer.
     pub data: Data,
 }
 
-/// Sends the planned requests and returns what became of each, in the order of sending.
+/// Sends the planned requests and returns their samples in send order.
 pub async fn run(plan: &Plan) -> Vec<Sample> {
     let plan = Arc::new(plan.clone());
     let caller = Caller::new(plan.caller.clone());
@@ -97,8 +96,8 @@
             outcome: answer.outcome,
             coverage: (self.plan.kind == Kind::Search).then_some(answer.coverage),
             index_version: answer.index_version,
-            untrue: !verify::is_true(&answer, &self.plan.data),
-            reason: answer.why,
+            untrue: !verify::is_correct(&answer, &self.plan.data),
+            reason: answer.reason,
         }
     }
 
@@ -110,7 +109,7 @@
         answer.await
     }
 
-    /// Gets a key and sends the request under it; without a key it isn't sent and did not run.
+    /// Gets an idempotency key and sends the request with it. Without a key, the request is not sent.
     async fn execute(&self, body: String) -> Answer {
         let plan = &self.plan;
         let key = self.caller.key(self.daemon, &plan.route, plan.deadline);
--- a/crates/experiment/src/operator.rs
+++ b/crates/experiment/src/operator.rs
@@ -1,4 +1,4 @@
-//! What daemons tell operators, read by experiments: numbers and knowledge.
+//! Client of the daemons' operator port: reads metrics and state.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -11,53 +11,53 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time that a daemon may take to answer.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a request to an operator port.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Kind of the fact that a backend server is leaving.
 pub const LEAVING: &str = "leaving backend server";
-/// Kind of the fact that requests with a fingerprint crash backend servers.
+/// Kind of the fact that requests with this fingerprint crash backend servers.
 pub const SUSPECT: &str = "crashing request";
 
-const SENT: &str = "monsoonring_peer_sent_bytes_total";
-const RECEIVED: &str = "monsoonring_peer_received_bytes_total";
-const PROCESSOR: &str = "monsoonring_process_cpu_seconds_total";
+const SENT_BYTES: &str = "monsoonring_peer_sent_bytes_total";
+const RECEIVED_BYTES: &str = "monsoonring_peer_received_bytes_total";
+const CPU_SECONDS: &str = "monsoonring_process_cpu_seconds_total";
 
-/// Result of asking an operator port.
+/// Result of a request to an operator port.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why an operator port gave nothing of use.
+/// Error of a request to an operator port.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The daemon did not answer in time, or not at all.
+    /// The daemon did not answer in time.
     #[snafu(display("ask {peer}{path}: no answer"))]
-    Silence {
-        /// The daemon.
+    NoAnswer {
+        /// Operator address of the daemon.
         peer: SocketAddr,
-        /// What was asked for.
+        /// Path of the request.
         path: &'static str,
     },
-    /// The state can't be read.
+    /// The state could not be decoded.
     #[snafu(display("read the state of {peer}: {source}"))]
     State {
-        /// The daemon.
+        /// Operator address of the daemon.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// The decoding error.
         source: serde_json::Error,
     },
-    /// A number is missing from the metrics.
+    /// A metric is missing or not a number.
     #[snafu(display("read the metrics of {peer}: no {name}"))]
-    Number {
-        /// The daemon.
+    MissingMetric {
+        /// Operator address of the daemon.
         peer: SocketAddr,
-        /// Name of the number.
+        /// Name of the metric.
         name: &'static str,
     },
 }
 
 /// Counters of one daemon since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Numbers {
+pub struct Counters {
     /// Bytes sent to other daemons.
     pub sent: f64,
     /// Bytes received from other daemons.
@@ -66,45 +66,45 @@
     pub processor: f64,
 }
 
-/// What a daemon knows.
+/// State of a daemon, as `/state` returns it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct State {
-    /// The configuration in force.
+    /// The active configuration.
     pub configuration: Configuration,
-    /// Members that serve.
+    /// Members that the daemon knows.
     pub members: Vec<serde_json::Value>,
-    /// Facts that spread between daemons.
+    /// Facts that the daemons gossip.
     pub facts: Vec<Fact>,
     /// The routes with their homes.
     pub routes: Vec<Route>,
 }
 
-/// Which configuration is in force.
+/// The active configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Configuration {
-    /// Its revision.
+    /// Revision of the document; `None` before the first document.
     pub revision: Option<Revision>,
 }
 
-/// One fact.
+/// A fact that the daemons gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Fact {
     /// Its kind: [`LEAVING`], [`SUSPECT`] or another.
     pub what: String,
-    /// What it is about: an address or a fingerprint.
+    /// Subject of the fact: an address or a fingerprint.
     pub of: String,
-    /// Start number of the process that leaves.
+    /// Version of the fact; for [`LEAVING`], the start number of the process.
     pub version: u64,
 }
 
-/// One route as a daemon sees it.
+/// A route in a daemon's state.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Route {
     /// Peer addresses of its homes.
     pub homes: Vec<SocketAddr>,
 }
 
-/// Asks operator ports; clones share connections.
+/// Client of operator ports. Clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct Operator {
     client: Client<HttpConnector, Empty<Bytes>>,
@@ -123,22 +123,22 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] where the daemon does not answer or a counter is missing.
-    pub async fn numbers(&self, peer: SocketAddr) -> Result<Numbers> {
+    /// Returns [`Error`] if the daemon does not answer or a counter is missing.
+    pub async fn counters(&self, peer: SocketAddr) -> Result<Counters> {
         let body = self.get(peer, "/metrics").await?;
         let text = String::from_utf8_lossy(&body);
-        Ok(Numbers {
-            sent: number(&text, peer, SENT)?,
-            received: number(&text, peer, RECEIVED)?,
-            processor: number(&text, peer, PROCESSOR)?,
+        Ok(Counters {
+            sent: counter(&text, peer, SENT_BYTES)?,
+            received: counter(&text, peer, RECEIVED_BYTES)?,
+            processor: counter(&text, peer, CPU_SECONDS)?,
         })
     }
 
-    /// Returns what a daemon knows.
+    /// Returns the state of a daemon.
     ///
     /// # Errors
     ///
-    /// [`Error`] where the daemon does not answer or its state can't be read.
+    /// Returns [`Error`] if the daemon does not answer or its state can't be decoded.
     pub async fn state(&self, peer: SocketAddr) -> Result<State> {
         let body = self.get(peer, "/state").await?;
         serde_json::from_slice(&body).context(StateSnafu { peer })
@@ -151,13 +151,13 @@
             let body = response.into_body().collect().await.ok()?;
             Some(body.to_bytes())
         };
-        let answer = tokio::time::timeout(LIMIT, exchange).await;
-        answer.ok().flatten().context(SilenceSnafu { peer, path })
+        let answer = tokio::time::timeout(REQUEST_TIMEOUT, exchange).await;
+        answer.ok().flatten().context(NoAnswerSnafu { peer, path })
     }
 }
 
-fn number(text: &str, peer: SocketAddr, name: &'static str) -> Result<f64> {
+fn counter(text: &str, peer: SocketAddr, name: &'static str) -> Result<f64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     let value = line.and_then(|value| value.trim().parse().ok());
-    value.context(NumberSnafu { peer, name })
+    value.context(MissingMetricSnafu { peer, name })
 }
--- a/crates/experiment/src/processor.rs
+++ b/crates/experiment/src/processor.rs
@@ -1,8 +1,8 @@
-//! Processor time of the daemons' threads, from the operating system's accounts.
+//! Reads processor time of the daemons' threads from `/proc`.
 //!
-//! `/proc/PID/task/TID/schedstat` counts in nanoseconds, whereas `getrusage` and `stat` know whole
-//! processes or hundredths of a second. The daemons of this process are told apart by the name of
-//! their threads.
+//! `/proc/PID/task/TID/schedstat` has a resolution of nanoseconds per thread; `getrusage` covers whole
+//! processes, and `stat` counts hundredths of a second. Daemons inside this process are identified by
+//! their thread name.
 
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::fs;
@@ -12,33 +12,33 @@
 /// Result of reading processor times.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Processor times that could not be read.
+/// Error of reading processor times.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A file of the operating system could not be read.
+    /// A file or folder in `/proc` could not be read.
     #[snafu(display("read {}: {source}", path.display()))]
     Read {
-        /// The file.
+        /// Path in `/proc`.
         path: PathBuf,
-        /// What went wrong.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A file of the operating system has an unknown form.
+    /// A `schedstat` file has an unexpected format.
     #[snafu(display("read {}: no processor time in {text:?}", path.display()))]
-    Form {
-        /// The file.
+    Format {
+        /// Path in `/proc`.
         path: PathBuf,
-        /// What it holds.
+        /// Content of the file.
         text: String,
     },
 }
 
-/// Returns the processor time that the living threads of a process have taken; with a name, those of
-/// the threads of that name. `None` stands for this process.
+/// Returns the total processor time of a process's live threads, or only of those with the given name.
+/// A `process_id` of `None` means this process.
 ///
 /// # Errors
 ///
-/// [`Error`] where the operating system doesn't give it.
+/// Returns [`Error`] if a file can't be read or has another format.
 pub fn time(process_id: Option<u32>, thread_name: Option<&str>) -> Result<Duration> {
     let process = process_id.map_or_else(|| "self".to_owned(), |id| id.to_string());
     let path = PathBuf::from(format!("/proc/{process}/task"));
@@ -46,9 +46,9 @@
     let mut total = Duration::ZERO;
     for thread in threads.flatten() {
         let path = thread.path();
-        let is_counted = thread_name.is_none_or(|name| is_named(&path, name));
-        // A thread that ends meanwhile has no files any more; it isn't living.
-        if is_counted && path.exists() {
+        let is_included = thread_name.is_none_or(|name| is_named(&path, name));
+        // A thread may exit after the folder was listed.
+        if is_included && path.exists() {
             total += thread_time(&path.join("schedstat"))?;
         }
     }
@@ -56,14 +56,14 @@
 }
 
 fn is_named(thread: &Path, name: &str) -> bool {
-    let found = fs::read_to_string(thread.join("comm"));
-    found.is_ok_and(|found| found.trim_end() == name)
+    let actual = fs::read_to_string(thread.join("comm"));
+    actual.is_ok_and(|actual| actual.trim_end() == name)
 }
 
 fn thread_time(path: &Path) -> Result<Duration> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     let nanos = text.split_whitespace().next();
     let nanos = nanos.and_then(|nanos| nanos.parse().ok());
-    let nanos = nanos.context(FormSnafu { path, text })?;
+    let nanos = nanos.context(FormatSnafu { path, text })?;
     Ok(Duration::from_nanos(nanos))
 }
--- a/crates/experiment/src/report/mod.rs
+++ b/crates/experiment/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Samples of a run, summed up.
+//! Summarizes the samples of a run.
 
 pub mod plot;
 mod table;
@@ -13,20 +13,20 @@
 
 /// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Longest latency that is told apart, in microseconds: ten minutes.
-const LONGEST_MICROS: u64 = 600_000_000;
+/// Largest recorded latency in microseconds (ten minutes); longer ones are clamped.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 const PERCENT: f64 = 100.0;
 
-/// Attempts as the backend servers counted them.
+/// Attempts counted at the backend servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
-    /// Attempts that were the first of their request at their group.
+    /// First attempts of a request at a group.
     pub first: u64,
     /// All attempts.
     pub all: u64,
-    /// Processes of backend servers that crashed.
+    /// Crashes of backend servers.
     pub crashes: u64,
-    /// Times that a non-idempotent request ran beyond its first run; anything but 0 is a fault.
+    /// Duplicate executions of non-idempotent requests; must be 0.
     pub doubled: u64,
 }
 
@@ -40,22 +40,22 @@
 }
 
 impl Attempts {
-    /// Returns the attempts beyond the first ones, in per cent of these.
+    /// Returns the additional attempts in percent of the first attempts.
     pub fn extra_percent(&self) -> f64 {
         let extra = self.all.saturating_sub(self.first);
         PERCENT * extra as f64 / self.first.max(1) as f64
     }
 }
 
-/// Latencies in microseconds.
+/// Histogram of latencies in microseconds.
 pub type Latencies = Histogram<u64>;
 
 /// Coverage of the searches of a run, as shares from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Coverage {
-    /// Mean over all searches; one without an answer counts as 0.
+    /// Mean over all searches; searches without an answer count as 0.
     pub mean: f64,
-    /// Least coverage of an answer; 1 without answers.
+    /// Minimum over all answers; 1 without answers.
     pub min: f64,
 }
 
@@ -81,35 +81,35 @@
     pub scenario: String,
     /// Name of the policy.
     pub policy: String,
-    /// What was measured.
+    /// Measurements under this policy.
     pub summary: Summary,
 }
 
-/// What a run measured.
+/// Measurements of one or more runs.
 #[derive(Clone, Debug)]
 pub struct Summary {
     /// Requests sent.
     pub requests: usize,
-    /// Requests by outcome.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<Outcome, usize>,
-    /// Requests without an answer by reason.
+    /// Requests without an answer, by reason.
     pub reasons: BTreeMap<String, usize>,
     /// Latencies of the answered requests.
     pub latencies: Latencies,
-    /// Answers within the deadline, a second.
+    /// Answers within the deadline, per second.
     pub goodput: f64,
-    /// Coverage of searches; none for non-idempotent requests.
+    /// Coverage of searches; `None` for non-idempotent requests.
     pub coverage: Option<Coverage>,
-    /// Answers that contradict themselves or the data.
+    /// Number of answers that contradict themselves or the data.
     pub untrue: usize,
     /// Attempts at the backend servers.
     pub attempts: Attempts,
-    /// Largest delay of the load generator itself.
+    /// Maximum lag of the load generator.
     pub lag_max: Duration,
 }
 
 impl Summary {
-    /// Sums up samples of a run of the given length.
+    /// Summarizes the samples of runs with the given total duration.
     pub fn new(
         samples: &[Sample],
         duration: Duration,
@@ -117,14 +117,14 @@
         attempts: Attempts,
     ) -> Self {
         let answers = || samples.iter().filter(|sample| sample.outcome.is_answer());
-        let lost = samples.iter().filter(|sample| !sample.outcome.is_answer());
+        let unanswered = samples.iter().filter(|sample| !sample.outcome.is_answer());
         let in_time = answers()
             .filter(|sample| sample.latency <= deadline)
             .count();
         Self {
             requests: samples.len(),
             outcomes: count(samples.iter().map(|sample| sample.outcome)),
-            reasons: count(lost.map(|sample| sample.reason.clone())),
+            reasons: count(unanswered.map(|sample| sample.reason.clone())),
             latencies: latencies(answers()),
             goodput: in_time as f64 / duration.as_secs_f64(),
             coverage: Coverage::new(samples),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the latency below which the given share, from 0 to 1, of the answers stayed.
+    /// Returns the latency at a quantile, from 0 to 1, of the answers.
     pub fn latency(&self, share: f64) -> Duration {
         Duration::from_micros(self.latencies.value_at_quantile(share))
     }
@@ -154,7 +154,7 @@
 }
 
 fn latencies<'a>(samples: impl Iterator<Item = &'a Sample>) -> Latencies {
-    let mut latencies = empty();
+    let mut latencies = empty_histogram();
     for sample in samples {
         let micros = u64::try_from(sample.latency.as_micros()).unwrap_or(u64::MAX);
         latencies.saturating_record(micros);
@@ -162,8 +162,9 @@
     latencies
 }
 
-/// A histogram up to the longest latency that is told apart. An unbounded one, which grows while it
-/// records, would take a saturating record for its current size and cut every latency down to it.
-fn empty() -> Latencies {
-    Histogram::new_with_bounds(1, LONGEST_MICROS, LATENCY_DIGITS).expect("the bounds are in order")
+/// Returns a histogram with a fixed maximum. In an auto-resizing histogram, `saturating_record` would
+/// clamp latencies to the current size.
+fn empty_histogram() -> Latencies {
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS)
+        .expect("histogram bounds are valid")
 }
--- a/crates/experiment/src/report/table.rs
+++ b/crates/experiment/src/report/table.rs
@@ -1,4 +1,4 @@
-//! Rows as Markdown for pages and as CSV for further work.
+//! Formats rows as Markdown and CSV.
 
 use crate::report::{PERCENT, Row, Summary};
 use crate::sample::Outcome;
@@ -9,7 +9,7 @@
 const P999: f64 = 0.999;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Heading and value of one column.
+/// A column of the report.
 struct Column {
     heading: &'static str,
     value: fn(&Summary) -> String,
@@ -46,7 +46,7 @@
     Column { heading, value }
 }
 
-/// Writes rows as a Markdown table.
+/// Returns the rows as a Markdown table.
 pub fn markdown(rows: &[Row]) -> String {
     let mut text = line(&headings());
     let rule: Vec<String> = headings().iter().map(|_| "---".to_owned()).collect();
@@ -57,7 +57,7 @@
     text
 }
 
-/// Writes rows as CSV.
+/// Returns the rows as CSV with a header line.
 pub fn csv(rows: &[Row]) -> String {
     let lines = std::iter::once(headings()).chain(rows.iter().map(cells));
     lines.map(|cells| record(&cells)).collect()
@@ -68,7 +68,7 @@
     quoted.join(",") + "\n"
 }
 
-/// Names of scenarios and policies have commas, which would shift the columns behind them.
+/// Quotes a cell if needed: names of scenarios and policies contain commas.
 fn quote(cell: &str) -> String {
     if cell.contains([',', '"']) {
         format!("\"{}\"", cell.replace('"', "\"\""))
--- a/crates/experiment/src/sample.rs
+++ b/crates/experiment/src/sample.rs
@@ -1,11 +1,11 @@
-//! What one request came to.
+//! Result of one request of the load generator.
 
 use derive_more::Display;
 use monsoonring_configuration::id::IndexVersion;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How a request ended, as its caller sees it.
+/// Outcome of a request, as its caller sees it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,31 +14,31 @@
     /// A search was answered from all of the data.
     #[display("complete")]
     Complete,
-    /// A search was answered from a part of the data.
+    /// A search was answered from part of the data.
     #[display("partial")]
     Partial,
-    /// A non-idempotent request ran.
+    /// A non-idempotent request was executed.
     #[display("executed")]
     Executed,
-    /// Nothing of the request ran.
+    /// The request was not executed at all.
     #[display("not run")]
     NotRun,
     /// The request failed.
     #[display("failed")]
     Failed,
-    /// The non-idempotent request may have run.
+    /// The non-idempotent request may have been executed.
     #[display("unknown")]
     Unknown,
     /// The daemon could not be reached.
     #[display("unreachable")]
     Unreachable,
-    /// No answer arrived, although the deadline was long over.
+    /// No answer arrived within the deadline and the caller's grace period.
     #[display("silent")]
     Silent,
 }
 
 impl Outcome {
-    /// Tells whether the caller got what it asked for, if only in part.
+    /// Returns whether the caller got a complete or partial result.
     pub fn is_answer(self) -> bool {
         matches!(self, Self::Complete | Self::Partial | Self::Executed)
     }
@@ -47,21 +47,20 @@
 /// One request of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
-    /// Time from the start of the run at which it was to be sent.
+    /// Intended send time, from the start of the run.
     pub intended: Duration,
-    /// Time by which it was really sent later than that; large values mean that the load generator,
-    /// and not the system, was the bottleneck.
+    /// Delay of the actual send time; large values mean that the load generator was the bottleneck.
     pub lag: Duration,
-    /// Time from the intended sending to the end of the answer.
+    /// Time from the intended send time to the end of the answer.
     pub latency: Duration,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Share of the data that the answer was taken from, as the answer says, and 0 without an answer;
-    /// a non-idempotent request has none.
+    /// Share of the data that the answer reports as covered; 0 without an answer, `None` for
+    /// non-idempotent requests.
     pub coverage: Option<f64>,
-    /// Snapshot that the answer was taken from.
+    /// Index version of the answer.
     pub index_version: Option<IndexVersion>,
-    /// Why there was no answer; empty where there was one.
+    /// Why there was no answer; empty if there was one.
     pub reason: String,
     /// Whether the answer contradicts itself or the data; see [`crate::verify`].
     pub untrue: bool,
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -1,7 +1,6 @@
-//! What an experiment tries: a shape of backend servers, a load, a fault and a policy.
+//! Scenarios of an experiment: a shape of backend servers, a load and a fault, run under a policy.
 //!
-//! The rate is given as a share of saturation, so that a scenario means the same whatever the service
-//! times are scaled to.
+//! Load is a share of the saturation rate, so a scenario is independent of the scale of service times.
 
 use clap::ValueEnum;
 use derive_more::Display;
@@ -13,22 +12,22 @@
 /// Shape of a route's backend servers.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, ValueEnum)]
 pub enum Shape {
-    /// Search over 10 groups of 3, where coverage weighs most.
+    /// Search over 10 groups of 3 replicas; coverage matters most.
     #[display("dispatch map")]
     DispatchMap,
-    /// Search over 10 groups of 3, where latency weighs most.
+    /// Search over 10 groups of 3 replicas; latency matters most.
     #[display("gate desk")]
     GateDesk,
-    /// Search at one of 20 equal backend servers.
+    /// Search at one of 20 equivalent backend servers.
     #[display("planner desk")]
     PlannerDesk,
-    /// Non-idempotent requests at one of 10 equal backend servers.
+    /// Non-idempotent requests at one of 10 equivalent backend servers.
     #[display("repair tickets")]
     RepairTickets,
 }
 
 impl Shape {
-    /// Returns the backend servers with their route.
+    /// Returns the shape of the backend servers and their route.
     pub fn fleet(self) -> Fleet {
         match self {
             Self::DispatchMap => fleet::dispatch_map(),
@@ -39,47 +38,47 @@
     }
 }
 
-/// What goes wrong in a run.
+/// Fault that is injected into a run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, ValueEnum)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[display("no fault")]
     Nothing,
     /// One backend server becomes ten times slower.
     #[display("straggler")]
     Straggler,
-    /// One backend server is gone for good.
+    /// One backend server stops permanently.
     #[display("replica gone")]
     ReplicaGone,
-    /// A new index version reaches one replica after the other.
+    /// A new index version is rolled out to one replica of each group at a time.
     #[display("index roll-out")]
     IndexRollOut,
-    /// The open connections of one replica of each group go silent.
+    /// The open connections of one replica of each group stop responding without being closed.
     #[display("silent connections")]
     SilentConnections,
-    /// A request crashes each backend server that runs it, and is sent again and again.
+    /// A request that crashes each backend server that runs it is sent repeatedly.
     #[display("crashing request")]
     CrashingRequest,
-    /// One backend server is slow and reports that it is idle.
+    /// One slow backend server reports that it is idle.
     #[display("misleading load")]
     MisleadingLoad,
 }
 
-/// How the daemons are to behave, over what the document says by itself.
+/// Overrides of the document and the daemons' flags.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     /// Name in the report.
     pub name: String,
-    /// Hedging in place of the document's.
+    /// Replaces the document's hedge settings.
     pub hedge: Option<Hedge>,
-    /// Retries in place of the document's.
+    /// Replaces the document's retry settings.
     pub retry: Option<Retry>,
-    /// Further flags of the daemons.
+    /// Additional flags of the daemons.
     pub arguments: Vec<String>,
 }
 
 impl Policy {
-    /// Returns the policy that the document describes by default.
+    /// Returns the policy without overrides.
     pub fn document() -> Self {
         Self {
             name: "document".to_owned(),
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Returns the policy without hedges and retries.
+    /// Returns the policy without hedges or retries.
     pub fn without_extra_attempts() -> Self {
         let retry = Retry {
             budget_percent: 0.0,
@@ -113,8 +112,8 @@
         }
     }
 
-    /// Writes the policy into a document. No policy reaches the non-idempotent routes, and a hedge
-    /// there would make the document invalid: it would run a request twice.
+    /// Applies the policy to the search routes of a document. Disables hedges on non-idempotent routes,
+    /// where validation rejects them because a hedge would execute a request twice.
     pub fn apply(&self, document: &mut Document) {
         for route in &mut document.routes {
             match route.kind {
@@ -128,38 +127,38 @@
     }
 }
 
-/// One setting under which policies are compared.
+/// Conditions under which policies are compared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     /// The backend servers.
     pub shape: Shape,
     /// Rate as a share of the saturation rate.
     pub load: f64,
-    /// What goes wrong, after a third of the run.
+    /// Fault to inject after a third of the run.
     pub fault: Fault,
-    /// Factor on all times of the shape.
+    /// Scale factor for all times of the shape.
     pub scale: f64,
-    /// How long load is measured.
+    /// Duration of the measured load.
     pub duration: Duration,
 }
 
 impl Scenario {
-    /// Returns the backend servers with all times scaled.
+    /// Returns the shape with all times scaled.
     pub fn fleet(&self) -> Fleet {
         self.shape.fleet().scaled(self.scale)
     }
 
-    /// Returns the requests a second that are sent.
+    /// Returns the request rate, per second.
     pub fn rate(&self) -> f64 {
         self.load * saturation(&self.fleet())
     }
 
-    /// Returns the time after which the fault is injected.
+    /// Returns the time from the start of the run to the fault.
     pub fn fault_after(&self) -> Duration {
         self.duration / 3
     }
 
-    /// Returns a name for reports.
+    /// Returns the name of the scenario in reports.
     pub fn name(&self) -> String {
         const PERCENT: f64 = 100.0;
         let load = self.load * PERCENT;
@@ -167,14 +166,14 @@
     }
 }
 
-/// Returns the requests a second at which every slot of a group would always be busy. Each request
-/// takes a slot in each group.
+/// Returns the request rate, per second, at which all slots of a group are always busy. Each request
+/// occupies one slot in each group.
 pub fn saturation(shape: &Fleet) -> f64 {
     let slots = (shape.replicas * shape.settings.slots) as f64;
     slots / mean(shape.settings.service_time)
 }
 
-/// The mean service time in seconds.
+/// Returns the mean of a distribution in seconds.
 fn mean(distribution: Distribution) -> f64 {
     match distribution {
         Distribution::Constant(time) | Distribution::Exponential { mean: time } => {
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -1,35 +1,35 @@
-//! Counting attempts at the backend servers.
+//! Counts attempts at the backend servers.
 //!
-//! Extra load is counted where it is felt and not where it is sent: a daemon's own count would miss
-//! what other daemons add, and what it believes to have cancelled in time.
+//! Extra load is counted where it arrives: the count of one daemon would miss the attempts of other
+//! daemons, and attempts that it cancelled too late.
 
 use crate::report::Attempts;
 use monsoonring_fakes::backend_server::Server;
 use monsoonring_fakes::fleet::{Fleet, Shape};
 use std::collections::{HashMap, HashSet};
 
-/// A count that has begun.
+/// Counts the attempts at a shape's backend servers since [`Tally::begin`].
 pub struct Tally<'a> {
     fleet: &'a Fleet,
     shape: &'a Shape,
-    before: Vec<Vec<Seen>>,
+    before: Vec<Vec<Baseline>>,
 }
 
-/// What one backend server had counted when the tally began.
-struct Seen {
+/// Counts of one backend server when the tally began.
+struct Baseline {
     attempts: usize,
     crashes: u64,
 }
 
 impl<'a> Tally<'a> {
-    /// Begins to count the attempts at the backend servers of a shape.
+    /// Starts to count attempts at the backend servers of a shape.
     pub fn begin(fleet: &'a Fleet, shape: &'a Shape) -> Self {
-        let seen = |server: &Server| Seen {
+        let baseline = |server: &Server| Baseline {
             attempts: server.attempts().len(),
             crashes: server.counters().crashes,
         };
-        let group = |place| fleet.group(&shape.route, place);
-        let before = (0..shape.groups).map(|place| group(place).iter().map(seen).collect());
+        let group = |index| fleet.group(&shape.route, index);
+        let before = (0..shape.groups).map(|index| group(index).iter().map(baseline).collect());
         Self {
             fleet,
             shape,
@@ -37,26 +37,25 @@
         }
     }
 
-    /// Returns the count since the beginning. The first attempt that a request has at a group isn't
-    /// extra; a backend server that refuses an attempt, or at which it is cancelled, counts it all
-    /// the same.
+    /// Returns the attempts since the start of the tally. The first attempt of a request at a group
+    /// isn't extra. Refused and cancelled attempts are counted.
     pub fn end(self) -> Attempts {
         let mut total = Attempts::default();
-        for (place, before) in self.before.iter().enumerate() {
-            let servers = self.fleet.group(&self.shape.route, place);
+        for (index, before) in self.before.iter().enumerate() {
+            let servers = self.fleet.group(&self.shape.route, index);
             total += count(servers, before);
         }
         total
     }
 }
 
-fn count(servers: &[Server], before: &[Seen]) -> Attempts {
+fn count(servers: &[Server], before: &[Baseline]) -> Attempts {
     let mut requests = HashSet::new();
     let mut group = Attempts::default();
-    for (server, seen) in servers.iter().zip(before) {
-        let attempts = server.attempts().split_off(seen.attempts);
+    for (server, baseline) in servers.iter().zip(before) {
+        let attempts = server.attempts().split_off(baseline.attempts);
         group.all += attempts.len() as u64;
-        group.crashes += server.counters().crashes - seen.crashes;
+        group.crashes += server.counters().crashes - baseline.crashes;
         requests.extend(attempts.into_iter().map(|attempt| attempt.request));
     }
     group.first = requests.len() as u64;
@@ -64,12 +63,12 @@
     group
 }
 
-/// Runs beyond the first one under each key. A key is doubled whenever its runs began, so this counts
-/// from the start of the servers on, and wherever in the group the runs took place.
+/// Returns the duplicate executions of all idempotency keys. Counts since the start of the servers and
+/// across the group, as the first execution may precede the tally or be at another replica.
 fn doubled(servers: &[Server]) -> u64 {
     let mut runs: HashMap<String, u64> = HashMap::new();
-    for (key, of_key) in servers.iter().flat_map(Server::runs) {
-        *runs.entry(key).or_default() += of_key.begun;
+    for (key, executions) in servers.iter().flat_map(Server::runs) {
+        *runs.entry(key).or_default() += executions.begun;
     }
     runs.values().map(|begun| begun.saturating_sub(1)).sum()
 }
--- a/crates/experiment/src/trial.rs
+++ b/crates/experiment/src/trial.rs
@@ -1,4 +1,4 @@
-//! One run of one scenario under one policy.
+//! Runs scenarios under policies and summarizes the results.
 
 use crate::deployment::{self, Deployment, Launch};
 use crate::fault;
@@ -13,31 +13,31 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Share of the run for which load is sent first without being measured.
+/// Duration of the unmeasured warm-up load, as a share of the run.
 const WARM_UP_SHARE: f64 = 0.25;
-/// Time after which the last attempts of the warm-up have reached the backend servers.
+/// Time until the last attempts have reached the backend servers.
 const SETTLE: Duration = Duration::from_millis(500);
 
-/// How trials are run.
+/// Settings of a series of trials.
 #[derive(Clone, Debug)]
 pub struct Bench {
     /// Number of daemons.
     pub daemons: usize,
-    /// How the daemons are started.
+    /// Whether daemons run as threads or processes.
     pub launch: Launch,
-    /// Seed of the intended times.
+    /// Seed of the intended send times; each round adds its number.
     pub seed: u64,
-    /// Runs of each scenario under each policy.
+    /// Number of runs of each scenario under each policy.
     pub rounds: u64,
 }
 
 impl Bench {
-    /// Runs a scenario under each policy. The policies take turns in each round, so that a machine
-    /// that is busier for a while harms all of them alike.
+    /// Runs a scenario under each policy. Policies alternate in each round, so other load on the machine
+    /// affects all of them equally.
     ///
     /// # Errors
     ///
-    /// [`deployment::Error`] where the daemons did not come up.
+    /// Returns [`deployment::Error`] if the daemons do not start.
     pub async fn compare(
         &self,
         scenario: &Scenario,
@@ -107,7 +107,7 @@
     sleep(SETTLE).await;
 }
 
-/// Returns a plan for a shape of a deployment, at no rate yet.
+/// Returns a plan for a shape of a deployment, with a rate of 0.
 pub fn plan(shape: &Shape, deployment: &Deployment, duration: Duration, seed: u64) -> Plan {
     Plan {
         rate: 0.0,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Returns what a whole answer of a shape holds.
+/// Returns the contents of a complete answer of a shape.
 pub fn data(deployment: &Deployment, shape: &Shape) -> Data {
     let document = deployment.fleet.document();
     let route = document.routes.iter().find(|r| r.name == shape.route);
--- a/crates/experiment/src/variant.rs
+++ b/crates/experiment/src/variant.rs
@@ -1,26 +1,26 @@
-//! The policies that are compared: the daemon's own, and each with one decision replaced.
+//! Policies to compare: the daemon's default, and variants that replace one decision.
 
 use crate::scenario::{Policy, Scenario};
 use clap::ValueEnum;
 
-/// Share of the deadline after which a fixed hedge is sent. A constant has to leave room for the
-/// slowest time of day, and so lies well above what is usual.
+/// Share of the deadline after which a fixed hedge is sent. Well above the usual latency, because a
+/// fixed delay must also fit the slowest time of day.
 const FIXED_HEDGE_SHARE: f64 = 0.25;
 
 /// A policy by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Variant {
-    /// What the document says, and the daemon's own decisions.
+    /// The settings of the document and the daemon's default decisions.
     Document,
     /// No hedges.
     NoHedge,
-    /// Neither hedges nor retries.
+    /// No hedges and no retries.
     NoExtra,
     /// Replicas chosen at random.
     RandomReplica,
-    /// Replicas chosen at random, and no hedges.
+    /// Replicas chosen at random, without hedges.
     RandomNoHedge,
-    /// Hedges after a fixed time.
+    /// Hedges after a fixed delay.
     FixedHedge,
     /// Every request admitted.
     AdmitAll,
@@ -37,11 +37,14 @@
 }
 
 impl Variant {
-    /// Returns the policy for a scenario.
+    /// Returns the policy of this variant for a scenario.
     pub fn policy(self, scenario: &Scenario) -> Policy {
         let replaced = |name: &str, arguments: &[&str]| Policy {
             name: name.to_owned(),
-            arguments: arguments.iter().map(|word| (*word).to_owned()).collect(),
+            arguments: arguments
+                .iter()
+                .map(|argument| (*argument).to_owned())
+                .collect(),
             ..Policy::default()
         };
         let homes =
--- a/crates/experiment/src/verify.rs
+++ b/crates/experiment/src/verify.rs
@@ -1,15 +1,15 @@
-//! Holding an answer against the data.
+//! Checks answers against the data of the fakes.
 //!
-//! The stand-ins hold one item at each multiple of a known number, and the value of an item names
-//! its key and the index version that it was taken from. That is enough to find an answer that mixes
-//! two snapshots, claims keys that it did not look through, or has items twice.
+//! The fakes hold one item at each multiple of a known number, and the value of an item contains its
+//! key and index version. This detects answers that mix two snapshots, report more coverage than they
+//! have, or contain duplicate items.
 
 use crate::caller::Answer;
 use crate::sample::Outcome;
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::Key;
 
-/// What a whole answer holds.
+/// Contents of a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Data {
     /// The key space.
@@ -18,31 +18,36 @@
     pub item_every: u64,
 }
 
-/// Tells whether an answer says the truth about itself; one that is no answer to a search always
-/// does.
-pub fn is_true(answer: &Answer, data: &Data) -> bool {
+/// Returns whether the items, coverage and missing ranges of a search's answer match the data. Always
+/// true for other outcomes.
+pub fn is_correct(answer: &Answer, data: &Data) -> bool {
     match answer.outcome {
-        Outcome::Complete => answer.missing.is_empty() && holds(answer, data),
-        Outcome::Partial => !answer.missing.is_empty() && holds(answer, data),
+        Outcome::Complete => answer.missing.is_empty() && is_correct_search(answer, data),
+        Outcome::Partial => !answer.missing.is_empty() && is_correct_search(answer, data),
         _ => true,
     }
 }
 
-fn holds(answer: &Answer, data: &Data) -> bool {
-    one_snapshot(answer) && the_items(answer, data) && the_coverage(answer, data)
+fn is_correct_search(answer: &Answer, data: &Data) -> bool {
+    is_from_one_snapshot(answer)
+        && has_expected_items(answer, data)
+        && has_expected_coverage(answer, data)
 }
 
-fn one_snapshot(answer: &Answer) -> bool {
+fn is_from_one_snapshot(answer: &Answer) -> bool {
     let version = answer.index_version;
     let stated = answer
         .items
         .iter()
         .map(|item| item.value["version"].as_u64());
-    version.is_some() && stated.into_iter().all(|of_item| of_item == version)
+    version.is_some()
+        && stated
+            .into_iter()
+            .all(|item_version| item_version == version)
 }
 
-/// Every item of the covered keys is there once and in order, and none besides.
-fn the_items(answer: &Answer, data: &Data) -> bool {
+/// Returns whether the answer has exactly the items of the covered keys, in order.
+fn has_expected_items(answer: &Answer, data: &Data) -> bool {
     let expected = expected(answer, data);
     let found = answer.items.iter().map(|item| item.key);
     found.eq(expected)
@@ -56,9 +61,9 @@
     multiples.filter(|key| !answer.missing.iter().any(|range| range.contains(*key)))
 }
 
-/// The groups of the experiments weigh as much as they have keys, so that the coverage follows from
-/// the missing ranges.
-fn the_coverage(answer: &Answer, data: &Data) -> bool {
+/// Returns whether the coverage matches the missing ranges. In experiments, the weight of a group is
+/// proportional to its number of keys.
+fn has_expected_coverage(answer: &Answer, data: &Data) -> bool {
     const TOLERANCE: f64 = 1e-6;
     let missing: u64 = answer.missing.iter().map(Range::len).sum();
     let covered = 1.0 - missing as f64 / data.keys.len() as f64;
--- a/crates/experiment/tests/deployment.rs
+++ b/crates/experiment/tests/deployment.rs
@@ -35,7 +35,7 @@
         let answer = caller.query(daemon, &shape.route, "{}".to_owned(), DEADLINE);
         let answer = answer.await;
         assert!(answer.outcome.is_answer(), "{answer:?}");
-        assert!(verify::is_true(&answer, &data), "{answer:?}");
+        assert!(verify::is_correct(&answer, &data), "{answer:?}");
     }
     let attempts = tally.end();
     assert_eq!(attempts.first, 2 * shape.groups as u64);
--- a/crates/experiment/tests/processes/hop.rs
+++ b/crates/experiment/tests/processes/hop.rs
@@ -31,7 +31,7 @@
     cluster.daemons[homes[0]].signal(Signal::SIGSTOP);
     for _ in 0..QUERIES {
         let answer = cluster.query(entry, "{}").await;
-        assert_eq!(answer.outcome, Outcome::Complete, "{}", answer.why);
+        assert_eq!(answer.outcome, Outcome::Complete, "{}", answer.reason);
     }
     cluster.daemons[homes[0]].signal(Signal::SIGCONT);
 }
@@ -60,7 +60,7 @@
         }
     };
     let (answer, ()) = tokio::join!(cluster.query(entry, "{}"), killing);
-    assert_eq!(answer.outcome, Outcome::Failed, "{}", answer.why);
+    assert_eq!(answer.outcome, Outcome::Failed, "{}", answer.reason);
     for home in homes {
         cluster.daemons[home].kill().await;
     }
--- a/crates/experiment/tests/processes/once.rs
+++ b/crates/experiment/tests/processes/once.rs
@@ -130,7 +130,7 @@
     let port = stranger.local_addr().expect("a bound address").port();
     let forged = format!("m1.127.0.0.1~{port}.1.0.999999999.{}", "0".repeat(32));
     let answer = send(&cluster, 0, &forged).await.expect("an answer");
-    assert_eq!(answer.outcome, Outcome::Unknown, "{}", answer.why);
+    assert_eq!(answer.outcome, Outcome::Unknown, "{}", answer.reason);
     assert!(stranger.accept().is_err(), "the stranger was called");
     assert_eq!(begun(&cluster), 0);
 }
--- a/crates/experiment/tests/processes/rolling.rs
+++ b/crates/experiment/tests/processes/rolling.rs
@@ -64,7 +64,7 @@
     async fn ready(&self, number: usize) -> SocketAddr {
         for place in 0.. {
             let daemon = self.daemons[(number + place) % self.daemons.len()];
-            if self.caller.ready(daemon).await {
+            if self.caller.is_ready(daemon).await {
                 return daemon;
             }
             sleep(Duration::from_millis(1)).await;
@@ -175,7 +175,7 @@
         let again = &balancer.caller;
         let again = again.execute(daemon, &balancer.route, &key, body, DEADLINE);
         let again = again.await;
-        assert_eq!(again.outcome, Outcome::Executed, "{}", again.why);
+        assert_eq!(again.outcome, Outcome::Executed, "{}", again.reason);
     }
     let servers = cluster.fleet.servers();
     let runs: Vec<_> = servers
--- a/crates/experiment/tests/processes/suspect.rs
+++ b/crates/experiment/tests/processes/suspect.rs
@@ -28,7 +28,7 @@
     let mut refused = 0;
     for send in 0..SENDS {
         let answer = cluster.query(send % 4, &format!("\"{MARKER}\"")).await;
-        refused += usize::from(answer.why.contains("crash backend servers"));
+        refused += usize::from(answer.reason.contains("crash backend servers"));
         let other = cluster.query(send % 4, &format!("{send}")).await;
         assert!(other.outcome.is_answer(), "{other:?}");
     }
--- a/crates/experiment/tests/verify.rs
+++ b/crates/experiment/tests/verify.rs
@@ -3,7 +3,7 @@
 use monsoonring_configuration::Range;
 use monsoonring_experiment::caller::{Answer, Item};
 use monsoonring_experiment::sample::Outcome;
-use monsoonring_experiment::verify::{Data, is_true};
+use monsoonring_experiment::verify::{Data, is_correct};
 use serde_json::{Value, json};
 use test_case::test_case;
 
@@ -28,7 +28,7 @@
         missing: Vec::new(),
         items: (0..10).map(|n| item(n * 10, 7)).collect(),
         value: Value::Null,
-        why: String::new(),
+        reason: String::new(),
     }
 }
 
@@ -51,20 +51,20 @@
 #[test_case(&Answer { items: half().items, ..whole() }, false ; "items lost")]
 #[test_case(&Answer { items: whole().items, ..half() }, false ; "items of a missing range")]
 #[test_case(&Answer { index_version: None, ..whole() }, false ; "no snapshot named")]
-fn is_true_answer(answer: &Answer, expected: bool) {
-    assert_eq!(is_true(answer, &DATA), expected);
+fn is_correct_answer(answer: &Answer, expected: bool) {
+    assert_eq!(is_correct(answer, &DATA), expected);
 }
 
 #[test]
-fn is_true_mixed_snapshots_are_found() {
+fn is_correct_mixed_snapshots_are_found() {
     let mut answer = whole();
     answer.items[4] = item(40, 8);
-    assert!(!is_true(&answer, &DATA));
+    assert!(!is_correct(&answer, &DATA));
 }
 
 #[test]
-fn is_true_doubled_item_is_found() {
+fn is_correct_doubled_item_is_found() {
     let mut answer = whole();
     answer.items.insert(5, item(40, 7));
-    assert!(!is_true(&answer, &DATA));
+    assert!(!is_correct(&answer, &DATA));
 }
