--- a/crates/experiment/examples/days.rs
+++ b/crates/experiment/examples/days.rs
@@ -43,6 +43,6 @@
     let (site, day) = (Site::grown(hosts), Day::calm());
     let played = compare(&site, &day, &Variant::all()[..1], seeds);
     print!("{}", page::table(&played));
-    let (unopened, _) = played[0].mean(|tally| tally.unopened as f64);
+    let (unopened, _) = played[0].mean(|tally| tally.rejected_connections as f64);
     println!("{unopened:.0} connections ended as too many");
 }
--- a/crates/experiment/src/simulation/compare.rs
+++ b/crates/experiment/src/simulation/compare.rs
@@ -1,6 +1,6 @@
-//! The same days under several policies, on many seeds.
+//! Compares policies on the same simulated days with many seeds.
 
-use super::{Day, Site, Tally, world};
+use super::{Day, Site, Statistics, world};
 use monsoonring_decision::policy::Policy;
 use std::num::NonZeroUsize;
 use std::sync::Mutex;
@@ -8,21 +8,20 @@
 use std::thread;
 use std::time::Duration;
 
-/// Fixed time before a second attempt, for the policy that has no learned one: half of the shortest
-/// objective of the sheets.
+/// Hedge delay of the policy with a fixed delay: half of the shortest objective.
 const FIXED_HEDGE: Duration = Duration::from_millis(30);
 
-/// A policy with its name.
+/// A named policy.
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
-    /// Its name.
+    /// Name in reports.
     pub name: &'static str,
-    /// What it replaces.
+    /// Decisions that it replaces.
     pub policy: Policy,
 }
 
 impl Variant {
-    /// What production uses, and each decision replaced by its simpler way.
+    /// Returns the production policy, and variants that replace one decision by a simpler one.
     pub fn all() -> Vec<Self> {
         let production = Policy::default();
         let variant = |name, policy| Self { name, policy };
@@ -60,19 +59,19 @@
     }
 }
 
-/// The days of one policy, in the order of the seeds.
+/// Simulated days of one policy.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// The policy.
+pub struct Series {
+    /// Policy of all runs.
     pub variant: Variant,
-    /// One for each seed.
-    pub tallies: Vec<Tally>,
+    /// Statistics of each run, in seed order.
+    pub runs: Vec<Statistics>,
 }
 
-impl Played {
-    /// Returns the mean over the seeds of a figure of a day, and the standard error of the mean.
-    pub fn mean(&self, figure: impl Fn(&Tally) -> f64) -> (f64, f64) {
-        let figures: Vec<f64> = self.tallies.iter().map(figure).collect();
+impl Series {
+    /// Returns the mean of a figure over all seeds, and its standard error.
+    pub fn mean(&self, figure: impl Fn(&Statistics) -> f64) -> (f64, f64) {
+        let figures: Vec<f64> = self.runs.iter().map(figure).collect();
         let count = figures.len().max(1) as f64;
         let mean = figures.iter().sum::<f64>() / count;
         let squares = figures.iter().map(|figure| (figure - mean).powi(2));
@@ -81,41 +80,43 @@
     }
 }
 
-/// Plays a day at a site under each policy on seeds `1..=seeds`, on all processors but one.
-pub fn compare(site: &Site, day: &Day, variants: &[Variant], seeds: u64) -> Vec<Played> {
-    let plan: Vec<(usize, u64)> = (0..variants.len())
+/// Simulates a day under each policy with seeds `1..=seeds`. Leaves one processor free.
+pub fn compare(site: &Site, day: &Day, variants: &[Variant], seeds: u64) -> Vec<Series> {
+    let jobs: Vec<(usize, u64)> = (0..variants.len())
         .flat_map(|variant| (1..=seeds).map(move |seed| (variant, seed)))
         .collect();
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let (next, results) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let workers = thread::available_parallelism().map_or(1, NonZeroUsize::get);
     thread::scope(|scope| {
         for _ in 0..workers.saturating_sub(1).max(1) {
             scope.spawn(|| {
-                while let Some(&(variant, seed)) = plan.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let tally = world::run(site, day, variants[variant].policy, seed);
-                    let mut done = done
+                while let Some(&(variant, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    let statistics = world::run(site, day, variants[variant].policy, seed);
+                    let mut results = results
                         .lock()
                         .unwrap_or_else(std::sync::PoisonError::into_inner);
-                    done.push((variant, seed, tally));
+                    results.push((variant, seed, statistics));
                 }
             });
         }
     });
-    let mut done = done
+    let mut results = results
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    done.sort_by_key(|(variant, seed, _)| (*variant, *seed));
-    let of = |number| {
-        let played = done
+    results.sort_by_key(|(variant, seed, _)| (*variant, *seed));
+    let runs_of = |index| {
+        let matching = results
             .iter()
-            .filter(move |(variant, _, _)| *variant == number);
-        played.map(|(_, _, tally)| tally.clone()).collect()
+            .filter(move |(variant, _, _)| *variant == index);
+        matching
+            .map(|(_, _, statistics)| statistics.clone())
+            .collect()
     };
     let variants = variants.iter().enumerate();
     variants
-        .map(|(number, variant)| Played {
+        .map(|(index, variant)| Series {
             variant: *variant,
-            tallies: of(number),
+            runs: runs_of(index),
         })
         .collect()
 }
--- a/crates/experiment/src/simulation/day.rs
+++ b/crates/experiment/src/simulation/day.rs
@@ -1,69 +1,69 @@
-//! What goes wrong, and when.
+//! Simulated days: schedules of faults.
 
 use monsoonring_decision::Time;
 use std::time::Duration;
 
-/// One thing that goes wrong with the backend servers of the first pool, or with callers.
+/// A fault of backend servers in the first pool, or a burst of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Work takes this many times as long at a share of the servers.
+    /// A share of the servers is slower by a factor.
     Slow {
         /// Share of the servers, from 0 to 1.
         share: f64,
-        /// Factor.
+        /// Factor on service times.
         factor: f64,
     },
-    /// A share of the servers are down; what they had is lost.
+    /// A share of the servers is down and loses its connections and requests.
     Down {
         /// Share of the servers, from 0 to 1.
         share: f64,
     },
     /// All servers of one shard are down.
     ShardDown,
-    /// A share of the servers refuse some requests, though they could work on them.
+    /// A share of the servers refuses some requests without being overloaded.
     Refusing {
         /// Share of the servers, from 0 to 1.
         share: f64,
         /// Share of the requests, from 0 to 1.
         chance: f64,
     },
-    /// A share of the servers fail some requests that they have worked on.
+    /// A share of the servers fails some requests after executing them.
     Failing {
         /// Share of the servers, from 0 to 1.
         share: f64,
         /// Share of the requests, from 0 to 1.
         chance: f64,
     },
-    /// Callers send this many times as much.
+    /// The request rate grows by this factor.
     Burst(f64),
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spell {
-    /// When it begins.
+pub struct ScheduledFault {
+    /// Start, from the start of the day.
     pub at: Time,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub length: Duration,
-    /// What it is.
+    /// Fault to apply.
     pub fault: Fault,
 }
 
-/// A day.
+/// A simulated day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
-    /// Its name.
+    /// Name in reports.
     pub name: &'static str,
-    /// How long callers send.
+    /// Time for which callers send requests.
     pub length: Duration,
-    /// What goes wrong.
-    pub spells: Vec<Spell>,
+    /// Faults of the day.
+    pub faults: Vec<ScheduledFault>,
 }
 
-const LENGTH: Duration = Duration::from_secs(34);
+const DAY_LENGTH: Duration = Duration::from_secs(34);
 
-fn spell(at: f64, length: f64, fault: Fault) -> Spell {
-    Spell {
+fn scheduled(at: f64, length: f64, fault: Fault) -> ScheduledFault {
+    ScheduledFault {
         at: Duration::from_secs_f64(at),
         length: Duration::from_secs_f64(length),
         fault,
@@ -71,17 +71,17 @@
 }
 
 impl Day {
-    /// A day on which a sixth of the servers are slow for eight seconds.
+    /// Returns a day on which some servers are slow for a while.
     pub fn calm() -> Self {
         let (share, factor) = (0.15, 10.0);
         Self {
             name: "calm",
-            length: LENGTH,
-            spells: vec![spell(7.0, 8.0, Fault::Slow { share, factor })],
+            length: DAY_LENGTH,
+            faults: vec![scheduled(7.0, 8.0, Fault::Slow { share, factor })],
         }
     }
 
-    /// A day on which servers are slow, a shard is down, and most servers refuse much.
+    /// Returns a day with slow servers, a shard that is down, and servers that refuse most requests.
     pub fn heavy() -> Self {
         let slow = Fault::Slow {
             share: 0.15,
@@ -93,16 +93,16 @@
         };
         Self {
             name: "heavy",
-            length: LENGTH,
-            spells: vec![
-                spell(5.0, 8.0, slow),
-                spell(11.4, 5.0, Fault::ShardDown),
-                spell(18.0, 9.0, refusing),
+            length: DAY_LENGTH,
+            faults: vec![
+                scheduled(5.0, 8.0, slow),
+                scheduled(11.4, 5.0, Fault::ShardDown),
+                scheduled(18.0, 9.0, refusing),
             ],
         }
     }
 
-    /// A day on which servers crash by turns while others are slow.
+    /// Returns a day on which servers crash repeatedly while others are slow.
     pub fn failing() -> Self {
         let slow = Fault::Slow {
             share: 0.15,
@@ -111,18 +111,18 @@
         let down = Fault::Down { share: 0.15 };
         Self {
             name: "failing",
-            length: LENGTH,
-            spells: vec![
-                spell(3.0, 4.5, down),
-                spell(6.0, 8.0, slow),
-                spell(12.0, 4.5, down),
-                spell(20.0, 4.5, down),
-                spell(22.0, 6.0, slow),
+            length: DAY_LENGTH,
+            faults: vec![
+                scheduled(3.0, 4.5, down),
+                scheduled(6.0, 8.0, slow),
+                scheduled(12.0, 4.5, down),
+                scheduled(20.0, 4.5, down),
+                scheduled(22.0, 6.0, slow),
             ],
         }
     }
 
-    /// A day on which most servers fail much of what they work on.
+    /// Returns a day on which most servers fail many requests, followed by a burst.
     pub fn erring() -> Self {
         let erring = Fault::Failing {
             share: 0.8,
@@ -130,27 +130,27 @@
         };
         Self {
             name: "erring",
-            length: LENGTH,
-            spells: vec![
-                spell(6.0, 12.0, erring),
-                spell(22.0, 4.0, Fault::Burst(1.7)),
+            length: DAY_LENGTH,
+            faults: vec![
+                scheduled(6.0, 12.0, erring),
+                scheduled(22.0, 4.0, Fault::Burst(1.7)),
             ],
         }
     }
 
-    /// A day on which callers ask for more than the servers can do.
+    /// Returns a day on which the request rate exceeds the capacity of the servers.
     pub fn surge() -> Self {
         Self {
             name: "surge",
-            length: LENGTH,
-            spells: vec![
-                spell(6.0, 10.0, Fault::Burst(4.5)),
-                spell(22.0, 5.0, Fault::Burst(3.5)),
+            length: DAY_LENGTH,
+            faults: vec![
+                scheduled(6.0, 10.0, Fault::Burst(4.5)),
+                scheduled(22.0, 5.0, Fault::Burst(3.5)),
             ],
         }
     }
 
-    /// All days, in the order of the report.
+    /// Returns all days, in report order.
     pub fn all() -> Vec<Self> {
         vec![
             Self::calm(),
--- a/crates/experiment/src/simulation/host.rs
+++ b/crates/experiment/src/simulation/host.rs
@@ -1,4 +1,4 @@
-//! The homes of one host, with what their drivers keep.
+//! Drives a home: tracks its connections, attempts and wake-ups.
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::BackendServerId;
@@ -15,46 +15,46 @@
 
 use super::site::Site;
 
-/// Requests and answers of which nothing matters but that they are there.
+/// Empty content of requests and answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Blank;
+pub struct NoContent;
 
-impl Content for Blank {
+impl Content for NoContent {
     type Query = ();
     type Value = ();
 }
 
-/// Snapshot that all replies belong to.
-const SNAPSHOT: u64 = 1;
+/// Index version of all replies.
+const INDEX_VERSION: u64 = 1;
 
-/// Extra attempts that owners allow for each first one.
-const EXTRA: f64 = 0.2;
+/// Extra attempts allowed per first attempt.
+const EXTRA_ATTEMPT_SHARE: f64 = 0.2;
 
-/// One home and its connections.
+/// A home with its connections.
 pub struct Driver {
-    home: Home<Blank>,
+    home: Home<NoContent>,
     wakeup: Wakeup,
-    /// Server at the other end of each connection.
+    /// Server of each open connection.
     pub connections: HashMap<ConnectionId, BackendServerId>,
-    /// Connection that each attempt is on.
+    /// Connection of each attempt in flight.
     attempts: HashMap<AttemptId, ConnectionId>,
 }
 
 impl Driver {
-    /// Starts the home of a pool. Returns it with what it wants done.
+    /// Starts the home of a pool. Returns it with its first actions.
     pub fn start(
         site: &Site,
         (table, registry): (&Table, &Registry),
         pool: usize,
-        place: usize,
+        data_centre: usize,
         policy: Policy,
         seed: u64,
-    ) -> (Self, Vec<Action<Blank>>) {
+    ) -> (Self, Vec<Action<NoContent>>) {
         let (set, usable) = (site.shards(pool), registry.usable());
-        let route = Arc::new(shards::route(&set, table, &usable, EXTRA));
-        let own = Site::place_name(place).into();
+        let route = Arc::new(shards::route(&set, table, &usable, EXTRA_ATTEMPT_SHARE));
+        let own = Site::data_centre_name(data_centre).into();
         let remote_servers: BTreeSet<BackendServerId> = shards::remote_servers(&set, &usable, &own);
-        let division = Division::among_all_hosts(site.reckoned_hosts(), site.slack);
+        let division = Division::among_all_hosts(site.expected_hosts(), site.slack);
         let allocation = Allocation {
             division,
             remote_servers,
@@ -66,12 +66,12 @@
             connections: HashMap::new(),
             attempts: HashMap::new(),
         };
-        driver.note(&actions);
+        driver.track(&actions);
         (driver, actions)
     }
 
-    /// Feeds an event. Returns what is to be done.
-    pub fn handle(&mut self, event: Event<Blank>, now: Time) -> Vec<Action<Blank>> {
+    /// Passes an event to the home and returns its actions.
+    pub fn handle(&mut self, event: Event<NoContent>, now: Time) -> Vec<Action<NoContent>> {
         match &event {
             Event::Closed(connection) | Event::ConnectFailed(connection, _) => {
                 self.connections.remove(connection);
@@ -83,23 +83,23 @@
         }
         self.wakeup.on_event(now);
         let actions = self.home.handle(event, now);
-        self.note(&actions);
+        self.track(&actions);
         actions
     }
 
-    /// Returns when the home is to be woken.
-    pub fn wake(&self) -> Option<Time> {
+    /// Returns the time of the next wake-up, if any.
+    pub fn next_wakeup(&self) -> Option<Time> {
         self.wakeup.next()
     }
 
-    /// Returns what the end of a connection means: the attempt on it is lost.
-    pub fn closed(&self, connection: ConnectionId) -> Vec<Event<Blank>> {
-        let on_it = self.attempts.iter().filter(|(_, on)| **on == connection);
-        let lost = on_it.map(|(attempt, _)| Event::Failed(*attempt, Failure::Lost));
+    /// Returns the events of a closed connection: its attempt is lost, and the connection is closed.
+    pub fn close_events(&self, connection: ConnectionId) -> Vec<Event<NoContent>> {
+        let affected = self.attempts.iter().filter(|(_, on)| **on == connection);
+        let lost = affected.map(|(attempt, _)| Event::Failed(*attempt, Failure::Lost));
         lost.chain([Event::Closed(connection)]).collect()
     }
 
-    fn note(&mut self, actions: &[Action<Blank>]) {
+    fn track(&mut self, actions: &[Action<NoContent>]) {
         for action in actions {
             match action {
                 Action::Open(connection, server) => {
@@ -118,21 +118,21 @@
     }
 }
 
-/// Returns the reply of a server to an attempt.
+/// Returns the reply of a server to an attempt for `ranges`.
 pub fn reply(ranges: Vec<Range>, load: Load) -> Reply<()> {
     let item = |range: &Range| Item {
         key: range.start,
         value: (),
     };
     Reply {
-        index_version: Some(SNAPSHOT),
+        index_version: Some(INDEX_VERSION),
         items: ranges.iter().map(item).collect(),
         ranges,
         report: report(load),
     }
 }
 
-/// Returns what a server says of itself.
+/// Returns the report of a server with the given load.
 pub fn report(load: Load) -> Report {
     Report {
         load: Some(load),
--- a/crates/experiment/src/simulation/mod.rs
+++ b/crates/experiment/src/simulation/mod.rs
@@ -1,13 +1,11 @@
-//! A deployment in simulated time, around the homes that run in production.
+//! Discrete-event simulation of a deployment around the production homes.
 //!
-//! The homes, the table of routes and the registry are the real ones of `monsoonring-decision`; only
-//! sockets, backend servers and callers are modelled. A day of half a minute takes a second or two,
-//! so that a decision can be compared on hundreds of seeds while it is being written. What the model
-//! leaves out is said where it would matter: hosts have all the processor they want, and neither
-//! hosts nor the store fail.
+//! The homes, the route table and the registry are the real ones of `monsoonring-decision`; sockets,
+//! backend servers and callers are modelled. This is fast enough to compare policies on hundreds of
+//! seeds. Hosts have unlimited processor time in this model, and neither hosts nor the store fail.
 //!
-//! A [`Site`] says what there is, a [`Day`] what goes wrong, [`run`] plays one under a seed and
-//! returns a [`Tally`], and [`compare()`](compare::compare) plays many under several policies.
+//! A [`Site`] describes the deployment and a [`Day`] its faults. [`run`] simulates one day with a seed and
+//! returns its [`Statistics`]; [`compare()`](compare::compare) runs many seeds under several policies.
 
 pub mod compare;
 pub mod day;
@@ -16,13 +14,13 @@
 mod plot;
 pub mod server;
 pub mod site;
-pub mod tally;
+pub mod statistics;
 mod timeline;
 mod work;
 pub mod world;
 
-pub use day::{Day, Fault, Spell};
+pub use day::{Day, Fault, ScheduledFault};
 pub use site::{Kind, Pool, Site};
-pub use tally::Tally;
+pub use statistics::Statistics;
 pub use work::Pauses;
 pub use world::run;
--- a/crates/experiment/src/simulation/plot.rs
+++ b/crates/experiment/src/simulation/plot.rs
@@ -1,55 +1,59 @@
-//! Pictures of days.
+//! Plots of simulated days.
 
-use super::compare::Played;
-use super::tally::{Sum, WINDOW};
+use super::compare::Series;
+use super::statistics::{Totals, WINDOW};
 use crate::report::plot::{self, Axis, Curve};
 use std::path::Path;
 
-/// Returns a figure of the windows of a day, as a mean over the seeds.
-fn over_time(played: &Played, figure: impl Fn(&Sum) -> f64) -> Vec<(f64, f64)> {
-    let windows = played
-        .tallies
+/// Returns a figure of each window of the day, averaged over the seeds.
+fn over_time(series: &Series, figure: impl Fn(&Totals) -> f64) -> Vec<(f64, f64)> {
+    let windows = series
+        .runs
         .first()
-        .map_or(0, |tally| tally.windows.len());
+        .map_or(0, |statistics| statistics.windows.len());
     let at = |window: usize| window as f64 * WINDOW.as_secs_f64();
-    let mean = |window: usize| played.mean(|tally| figure(&tally.windows[window])).0;
+    let mean = |window: usize| {
+        series
+            .mean(|statistics| figure(&statistics.windows[window]))
+            .0
+    };
     (0..windows)
         .map(|window| (at(window), mean(window)))
         .collect()
 }
 
-/// Draws a figure of the windows over the day, a curve for each policy.
+/// Plots a figure over the windows of the day, with one curve per policy.
 pub(super) fn windows(
-    played: &[Played],
+    series: &[Series],
     title: &str,
-    what: &'static str,
-    figure: impl Fn(&Sum) -> f64,
+    label: &'static str,
+    figure: impl Fn(&Totals) -> f64,
     path: &Path,
 ) -> plot::Result<()> {
-    let curves = played.iter().map(|played| Curve {
-        name: played.variant.name,
-        points: over_time(played, &figure),
+    let curves = series.iter().map(|series| Curve {
+        name: series.variant.name,
+        points: over_time(series, &figure),
     });
     let curves: Vec<Curve> = curves.collect();
-    let axes = (Axis::linear("second of the day"), Axis::linear(what));
+    let axes = (Axis::linear("second of the day"), Axis::linear(label));
     plot::curves(&curves, title, axes, path)
 }
 
-/// Draws the latencies of one kind of request, a curve for each policy.
+/// Plots the latency distribution of one kind of request, with one curve per policy.
 pub(super) fn latencies(
-    played: &[Played],
+    series: &[Series],
     kind: usize,
     title: &str,
     path: &Path,
 ) -> plot::Result<()> {
-    let curves = played.iter().filter_map(|played| {
-        let mut all = played.tallies.first()?.latencies[kind].clone();
-        for tally in &played.tallies[1..] {
+    let curves = series.iter().filter_map(|series| {
+        let mut all = series.runs.first()?.latencies[kind].clone();
+        for statistics in &series.runs[1..] {
             // The histograms have the same bounds.
-            let _ = all.add(&tally.latencies[kind]);
+            let _ = all.add(&statistics.latencies[kind]);
         }
         Some(Curve {
-            name: played.variant.name,
+            name: series.variant.name,
             points: plot::tail(&all),
         })
     });
--- a/crates/experiment/src/simulation/server.rs
+++ b/crates/experiment/src/simulation/server.rs
@@ -1,4 +1,4 @@
-//! One backend server: slots, a queue, pauses, connections.
+//! Model of a backend server: slots, queue, pauses and connections.
 
 use super::site::Pool;
 use monsoonring_configuration::Range;
@@ -10,167 +10,172 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Which home a connection comes from: host and pool, and its number there.
+/// Identifies a connection: the home that opened it, and its id there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Line {
-    /// The host.
+pub struct ConnectionKey {
+    /// Index of the home's host.
     pub host: usize,
-    /// The pool that its home drives.
+    /// Index of the home's pool.
     pub pool: usize,
-    /// The connection at that home.
+    /// Id of the connection at the home.
     pub connection: ConnectionId,
 }
 
-/// What a slot is taken for.
+/// Work that occupies a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Job {
-    /// Making a connection.
+    /// Accepting a connection.
     Connect,
-    /// An attempt, with the keys that it asks for.
+    /// An attempt with its key ranges.
     Attempt(AttemptId, Vec<Range>),
 }
 
-/// Number of a job that was begun.
-pub type Number = u64;
+/// Id of a running job, unique per server.
+pub type JobId = u64;
 
-/// Whose a job is, and what it is.
-pub type Held = (Line, Job);
+/// A job with the connection that it belongs to.
+pub type OwnedJob = (ConnectionKey, Job);
 
-/// A job that was begun, and when it ends.
-pub type Begun = (Number, Time);
+/// A started job and its end time.
+pub type StartedJob = (JobId, Time);
 
-/// What became of something that came to a server.
+/// Result of offering a job to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It is refused, or the server is not there.
+pub enum Admission {
+    /// The job is refused, or the server is down.
     Refused,
-    /// It waits.
-    Waiting,
-    /// It is worked on until then.
-    Begun(Number, Time),
+    /// The job waits in the queue.
+    Queued,
+    /// The job has started and ends at this time.
+    Started(JobId, Time),
 }
 
-/// A server.
+/// A simulated backend server.
 #[derive(Debug)]
 pub struct Server {
     pool: Pool,
-    phase: Duration,
-    connections: BTreeSet<Line>,
-    running: BTreeMap<Number, Held>,
-    waiting: VecDeque<(Line, Job, Duration)>,
-    next: Number,
-    /// Factor on the time that work takes.
-    pub slow: f64,
-    /// Share of the attempts that it refuses without need.
-    pub refusing: f64,
-    /// Share of the attempts that it fails after it has worked on them.
-    pub failing: f64,
-    /// Whether nobody is there.
+    pause_phase: Duration,
+    connections: BTreeSet<ConnectionKey>,
+    running: BTreeMap<JobId, OwnedJob>,
+    queue: VecDeque<(ConnectionKey, Job, Duration)>,
+    next: JobId,
+    /// Factor on service times.
+    pub slowdown: f64,
+    /// Share of the attempts that it refuses without being overloaded.
+    pub refusal_rate: f64,
+    /// Share of the attempts that fail after being executed.
+    pub failure_rate: f64,
+    /// Whether the server is down.
     pub down: bool,
 }
 
 impl Server {
-    /// Makes an idle server with pauses at a time of its own.
+    /// Returns an idle server with a random pause phase.
     pub fn new(pool: &Pool, rng: &mut ChaCha8Rng) -> Self {
         let every = pool.pauses.map_or(Duration::from_secs(1), |p| p.every);
         Self {
             pool: pool.clone(),
-            phase: every.mul_f64(rng.random_range(0.0..1.0)),
+            pause_phase: every.mul_f64(rng.random_range(0.0..1.0)),
             connections: BTreeSet::new(),
             running: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             next: 0,
-            slow: 1.0,
-            refusing: 0.0,
-            failing: 0.0,
+            slowdown: 1.0,
+            refusal_rate: 0.0,
+            failure_rate: 0.0,
             down: false,
         }
     }
 
-    /// Takes a connection in; refused where there are too many or nobody is there.
-    pub fn connect(&mut self, line: Line, now: Time) -> Taken {
+    /// Accepts a connection, unless the server is down or has reached its connection limit.
+    pub fn connect(&mut self, key: ConnectionKey, now: Time) -> Admission {
         if self.down || self.connections.len() >= self.pool.connections {
-            return Taken::Refused;
+            return Admission::Refused;
         }
-        self.connections.insert(line);
+        self.connections.insert(key);
         let cost = self.pool.connect;
-        self.take(line, Job::Connect, cost, now)
+        self.admit(key, Job::Connect, cost, now)
     }
 
-    /// Takes an attempt in that takes `work` at its usual speed.
-    pub fn attempt(&mut self, line: Line, job: Job, work: Duration, now: Time) -> Taken {
-        if self.waiting.len() >= self.pool.queue {
-            return Taken::Refused;
+    /// Offers an attempt with service time `work`, before slowdown and pauses.
+    pub fn attempt(
+        &mut self,
+        key: ConnectionKey,
+        job: Job,
+        work: Duration,
+        now: Time,
+    ) -> Admission {
+        if self.queue.len() >= self.pool.queue {
+            return Admission::Refused;
         }
-        self.take(line, job, work, now)
+        self.admit(key, job, work, now)
     }
 
-    /// Tells whether a connection is still there.
-    pub fn has(&self, line: Line) -> bool {
-        self.connections.contains(&line)
+    /// Returns whether a connection is open.
+    pub fn has_connection(&self, key: ConnectionKey) -> bool {
+        self.connections.contains(&key)
     }
 
-    /// Ends a job. Returns what it was, unless it was dropped meanwhile, and what begins in its
-    /// place.
-    pub fn done(&mut self, number: Number, now: Time) -> (Option<Held>, Vec<Begun>) {
-        let ended = self.running.remove(&number);
-        (ended, self.begin_waiting(now))
+    /// Finishes a job. Returns the job, or `None` if it was dropped, and the jobs that start now.
+    pub fn finish(&mut self, id: JobId, now: Time) -> (Option<OwnedJob>, Vec<StartedJob>) {
+        let ended = self.running.remove(&id);
+        (ended, self.start_queued(now))
     }
 
-    /// Ends a connection and what was asked over it. Returns what begins in its place.
-    pub fn disconnect(&mut self, line: Line, now: Time) -> Vec<Begun> {
-        self.connections.remove(&line);
-        self.running.retain(|_, (of, _)| *of != line);
-        self.waiting.retain(|(of, _, _)| *of != line);
-        self.begin_waiting(now)
+    /// Closes a connection and drops its jobs. Returns the jobs that start now.
+    pub fn disconnect(&mut self, key: ConnectionKey, now: Time) -> Vec<StartedJob> {
+        self.connections.remove(&key);
+        self.running.retain(|_, (of, _)| *of != key);
+        self.queue.retain(|(of, _, _)| *of != key);
+        self.start_queued(now)
     }
 
-    /// Goes down, with all that it had. Returns the connections that end.
-    pub fn crash(&mut self) -> BTreeSet<Line> {
+    /// Stops the server and drops all jobs. Returns the connections that close.
+    pub fn crash(&mut self) -> BTreeSet<ConnectionKey> {
         self.down = true;
         self.running.clear();
-        self.waiting.clear();
+        self.queue.clear();
         std::mem::take(&mut self.connections)
     }
 
-    /// Returns what it says of its load.
+    /// Returns the load that the server reports.
     pub fn load(&self) -> Load {
         Load {
             busy: self.running.len() as u32,
             slots: self.pool.slots as u32,
-            queued: self.waiting.len() as u32,
+            queued: self.queue.len() as u32,
         }
     }
 
-    fn take(&mut self, line: Line, job: Job, work: Duration, now: Time) -> Taken {
+    fn admit(&mut self, key: ConnectionKey, job: Job, work: Duration, now: Time) -> Admission {
         if self.running.len() < self.pool.slots {
-            let (number, end) = self.begin(line, job, work, now);
-            return Taken::Begun(number, end);
+            let (id, end) = self.start(key, job, work, now);
+            return Admission::Started(id, end);
         }
-        self.waiting.push_back((line, job, work));
-        Taken::Waiting
+        self.queue.push_back((key, job, work));
+        Admission::Queued
     }
 
-    fn begin_waiting(&mut self, now: Time) -> Vec<Begun> {
-        let mut begun = Vec::new();
+    fn start_queued(&mut self, now: Time) -> Vec<StartedJob> {
+        let mut started = Vec::new();
         while self.running.len() < self.pool.slots {
-            let Some((line, job, work)) = self.waiting.pop_front() else {
+            let Some((key, job, work)) = self.queue.pop_front() else {
                 break;
             };
-            begun.push(self.begin(line, job, work, now));
+            started.push(self.start(key, job, work, now));
         }
-        begun
+        started
     }
 
-    fn begin(&mut self, line: Line, job: Job, work: Duration, now: Time) -> Begun {
-        let number = self.next;
+    fn start(&mut self, key: ConnectionKey, job: Job, work: Duration, now: Time) -> StartedJob {
+        let id = self.next;
         self.next += 1;
-        self.running.insert(number, (line, job));
-        let work = work.mul_f64(self.slow);
+        self.running.insert(id, (key, job));
+        let work = work.mul_f64(self.slowdown);
         let end = match self.pool.pauses {
-            Some(pauses) => pauses.end(self.phase, now, work),
+            Some(pauses) => pauses.end(self.pause_phase, now, work),
             None => now + work,
         };
-        (number, end)
+        (id, end)
     }
 }
--- a/crates/experiment/src/simulation/site.rs
+++ b/crates/experiment/src/simulation/site.rs
@@ -1,6 +1,6 @@
-//! What there is: hosts, backend servers, and what callers ask.
+//! Simulated deployments: hosts, backend servers and kinds of requests.
 //!
-//! The figures are those of the users' sheets of their two deployments, and of the same grown.
+//! The figures are from the users' descriptions of two deployments, and of a larger one.
 
 use super::work::Pauses;
 use monsoonring_configuration::document::Kind as RouteKind;
@@ -16,67 +16,67 @@
 /// Port of all backend servers.
 const PORT: u16 = 9_000;
 
-/// Longest queue of a backend server.
-const QUEUE: usize = 12;
+/// Maximum queue length of a backend server.
+const MAX_QUEUE: usize = 12;
 
-/// Servers that answer the same requests, in one service or one for each shard.
+/// Backend servers for the same kinds of requests, optionally divided into shards.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Shards; 1 for a service without any.
+    /// Number of shards; 1 for a service without shards.
     pub shards: usize,
-    /// Servers of each shard.
+    /// Number of servers per shard.
     pub replicas: usize,
-    /// Requests that a server works on at the same time.
+    /// Number of requests that a server executes concurrently.
     pub slots: usize,
-    /// Requests that wait at a server at most.
+    /// Maximum queue length of a server.
     pub queue: usize,
-    /// Connections that a server accepts.
+    /// Maximum number of connections per server.
     pub connections: usize,
-    /// Time for which a new connection takes a slot.
+    /// Time for which a new connection occupies a slot.
     pub connect: Duration,
-    /// Stops of each server.
+    /// Periodic pauses of each server.
     pub pauses: Option<Pauses>,
 }
 
-/// Requests of one kind.
+/// A kind of request.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Its name.
+    /// Name in reports.
     pub name: &'static str,
-    /// The pool that it is sent to.
+    /// Index of the pool that serves it.
     pub pool: usize,
-    /// Requests a second over all hosts.
+    /// Requests per second over all hosts.
     pub per_second: f64,
-    /// Mean time that one takes at a server, and its coefficient of variation.
+    /// Mean service time and its coefficient of variation.
     pub work: (Duration, f64),
-    /// Time within which an answer is worth most.
+    /// Latency objective; later answers are worth less.
     pub objective: Duration,
-    /// Time that callers wait.
+    /// Deadline of the callers.
     pub deadline: Duration,
-    /// What an answer within the objective is worth, and one after it.
+    /// Worth of an answer within the objective, and of a later one.
     pub worth: (f64, f64),
-    /// Rank; lower comes first.
+    /// Priority; lower values are served first.
     pub priority: u32,
-    /// Share of the shards that an answer needs.
-    pub least: f64,
+    /// Minimum share of the shards that an answer must cover.
+    pub min_coverage: f64,
 }
 
-/// One deployment.
+/// A simulated deployment.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its name.
+    /// Name in reports.
     pub name: &'static str,
-    /// Hosts in each data centre.
+    /// Number of hosts in each data centre.
     pub hosts: Vec<usize>,
-    /// Time one way within a data centre, and between two.
+    /// One-way delay within a data centre, and between data centres.
     pub delay: (Duration, Duration),
-    /// Time one way between callers and hosts.
+    /// One-way delay between callers and hosts.
     pub caller_delay: Duration,
-    /// Extra attempts allowed beyond a share of the first ones, over all hosts.
+    /// Burst of extra attempts allowed over all hosts, in addition to the share of first attempts.
     pub slack: f64,
-    /// The backend servers.
+    /// Pools of backend servers.
     pub pools: Vec<Pool>,
-    /// What callers ask.
+    /// Kinds of requests that callers send.
     pub kinds: Vec<Kind>,
 }
 
@@ -85,19 +85,20 @@
 }
 
 impl Site {
-    /// The hydrant registry.
+    /// Returns the deployment of the hydrant registry.
     pub fn hydrant() -> Self {
-        let search = |name, per_second, work, objective, deadline, worth, priority, least| Kind {
-            name,
-            pool: 0,
-            per_second,
-            work: (ms(work), 0.35),
-            objective: ms(objective),
-            deadline: ms(deadline),
-            worth,
-            priority,
-            least,
-        };
+        let search =
+            |name, per_second, work, objective, deadline, worth, priority, min_coverage| Kind {
+                name,
+                pool: 0,
+                per_second,
+                work: (ms(work), 0.35),
+                objective: ms(objective),
+                deadline: ms(deadline),
+                worth,
+                priority,
+                min_coverage,
+            };
         Self {
             name: "hydrant",
             hosts: vec![3, 3, 1, 2],
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The beet intake search.
+    /// Returns the deployment of the beet intake search.
     pub fn beet() -> Self {
         let mut site = Self::hydrant();
         site.name = "beet";
@@ -148,28 +149,27 @@
         site
     }
 
-    /// The hydrant registry grown to so many hosts, with the load and the servers of each shard
-    /// growing alike.
+    /// Returns a larger hydrant registry. Load and replicas scale with the number of hosts.
     pub fn grown(hosts: usize) -> Self {
-        /// Hosts and shards of the grown deployment that the sheet describes.
+        /// Hosts of the described deployment that rates and replicas are scaled from.
         const SHEET_HOSTS: usize = 61;
         const SHARDS: usize = 36;
         let mut site = Self::hydrant();
-        let times = hosts as f64 / SHEET_HOSTS as f64;
-        let replicas = (3.0 * times).round().max(3.0) as usize;
+        let scale = hosts as f64 / SHEET_HOSTS as f64;
+        let replicas = (3.0 * scale).round().max(3.0) as usize;
         site.name = "grown";
-        site.hosts = (0..4).map(|place| (hosts + place) / 4).collect();
+        site.hosts = (0..4).map(|index| (hosts + index) / 4).collect();
         site.slack = 162.0;
         site.pools = vec![
             pool((SHARDS, replicas), (4, 62), 6.0, Some((150.0, 3_600.0))),
-            pool((1, (19.0 * times).ceil() as usize), (2, 430), 1.0, None),
+            pool((1, (19.0 * scale).ceil() as usize), (2, 430), 1.0, None),
         ];
         let rates = [96.5, 32.2, 32.2];
         for (kind, per_second) in site.kinds.iter_mut().zip(rates) {
-            kind.per_second = per_second * times;
+            kind.per_second = per_second * scale;
         }
-        site.kinds[0].least = 0.95;
-        site.kinds[1].least = 0.85;
+        site.kinds[0].min_coverage = 0.95;
+        site.kinds[1].min_coverage = 0.85;
         site
     }
 
@@ -178,38 +178,39 @@
         self.hosts.iter().sum()
     }
 
-    /// Returns the number of hosts that each of them reckons with.
-    pub fn reckoned_hosts(&self) -> usize {
+    /// Returns the number of hosts that each host assumes.
+    pub fn expected_hosts(&self) -> usize {
         self.host_count().max(assumed_hosts(self.hosts.len()).all)
     }
 
-    /// Returns the data centre of each host.
-    pub fn host_places(&self) -> Vec<usize> {
-        let places = self.hosts.iter().enumerate();
-        places
-            .flat_map(|(place, count)| std::iter::repeat_n(place, *count))
+    /// Returns the index of the data centre of each host.
+    pub fn host_data_centres(&self) -> Vec<usize> {
+        let data_centres = self.hosts.iter().enumerate();
+        data_centres
+            .flat_map(|(index, count)| std::iter::repeat_n(index, *count))
             .collect()
     }
 
-    /// Returns the data centre of a server: those of a shard are spread, and each shard begins with
-    /// another one.
-    pub fn place(&self, shard: usize, replica: usize) -> usize {
+    /// Returns the index of a server's data centre. Replicas of a shard are spread over the data centres.
+    pub fn data_centre(&self, shard: usize, replica: usize) -> usize {
         (shard + replica) % self.hosts.len()
     }
 
     /// Returns the name of a data centre.
-    pub fn place_name(place: usize) -> String {
-        format!("place{place}")
+    pub fn data_centre_name(index: usize) -> String {
+        format!("place{index}")
     }
 
     /// Returns the address of a server.
     ///
     /// # Panics
     ///
-    /// There are more than 65,536 servers in a shard.
+    /// Panics if the shard has more than 65,536 servers, or the pool too many shards for an octet.
     pub fn address(pool: usize, shard: usize, replica: usize) -> BackendServerId {
-        let [high, low] = u16::try_from(replica).expect("few replicas").to_be_bytes();
-        let first = u8::try_from(10 + pool * 100 + shard).expect("few shards");
+        let [high, low] = u16::try_from(replica)
+            .expect("replica fits in 16 bits")
+            .to_be_bytes();
+        let first = u8::try_from(10 + pool * 100 + shard).expect("shard fits in an address octet");
         (Ipv4Addr::new(10, first, high, low), PORT).into()
     }
 
@@ -221,7 +222,7 @@
             .collect()
     }
 
-    /// Returns the routes as the configuration of a gateway has them.
+    /// Returns the route table of the gateway.
     pub fn table(&self) -> Table {
         let limits = Limits { body_bytes: 0 };
         let pools = 0..self.pools.len();
@@ -254,23 +255,23 @@
                 _ => Target::FanOut(FanOut {
                     shards,
                     max_records: 0,
-                    min_coverage: kind.least,
+                    min_coverage: kind.min_coverage,
                 }),
             },
         }
     }
 
-    /// Returns the registry with all servers in it.
+    /// Returns a registry that contains all servers.
     pub fn registry(&self) -> Registry {
         let mut entries = Vec::new();
-        for (pool, of) in self.pools.iter().enumerate() {
+        for (pool, spec) in self.pools.iter().enumerate() {
             for (shard, service) in self.shards(pool).iter().enumerate() {
-                entries.extend((0..of.replicas).map(|replica| Entry {
+                entries.extend((0..spec.replicas).map(|replica| Entry {
                     instance: format!("{pool}-{shard}-{replica}").into(),
                     service: service.clone(),
                     address: Self::address(pool, shard, replica),
-                    data_centre: Self::place_name(self.place(shard, replica)).into(),
-                    slots: of.slots as u32,
+                    data_centre: Self::data_centre_name(self.data_centre(shard, replica)).into(),
+                    slots: spec.slots as u32,
                     state: State::Ready,
                     cold_for: Duration::ZERO,
                     order: Order::default(),
@@ -294,7 +295,7 @@
         shards,
         replicas,
         slots,
-        queue: QUEUE,
+        queue: MAX_QUEUE,
         connections,
         connect: ms(connect),
         pauses: pauses.map(|(length, every)| Pauses {
--- a/crates/experiment/src/simulation/timeline.rs
+++ b/crates/experiment/src/simulation/timeline.rs
@@ -1,16 +1,15 @@
-//! What is to happen, in the order of time.
+//! Event queue of the simulation, ordered by time.
 
 use monsoonring_decision::Time;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Something at a time. Of two at the same time the one that was added first comes first, so that a
-/// seed gives the same day each time.
+/// A scheduled event. Events at the same time are ordered by insertion, so that runs are deterministic.
 #[derive(Debug)]
 struct Entry<T> {
     at: Time,
     number: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -28,13 +27,13 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The earliest is the greatest, as the heap gives that first.
+    /// Reverses the order, because `BinaryHeap` is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// Things to come.
+/// Queue of future events.
 #[derive(Debug)]
 pub(super) struct Timeline<T> {
     entries: BinaryHeap<Entry<T>>,
@@ -51,13 +50,13 @@
 }
 
 impl<T> Timeline<T> {
-    pub(super) fn add(&mut self, at: Time, what: T) {
+    pub(super) fn add(&mut self, at: Time, event: T) {
         let number = self.next;
         self.next += 1;
-        self.entries.push(Entry { at, number, what });
+        self.entries.push(Entry { at, number, event });
     }
 
     pub(super) fn pop(&mut self) -> Option<(Time, T)> {
-        self.entries.pop().map(|entry| (entry.at, entry.what))
+        self.entries.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/crates/experiment/src/simulation/world/callers.rs
+++ b/crates/experiment/src/simulation/world/callers.rs
@@ -1,7 +1,7 @@
-//! Callers: they ask, wait, and come back once.
+//! Callers: send requests, wait for answers, and retry.
 
-use super::{Caller, LEAD, Next, PATIENCE, RETRIES, Reply, World};
-use crate::simulation::tally::Ended;
+use super::{Caller, MAX_RETRIES, MAX_WAIT_DIVISOR, Reply, ScheduledEvent, WARM_UP, World};
+use crate::simulation::statistics::Completion;
 use crate::simulation::work;
 use monsoonring_decision::Time;
 use monsoonring_decision::gateway::delivery;
@@ -12,88 +12,90 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// What the modelled hosts have of a core, in hundredths, as the deployments of 7 to 9 hosts.
-const STRENGTH: Centicores = 25;
+/// Processor capacity of a host, in hundredths of a core.
+const HOST_CAPACITY: Centicores = 25;
 
 impl World<'_> {
     pub(super) fn arrival(&mut self, kind: usize) {
-        if self.now >= LEAD + self.day.length {
+        if self.now >= WARM_UP + self.day.length {
             return;
         }
         let per_second = self.site.kinds[kind].per_second * self.burst;
         let gap = work::gap(per_second, &mut self.rng);
-        self.timeline.add(self.now + gap, Next::Arrival(kind));
+        self.timeline
+            .add(self.now + gap, ScheduledEvent::Arrival(kind));
         let caller = Caller {
             id: self.next_request,
             kind,
-            asked: self.now,
-            retries: RETRIES,
-            returns: false,
+            requested_at: self.now,
+            retries: MAX_RETRIES,
+            was_refused: false,
         };
         self.next_request += 1;
-        self.ask(caller, self.now);
+        self.submit(caller, self.now);
     }
 
-    pub(super) fn ask(&mut self, caller: Caller, at: Time) {
-        let reaches = at + self.site.caller_delay;
-        self.timeline.add(reaches, Next::Asked(caller));
+    pub(super) fn submit(&mut self, caller: Caller, at: Time) {
+        let arrives_at = at + self.site.caller_delay;
+        self.timeline
+            .add(arrives_at, ScheduledEvent::RequestReceived(caller));
     }
 
-    pub(super) fn asked(&mut self, caller: Caller) {
+    pub(super) fn receive_request(&mut self, caller: Caller) {
         let kind = &self.site.kinds[caller.kind];
-        let host = self.rng.random_range(0..self.places.len());
+        let host = self.rng.random_range(0..self.host_data_centres.len());
         self.callers.insert(caller.id, caller);
         self.reached.insert(caller.id, HashSet::new());
         let request = Request {
             id: caller.id,
             caller: "caller".into(),
             class: self.routes[caller.kind].class(),
-            deadline: caller.asked + kind.deadline,
+            deadline: caller.requested_at + kind.deadline,
             fingerprint: caller.id as u64,
             body: (),
             execute_key: None,
-            params: Some(self.routes[caller.kind].params(delivery::margin(STRENGTH))),
+            params: Some(self.routes[caller.kind].params(delivery::margin(HOST_CAPACITY))),
             scope: Scope::default(),
         };
-        self.heard(host, kind.pool, Event::Request(request));
+        self.deliver(host, kind.pool, Event::Request(request));
     }
 
-    pub(super) fn answered(&mut self, caller: Caller, reply: Reply) {
-        let deadline = caller.asked + self.site.kinds[caller.kind].deadline;
-        let left = deadline.saturating_sub(self.now);
-        let back = match reply {
-            Reply::Answer(coverage) if !left.is_zero() => {
-                return self.ended(caller, Some(coverage));
+    pub(super) fn receive_answer(&mut self, caller: Caller, reply: Reply) {
+        let deadline = caller.requested_at + self.site.kinds[caller.kind].deadline;
+        let remaining = deadline.saturating_sub(self.now);
+        let retry_after = match reply {
+            Reply::Answer(coverage) if !remaining.is_zero() => {
+                return self.complete(caller, Some(coverage));
             }
-            Reply::Refused(wait) if wait <= left / PATIENCE => Some(wait),
-            Reply::Failed if !left.is_zero() => Some(Duration::ZERO),
+            Reply::Refused(wait) if wait <= remaining / MAX_WAIT_DIVISOR => Some(wait),
+            Reply::Failed if !remaining.is_zero() => Some(Duration::ZERO),
             _ => None,
         };
         if let Reply::Refused(_) = reply {
-            self.tally.refused.0 += 1;
-            self.tally.refused.1 += u64::from(caller.returns);
+            self.statistics.refused.0 += 1;
+            self.statistics.refused.1 += u64::from(caller.was_refused);
         }
-        match back.filter(|_| caller.retries > 0) {
+        match retry_after.filter(|_| caller.retries > 0) {
             Some(wait) => {
                 let caller = Caller {
                     id: self.next_request,
                     retries: caller.retries - 1,
-                    returns: matches!(reply, Reply::Refused(_)),
+                    was_refused: matches!(reply, Reply::Refused(_)),
                     ..caller
                 };
                 self.next_request += 1;
-                self.ask(caller, self.now + wait);
+                self.submit(caller, self.now + wait);
             }
-            None => self.ended(caller, None),
+            None => self.complete(caller, None),
         }
     }
 
-    pub(super) fn ended(&mut self, caller: Caller, coverage: Option<f64>) {
-        let ended = Ended {
+    pub(super) fn complete(&mut self, caller: Caller, coverage: Option<f64>) {
+        let completion = Completion {
             kind: caller.kind,
-            asked: caller.asked - LEAD,
-            answer: coverage.map(|coverage| (self.now - LEAD, coverage)),
+            requested_at: caller.requested_at - WARM_UP,
+            answer: coverage.map(|coverage| (self.now - WARM_UP, coverage)),
         };
-        self.tally.ended(self.site, ended);
+        self.statistics.record_completion(self.site, completion);
     }
 }
--- a/crates/experiment/tests/drawn.rs
+++ b/crates/experiment/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! The decisions on deployments that nobody had in mind.
 
 use monsoonring_experiment::simulation::compare::{Variant, compare};
-use monsoonring_experiment::simulation::{Day, Fault, Kind, Pauses, Pool, Site, Spell};
+use monsoonring_experiment::simulation::{Day, Fault, Kind, Pauses, Pool, ScheduledFault, Site};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -74,14 +74,14 @@
             deadline: ms(objective * 8.0),
             worth: (1.0, 0.1),
             priority: 1,
-            least: rng.random_range(0.5..=1.0),
+            min_coverage: rng.random_range(0.5..=1.0),
         }],
     }
 }
 
 /// A day on which a fifth of the servers are slow, some are gone, and half as many callers more come.
 fn day() -> Day {
-    let spell = |at, length, fault| Spell {
+    let spell = |at, length, fault| ScheduledFault {
         at: Duration::from_secs(at),
         length: Duration::from_secs(length),
         fault,
@@ -93,7 +93,7 @@
     Day {
         name: "drawn",
         length: Duration::from_secs(14),
-        spells: vec![
+        faults: vec![
             spell(3, 4, slow),
             spell(8, 2, Fault::Down { share: 0.15 }),
             spell(11, 2, Fault::Burst(1.5)),
--- a/crates/experiment/tests/simulation.rs
+++ b/crates/experiment/tests/simulation.rs
@@ -2,12 +2,12 @@
 
 use monsoonring_decision::policy::Policy;
 use monsoonring_experiment::simulation::compare::{Variant, compare};
-use monsoonring_experiment::simulation::{Day, Site, Tally, page, run};
+use monsoonring_experiment::simulation::{Day, Site, Statistics, page, run};
 use test_case::test_case;
 
 const SEEDS: u64 = 3;
 
-fn production(site: &Site, day: &Day, figure: impl Fn(&Tally) -> f64) -> f64 {
+fn production(site: &Site, day: &Day, figure: impl Fn(&Statistics) -> f64) -> f64 {
     compare(site, day, &Variant::all()[..1], SEEDS)[0]
         .mean(figure)
         .0
@@ -17,7 +17,13 @@
 #[test]
 fn run_twice_gives_the_same_day() {
     let (site, day) = (Site::beet(), Day::failing());
-    let figures = |tally: Tally| (tally.windows, tally.refused, tally.unopened);
+    let figures = |statistics: Statistics| {
+        (
+            statistics.windows,
+            statistics.refused,
+            statistics.rejected_connections,
+        )
+    };
     let first = figures(run(&site, &day, Policy::default(), 7));
     let second = figures(run(&site, &day, Policy::default(), 7));
     assert_eq!(first, second);
@@ -31,7 +37,7 @@
 #[test_case(&Site::hydrant(), 0.32 ; "hydrant")]
 #[test_case(&Site::beet(), 0.36 ; "beet")]
 fn erring_servers_leave_answers(site: &Site, least: f64) {
-    let worst = production(site, &Day::erring(), Tally::worst);
+    let worst = production(site, &Day::erring(), Statistics::worst_worth);
     assert!(worst >= least, "{worst:.3}");
 }
 
@@ -42,7 +48,7 @@
 #[test]
 fn surge_leaves_answers_in_time() {
     let site = Site::hydrant();
-    let worst = production(&site, &Day::surge(), Tally::worst);
+    let worst = production(&site, &Day::surge(), Statistics::worst_worth);
     assert!(worst >= 0.41, "{worst:.3}");
 }
 
@@ -51,11 +57,11 @@
 #[test_case(&Day::heavy() ; "heavy")]
 fn repeats_stay_within_the_owners_bound(day: &Day) {
     let site = Site::hydrant();
-    let tally = run(&site, day, Policy::default(), 11);
+    let statistics = run(&site, day, Policy::default(), 11);
     // Ten seconds are five windows.
-    for span in tally.windows.windows(5) {
-        let firsts: u64 = span.iter().map(|window| window.firsts).sum();
-        let extras: u64 = span.iter().map(|window| window.extras).sum();
+    for span in statistics.windows.windows(5) {
+        let firsts: u64 = span.iter().map(|window| window.first_attempts).sum();
+        let extras: u64 = span.iter().map(|window| window.extra_attempts).sum();
         let shards = site.pools[0].shards as f64;
         let allowed = 0.2 * firsts as f64 + site.slack * shards;
         assert!(extras as f64 <= allowed, "{extras} of {allowed}");
@@ -67,8 +73,11 @@
 #[test]
 fn random_choice_costs_a_calm_day() {
     let (site, day) = (Site::hydrant(), Day::calm());
-    let played = compare(&site, &day, &Variant::all()[..2], SEEDS);
-    let worst: Vec<f64> = played.iter().map(|of| of.mean(Tally::worst).0).collect();
+    let series = compare(&site, &day, &Variant::all()[..2], SEEDS);
+    let worst: Vec<f64> = series
+        .iter()
+        .map(|of| of.mean(Statistics::worst_worth).0)
+        .collect();
     assert!(worst[0] > worst[1] + 0.1, "{worst:?}");
     assert!(worst[0] > 0.95, "{worst:?}");
 }
@@ -77,8 +86,12 @@
 #[test]
 fn grown_hosts_within_the_limit_are_served() {
     let site = Site::grown(61);
-    let tally = run(&site, &Day::calm(), Policy::default(), 1);
-    assert!(tally.day().served() > 0.99, "{}", tally.day().served());
+    let statistics = run(&site, &Day::calm(), Policy::default(), 1);
+    assert!(
+        statistics.day().served() > 0.99,
+        "{}",
+        statistics.day().served()
+    );
 }
 
 #[test]
