--- a/crates/decision/examples/choice.rs
+++ b/crates/decision/examples/choice.rs
@@ -48,7 +48,7 @@
     events: BinaryHeap<Reverse<(Duration, Event)>>,
     fleets: Vec<Fleet>,
     /// Own attempts and the others' load by the last report, by home and server.
-    believed: Vec<Vec<(u32, u32)>>,
+    estimated: Vec<Vec<(u32, u32)>>,
     busy: Vec<u32>,
     queues: Vec<VecDeque<Attempt>>,
     /// Start and missing replies of each query.
@@ -116,7 +116,7 @@
             let server = self.choose(group * REPLICAS, home, now);
             let attempt = (query * GROUPS + group, home, server);
             self.fleets[home].sent(address(server), attempt.0 as u64, now);
-            self.believed[home][server].0 += 1;
+            self.estimated[home][server].0 += 1;
             self.push(now, HOP, Event::Arrive(attempt));
         }
     }
@@ -128,7 +128,7 @@
             Policy::Random => first + shift,
             Policy::Belief(_) => all
                 .min_by_key(|server| {
-                    self.believed[home][*server].0 + self.believed[home][*server].1
+                    self.estimated[home][*server].0 + self.estimated[home][*server].1
                 })
                 .unwrap_or(first),
             Policy::Own | Policy::Trust(_) => {
@@ -174,8 +174,8 @@
             ..Report::default()
         };
         self.fleets[home].replied(number as u64, &report, now);
-        let own = self.believed[home][server].0 - 1;
-        self.believed[home][server] = (own, load.saturating_sub(own));
+        let own = self.estimated[home][server].0 - 1;
+        self.estimated[home][server] = (own, load.saturating_sub(own));
         let (start, missing) = &mut self.queries[number / GROUPS];
         *missing -= 1;
         if *missing == 0 && number / GROUPS >= WARM_UP {
@@ -191,7 +191,7 @@
         rng: ChaCha8Rng::seed_from_u64(seed),
         events: BinaryHeap::new(),
         fleets: (0..homes).map(|_| fleet(homes)).collect(),
-        believed: vec![vec![(0, 0); servers]; homes],
+        estimated: vec![vec![(0, 0); servers]; homes],
         busy: vec![0; servers],
         queues: vec![VecDeque::new(); servers],
         queries: Vec::new(),
--- a/crates/decision/src/backend/choice.rs
+++ b/crates/decision/src/backend/choice.rs
@@ -59,7 +59,7 @@
     /// The chosen server.
     pub server: BackendServerId,
     /// The score that decided, and its components.
-    pub why: LeastLoaded,
+    pub rationale: LeastLoaded,
 }
 
 /// Returns the load that other homes are estimated to have at a server, relative to its mean.
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -277,7 +277,7 @@
         let server = open[index];
         Some(Choice {
             server,
-            why: self.explain(server, &scores, index, now),
+            rationale: self.explain(server, &scores, index, now),
         })
     }
 
--- a/crates/decision/src/home/completion.rs
+++ b/crates/decision/src/home/completion.rs
@@ -101,8 +101,13 @@
         search.remove_attempt(part, flight.id);
         let version = reply.index_version;
         if !search.accepts_version(version, self.route.minimum_index_version) {
-            let why = format!("reply at version {version:?}, pinned {:?}", search.pin);
-            self.log(Some(search.request.id), "discard", Some(flight.server), why);
+            let rationale = format!("reply at version {version:?}, pinned {:?}", search.pin);
+            self.log(
+                Some(search.request.id),
+                "discard",
+                Some(flight.server),
+                rationale,
+            );
             // An attempt without a version may have reached the server before its versions were
             // known; the server may hold the pinned one as well.
             if flight.version.is_some() {
@@ -335,8 +340,8 @@
         let Some(flight) = self.take_sent(id) else {
             return;
         };
-        let why = format!("no data received for attempt {id}");
-        self.log(None, "silent", Some(flight.server), why);
+        let rationale = format!("no data received for attempt {id}");
+        self.log(None, "silent", Some(flight.server), rationale);
         self.fleet.forget(id, now);
         self.suspects.ended(id, now);
         if let Some(connection) = flight.connection {
--- a/crates/decision/src/home/deferral.rs
+++ b/crates/decision/src/home/deferral.rs
@@ -41,8 +41,8 @@
             self.timers.set(until, Timer::Deferral(search.request.id));
         }
         search.deferred.insert(id);
-        let why = format!("retry budget is scarce, part {id} waits for the other parts");
-        self.log(Some(search.request.id), "defer", None, why);
+        let rationale = format!("retry budget is scarce, part {id} waits for the other parts");
+        self.log(Some(search.request.id), "defer", None, rationale);
         true
     }
 
@@ -67,8 +67,8 @@
             .into_iter()
             .partition(|id| self.has_budget(search, *id, importance, now));
         for id in denied {
-            let why = format!("retry budget is scarce, part {id} given up");
-            self.log(Some(search.request.id), "deny", None, why);
+            let rationale = format!("retry budget is scarce, part {id} given up");
+            self.log(Some(search.request.id), "deny", None, rationale);
             search.give_up(id);
         }
         for id in affordable {
--- a/crates/decision/src/home/delegation.rs
+++ b/crates/decision/src/home/delegation.rs
@@ -46,8 +46,9 @@
             let delegated = search.take_delegated();
             match progress {
                 Progress::NotStarted => {
-                    let why = format!("delegated keys {:?} searched here", delegated.ranges());
-                    home.log(Some(id), "elsewhere", None, why);
+                    let rationale =
+                        format!("delegated keys {:?} searched here", delegated.ranges());
+                    home.log(Some(id), "elsewhere", None, rationale);
                     for part in search.add_new_parts(&delegated, &home.route) {
                         home.assign(search, part, Cause::First, now);
                     }
@@ -62,8 +63,8 @@
 
     /// Gives up delegated keys for which no usable reply exists.
     fn give_up_delegated(&mut self, search: &mut Search<C>, keys: &KeySet, problem: &str) {
-        let why = format!("delegated keys {:?} given up: {problem}", keys.ranges());
-        self.log(Some(search.request.id), "elsewhere", None, why);
+        let rationale = format!("delegated keys {:?} given up: {problem}", keys.ranges());
+        self.log(Some(search.request.id), "elsewhere", None, rationale);
         search.give_up_keys(keys, &self.route, Reason::Lost);
     }
 }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -211,23 +211,23 @@
         let flight = self.flights.remove(id)?;
         self.timers.clear(flight.next_due(), Timer::Attempt(id));
         self.fleet.forget(id, now);
-        let mut why = format!("attempt {id} was not sent");
+        let mut rationale = format!("attempt {id} was not sent");
         match flight.cause {
             Cause::Hedge | Cause::LateHedge => {
                 if let Some(budgets) = self.budgets_of(flight.server) {
                     budgets.give_back_hedge();
                 }
-                why.push_str(", hedge given back");
+                rationale.push_str(", hedge given back");
             }
             Cause::Overdue => {
                 if let Some(budgets) = self.budgets_of(flight.server) {
                     budgets.give_back_retry();
                 }
-                why.push_str(", retry given back");
+                rationale.push_str(", retry given back");
             }
             _ => {}
         }
-        self.log(None, "withdraw", Some(flight.server), why);
+        self.log(None, "withdraw", Some(flight.server), rationale);
         self.mark_room(flight.server);
         Some(flight)
     }
--- a/crates/decision/src/home/execute.rs
+++ b/crates/decision/src/home/execute.rs
@@ -46,10 +46,15 @@
             return;
         }
         match self.pick_for_execution(&execution, now) {
-            Some((server, why))
+            Some((server, rationale))
                 if self.take_budget(EXECUTE_GROUP, cause, Importance::Required(0), now) =>
             {
-                self.log(Some(execution.request.id), "execute", Some(server), why);
+                self.log(
+                    Some(execution.request.id),
+                    "execute",
+                    Some(server),
+                    rationale,
+                );
                 self.queue_execution(execution, server, now);
             }
             Some(_) => self.end_unassigned(execution, now),
@@ -74,7 +79,7 @@
                 .fleet
                 .choose_with(candidates, &[], None, Repeat::Never, now, rng),
         };
-        choice.map(|choice| (choice.server, choice.why))
+        choice.map(|choice| (choice.server, choice.rationale))
     }
 
     fn queue_execution(&mut self, execution: Execution<C>, server: BackendServerId, now: Time) {
--- a/crates/decision/src/home/search.rs
+++ b/crates/decision/src/home/search.rs
@@ -85,8 +85,8 @@
             let Some(id) = search.parts.iter().find(in_group).map(|(id, _)| *id) else {
                 continue;
             };
-            let why = format!("part {id} would wait {wait:?}, limit {in_time:?}");
-            self.log(Some(search.request.id), "leave_out", None, why);
+            let rationale = format!("part {id} would wait {wait:?}, limit {in_time:?}");
+            self.log(Some(search.request.id), "leave_out", None, rationale);
             search.give_up(id);
         }
     }
@@ -177,11 +177,11 @@
     }
 
     fn restart(&mut self, search: &mut Search<C>, version: IndexVersion, now: Time) {
-        let why = format!(
+        let rationale = format!(
             "version {} is no longer served, restarted at {version}",
             search.pin.unwrap_or(0)
         );
-        self.log(Some(search.request.id), "restart", None, why);
+        self.log(Some(search.request.id), "restart", None, rationale);
         for attempt in search.restart(version, &self.route) {
             self.cancel(attempt, now);
         }
@@ -259,9 +259,14 @@
             return;
         }
         match self.pick(search, id, now) {
-            Some((server, why)) if self.take_budget(group, cause, importance, now) => {
+            Some((server, rationale)) if self.take_budget(group, cause, importance, now) => {
                 search.retries += u32::from(cause == Cause::Retry);
-                self.log(Some(search.request.id), cause.label(), Some(server), why);
+                self.log(
+                    Some(search.request.id),
+                    cause.label(),
+                    Some(server),
+                    rationale,
+                );
                 self.start_attempt(search, id, server, cause, now);
             }
             Some((server, _)) => self.deny(search, id, server, cause),
@@ -289,7 +294,7 @@
             None if part.tried.is_empty() || !part.live.is_empty() => None,
             None => fleet.choose(&candidates, &[], version, now, &mut self.rng),
         };
-        choice.map(|choice| (choice.server, choice.why))
+        choice.map(|choice| (choice.server, choice.rationale))
     }
 
     fn candidates(&self, part: &Part) -> SmallVec<[BackendServerId; 4]> {
@@ -341,8 +346,8 @@
         if part.live.is_empty() {
             part.give_up();
         }
-        let why = format!("{} budget is spent, part {id}", cause.label());
-        self.log(Some(search.request.id), "deny", Some(server), why);
+        let rationale = format!("{} budget is spent, part {id}", cause.label());
+        self.log(Some(search.request.id), "deny", Some(server), rationale);
     }
 
     fn start_attempt(
@@ -393,8 +398,8 @@
         part.give_up();
         let group = part.group;
         let skip_reasons = self.skip_reasons(group, version, deadline, now);
-        let why = format!("no server for part {id}, {skip_reasons}");
-        self.log(Some(search.request.id), "give_up", None, why);
+        let rationale = format!("no server for part {id}, {skip_reasons}");
+        self.log(Some(search.request.id), "give_up", None, rationale);
     }
 
     /// Sends a second attempt for a part whose only attempt is slow. Returns whether it was queued.
@@ -441,8 +446,8 @@
         let started = search.started;
         let min_coverage = self.params(&request).min_coverage;
         let outcome = search.finish(&self.route, min_coverage, reason);
-        let why = summary(&outcome, reason);
-        self.log(Some(request.id), "finish", None, why);
+        let rationale = summary(&outcome, reason);
+        self.log(Some(request.id), "finish", None, rationale);
         self.finish(&request, started, outcome, now);
     }
 
--- a/crates/decision/src/home/server.rs
+++ b/crates/decision/src/home/server.rs
@@ -80,8 +80,8 @@
         self.fleet_wake_stale = true;
         let old = self.back_offs.entry(server).or_default();
         *old = until.max(*old);
-        let why = format!("back off until {until:?}");
-        self.log(None, "back_off", Some(server), why);
+        let rationale = format!("back off until {until:?}");
+        self.log(None, "back_off", Some(server), rationale);
     }
 
     /// Handles a poll of a server's load endpoint.
@@ -152,11 +152,11 @@
         self.fleet_wake_stale = true;
         for (&server, cold) in cold {
             if self.placement.servers().contains(&server) {
-                let why = format!(
+                let rationale = format!(
                     "at most {} requests per second until {:?}",
                     cold.max_rate, cold.until
                 );
-                self.log(None, "cold", Some(server), why);
+                self.log(None, "cold", Some(server), rationale);
                 self.mark_changed(server);
             }
         }
@@ -283,8 +283,8 @@
         server: BackendServerId,
         now: Time,
     ) {
-        let why = format!("refusing fingerprint {fingerprint:016x} for {period:?}");
-        self.log(None, "suspect", Some(server), why);
+        let rationale = format!("refusing fingerprint {fingerprint:016x} for {period:?}");
+        self.log(None, "suspect", Some(server), rationale);
         self.actions
             .push(Action::AnnounceSuspect(fingerprint, period));
         self.end_suspects(fingerprint, now);
@@ -306,8 +306,8 @@
             .collect();
         let minimum = self.route.minimum_index_version;
         if let Some(version) = self.pin.update(&groups, minimum) {
-            let why = format!("version {version}");
-            self.log(None, "pin", None, why);
+            let rationale = format!("version {version}");
+            self.log(None, "pin", None, rationale);
         }
     }
 
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -245,11 +245,11 @@
         if let Some((reason, retry_after)) = self.refusal(&request, now) {
             let outcome = NotRunProof::on_arrival().into_outcome(reason, retry_after);
             let is_overload = reason == Reason::Overload;
-            let why = match is_overload {
+            let rationale = match is_overload {
                 true => format!("{reason} {}", self.overload_details(&request, now)),
                 false => format!("{reason} class={:?}", request.class),
             };
-            self.log(Some(request.id), "refuse", None, why);
+            self.log(Some(request.id), "refuse", None, rationale);
             if is_overload {
                 let change = self.overload.refused(now);
                 self.log_overload(change);
--- a/crates/decision/src/idempotency/fence.rs
+++ b/crates/decision/src/idempotency/fence.rs
@@ -91,8 +91,8 @@
 
     /// Returns the time until a key with this expiry expires, `None` if it has expired.
     pub(super) fn time_left(&self, expiry: Time, now: Time) -> Option<Duration> {
-        let left = expiry.saturating_sub(self.fence_time(now));
-        (!left.is_zero()).then_some(left)
+        let remaining = expiry.saturating_sub(self.fence_time(now));
+        (!remaining.is_zero()).then_some(remaining)
     }
 
     /// Returns the current time on the fence's clock.
--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -212,7 +212,7 @@
         if let Some(record) = state.records.get_mut(&key.serial) {
             return decide_repeat(record, request);
         }
-        let Some(left) = state.time_left(key.expiry, now) else {
+        let Some(remaining) = state.time_left(key.expiry, now) else {
             return Decision::Refuse(Refusal::Expired);
         };
         if let Phase::Closed { to, acknowledged } = self.phase {
@@ -221,7 +221,7 @@
         let (record, decision) = self.phase.decide(
             Slot::fenced(key),
             request,
-            now.saturating_add(left.saturating_add(retention)),
+            now.saturating_add(remaining.saturating_add(retention)),
         );
         state.records.insert(key.serial, record);
         decision
