--- a/crates/fakes/src/backend_server/core.rs
+++ b/crates/fakes/src/backend_server/core.rs
@@ -1,9 +1,9 @@
 //! What outlives the processes of a server: its address, what it holds, its journal; and the
 //! changes from one process to the next.
 
-use crate::backend_server::delay::Source;
+use crate::backend_server::dataset::Dataset;
+use crate::backend_server::delay::Sampler;
 use crate::backend_server::fault;
-use crate::backend_server::holding::Holding;
 use crate::backend_server::journal::Journal;
 use crate::backend_server::process::Process;
 use crate::backend_server::report::{Load, Status};
@@ -24,13 +24,13 @@
     pub(crate) settings: Settings,
     pub(crate) journal: Journal,
     pub(crate) faults: fault::Plan,
-    pub(crate) service_time: Source,
+    pub(crate) service_time: Sampler,
     pub(crate) load: View<Load>,
     pub(crate) health: View<Status>,
     reply_load: Mutex<Option<Load>>,
     last_attempt: Mutex<String>,
     reservation: Reservation,
-    holding: Mutex<Holding>,
+    dataset: Mutex<Dataset>,
     starts: AtomicU64,
     current: Mutex<Option<Current>>,
     closing: CancellationToken,
@@ -51,20 +51,20 @@
             index_versions: settings.index_versions.clone(),
             start: settings.start,
         };
-        let holding = Holding {
+        let dataset = Dataset {
             versions: settings.index_versions.iter().copied().collect(),
             ranges: settings.ranges.clone(),
         };
         Ok(Self {
             journal: Journal::default(),
             faults: fault::Plan::default(),
-            service_time: Source::new(settings.service_time, settings.seed),
+            service_time: Sampler::new(settings.service_time, settings.seed),
             load: View::new(Mode::True, load),
             health: View::new(Mode::True, Status::Starting),
             reply_load: Mutex::default(),
             last_attempt: Mutex::default(),
             reservation: Reservation::new()?,
-            holding: Mutex::new(holding),
+            dataset: Mutex::new(dataset),
             starts: AtomicU64::new(0),
             current: Mutex::default(),
             closing: CancellationToken::new(),
@@ -93,7 +93,7 @@
         let earlier = self.starts.fetch_add(1, Ordering::SeqCst);
         let process = Process::new(self.clone(), self.settings.start + earlier);
         let process = Arc::new(process);
-        let endpoint = Endpoint::open(&self.reservation, &process, process.life.clone())?;
+        let endpoint = Endpoint::open(&self.reservation, &process, process.shutdown.clone())?;
         process.report();
         *self.current() = Some(Current {
             process,
@@ -105,11 +105,11 @@
     /// Ends the present process; what it had open goes as soon as its tasks run.
     pub(crate) fn stop(&self) -> Option<Arc<Endpoint>> {
         let current = self.current().take()?;
-        current.process.life.cancel();
+        current.process.shutdown.cancel();
         Some(current.endpoint)
     }
 
-    pub(crate) fn crashes(&self, request: &Request) -> bool {
+    pub(crate) fn is_crash_request(&self, request: &Request) -> bool {
         let crash = self.settings.crash.as_ref();
         crash.is_some_and(|crash| request.contains(&crash.marker))
     }
@@ -117,7 +117,7 @@
     /// Ends a process as a crash does, and starts the next one if so set.
     pub(crate) fn crash(self: &Arc<Self>, process: &Process) {
         self.journal.lock().counters.crashes += 1;
-        process.life.cancel();
+        process.shutdown.cancel();
         let restart_after = self
             .settings
             .crash
@@ -140,30 +140,30 @@
         }
     }
 
-    pub(crate) fn holding(&self) -> Holding {
-        let holding = self.holding.lock();
-        holding.unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn dataset(&self) -> Dataset {
+        let dataset = self.dataset.lock();
+        dataset.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    pub(crate) fn change<T>(&self, act: impl FnOnce(&mut Holding) -> T) {
-        let holding = self.holding.lock();
-        act(&mut holding.unwrap_or_else(PoisonError::into_inner));
+    pub(crate) fn change<T>(&self, act: impl FnOnce(&mut Dataset) -> T) {
+        let dataset = self.dataset.lock();
+        act(&mut dataset.unwrap_or_else(PoisonError::into_inner));
     }
 
     pub(crate) fn set_reply_load(&self, load: Option<Load>) {
-        let shown = self.reply_load.lock();
-        *shown.unwrap_or_else(PoisonError::into_inner) = load;
+        let override_load = self.reply_load.lock();
+        *override_load.unwrap_or_else(PoisonError::into_inner) = load;
     }
 
     /// The value of the header `monsoonring-load` where the truth is `load`.
     pub(crate) fn reply_load(&self, load: &Load) -> String {
-        let shown = self.reply_load.lock();
-        let shown = shown.unwrap_or_else(PoisonError::into_inner);
-        shown.as_ref().unwrap_or(load).header()
+        let override_load = self.reply_load.lock();
+        let override_load = override_load.unwrap_or_else(PoisonError::into_inner);
+        override_load.as_ref().unwrap_or(load).header()
     }
 
     /// Keeps the id of the attempt that is replied to and returns the one before it.
-    pub(crate) fn last_attempt(&self, attempt: &str) -> String {
+    pub(crate) fn swap_last_attempt(&self, attempt: &str) -> String {
         let last = self.last_attempt.lock();
         let mut last = last.unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *last, attempt.to_owned())
--- a/crates/fakes/src/backend_server/holding.rs
+++ b/crates/fakes/src/backend_server/dataset.rs
@@ -7,7 +7,7 @@
 
 /// What a server holds at one moment.
 #[derive(Clone, Debug)]
-pub(crate) struct Holding {
+pub(crate) struct Dataset {
     pub(crate) versions: BTreeSet<IndexVersion>,
     pub(crate) ranges: Vec<Range>,
 }
@@ -25,7 +25,7 @@
     version: IndexVersion,
 }
 
-impl Holding {
+impl Dataset {
     /// The version to answer from: the pinned one if it is there, else the newest if none is pinned.
     pub(crate) fn version(&self, pinned: Option<IndexVersion>) -> Option<IndexVersion> {
         match pinned {
--- a/crates/fakes/src/backend_server/delay.rs
+++ b/crates/fakes/src/backend_server/delay.rs
@@ -88,7 +88,7 @@
 }
 
 /// Service times of one server, with the factor that slows it down at run time.
-pub(crate) struct Source {
+pub(crate) struct Sampler {
     state: Mutex<State>,
 }
 
@@ -98,7 +98,7 @@
     factor: f64,
 }
 
-impl Source {
+impl Sampler {
     pub(crate) fn new(distribution: Distribution, seed: u64) -> Self {
         Self {
             state: Mutex::new(State {
--- a/crates/fakes/src/backend_server/journal.rs
+++ b/crates/fakes/src/backend_server/journal.rs
@@ -94,19 +94,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn refused(&self, reason: NotRun) {
+    pub(crate) fn record_refusal(&self, reason: NotRun) {
         *self.lock().counters.refused.entry(reason).or_default() += 1;
     }
 }
 
 impl State {
-    pub(crate) fn connection_opened(&mut self) {
+    pub(crate) fn record_connection(&mut self) {
         let counters = &mut self.counters;
         counters.connections_open += 1;
         counters.connections_peak = counters.connections_peak.max(counters.connections_open);
     }
 
-    pub(crate) fn begun(&mut self, key: Option<&str>, busy: u64) {
+    pub(crate) fn record_start(&mut self, key: Option<&str>, busy: u64) {
         self.counters.started += 1;
         self.counters.busy_peak = self.counters.busy_peak.max(busy);
         if let Some(key) = key {
@@ -114,7 +114,7 @@
         }
     }
 
-    pub(crate) fn completed(&mut self, key: Option<&str>) {
+    pub(crate) fn record_completion(&mut self, key: Option<&str>) {
         self.counters.completed += 1;
         if let Some(key) = key {
             self.runs.entry(key.to_owned()).or_default().completed += 1;
--- a/crates/fakes/src/backend_server/mod.rs
+++ b/crates/fakes/src/backend_server/mod.rs
@@ -5,9 +5,9 @@
 
 mod connections;
 mod core;
+mod dataset;
 mod delay;
 mod fault;
-mod holding;
 mod journal;
 mod process;
 mod queue;
@@ -90,18 +90,18 @@
 
     /// Serves a further index version.
     pub fn add_index_version(&self, version: IndexVersion) {
-        self.core.change(|holding| holding.versions.insert(version));
+        self.core.change(|dataset| dataset.versions.insert(version));
     }
 
     /// Stops to serve an index version; what runs already ends on it.
     pub fn retire_index_version(&self, version: IndexVersion) {
         self.core
-            .change(|holding| holding.versions.remove(&version));
+            .change(|dataset| dataset.versions.remove(&version));
     }
 
     /// Replaces the keys that are held; what runs already keeps to the old ones.
     pub fn set_ranges(&self, ranges: Vec<Range>) {
-        self.core.change(|holding| holding.ranges = ranges);
+        self.core.change(|dataset| dataset.ranges = ranges);
     }
 
     /// Multiplies service times from now on.
--- a/crates/fakes/src/backend_server/process.rs
+++ b/crates/fakes/src/backend_server/process.rs
@@ -27,13 +27,13 @@
 pub(crate) struct Process {
     pub(crate) core: Arc<Core>,
     pub(crate) start: Incarnation,
-    pub(crate) life: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     pub(crate) queue: Queue,
     pub(crate) running: Arc<running::Table>,
     pub(crate) connections: connections::Table,
     pub(crate) completed: AtomicU64,
     draining: AtomicBool,
-    since: Instant,
+    started_at: Instant,
 }
 
 impl Process {
@@ -41,13 +41,13 @@
         let settings = &core.settings;
         Self {
             start,
-            life: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             queue: Queue::new(settings.slots),
             running: Arc::default(),
             connections: connections::Table::new(settings.connections),
             completed: AtomicU64::new(0),
             draining: AtomicBool::new(false),
-            since: Instant::now(),
+            started_at: Instant::now(),
             core,
         }
     }
@@ -61,7 +61,7 @@
         let starting = self.core.settings.cold.map(|cold| cold.refuse_for);
         if self.draining.load(Ordering::SeqCst) {
             Status::Draining
-        } else if starting.is_some_and(|time| self.since.elapsed() < time) {
+        } else if starting.is_some_and(|time| self.started_at.elapsed() < time) {
             Status::Starting
         } else {
             Status::Serving
@@ -73,7 +73,7 @@
             busy: self.queue.busy(),
             slots: self.queue.slots(),
             queued: self.queue.waiting(),
-            index_versions: self.core.holding().versions.iter().copied().collect(),
+            index_versions: self.core.dataset().versions.iter().copied().collect(),
             start: self.start,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     pub(crate) fn refuse(&self, reason: NotRun) -> Reply {
-        self.core.journal.refused(reason);
+        self.core.journal.record_refusal(reason);
         let mut reply = http::not_run(reason);
         if reason == NotRun::Shedding {
             let wait = self.core.settings.retry_after;
@@ -110,7 +110,7 @@
     }
 
     /// Adds what the reply to an attempt says of the server.
-    fn sign(&self, reply: &mut Reply) {
+    fn add_headers(&self, reply: &mut Reply) {
         let load = self.load();
         http::set(reply, header::LOAD, &self.core.reply_load(&load));
         http::set(reply, header::START, &self.start);
@@ -135,7 +135,7 @@
         if let Some(attempt) = attempt {
             let headers = reply.headers_mut();
             headers.entry(header::ATTEMPT).or_insert(attempt);
-            self.sign(&mut reply);
+            self.add_headers(&mut reply);
         }
         Some(reply)
     }
@@ -215,7 +215,7 @@
                 self.core.journal.lock().counters.connections_refused += 1;
                 return settings.over_limit == OverLimit::Answer;
             }
-            self.core.journal.lock().connection_opened();
+            self.core.journal.lock().record_connection();
             if settings.connect_cost > Duration::ZERO {
                 let _slot = match settings.connect_takes_slot {
                     true => self.queue.take().await,
--- a/crates/fakes/src/backend_server/queue.rs
+++ b/crates/fakes/src/backend_server/queue.rs
@@ -15,7 +15,7 @@
 }
 
 /// A request's place: a slot, or one in the queue.
-pub(crate) enum Place {
+pub(crate) enum Admission {
     Slot(Slot),
     Waiting(Waiting),
 }
@@ -47,23 +47,23 @@
     }
 
     /// Takes a slot if one is free, else a place among at most `limit` waiting ones.
-    pub(crate) fn enter(&self, limit: Option<usize>) -> Option<Place> {
+    pub(crate) fn enter(&self, limit: Option<usize>) -> Option<Admission> {
         if let Ok(slot) = self.free.clone().try_acquire_owned() {
-            return Some(Place::Slot(slot));
+            return Some(Admission::Slot(slot));
         }
         let limit = limit.unwrap_or(usize::MAX);
         let join = |waiting| (waiting < limit).then_some(waiting + 1);
         self.waiting
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, join)
             .ok()?;
-        Some(Place::Waiting(Waiting {
+        Some(Admission::Waiting(Waiting {
             free: self.free.clone(),
             waiting: self.waiting.clone(),
         }))
     }
 }
 
-impl Place {
+impl Admission {
     /// Waits for a slot.
     pub(crate) async fn slot(self) -> Option<Slot> {
         match self {
--- a/crates/fakes/src/backend_server/run.rs
+++ b/crates/fakes/src/backend_server/run.rs
@@ -4,11 +4,11 @@
 //! its own, as a ticket that is being written does: only cancellation, its deadline or the end of the
 //! process stop it.
 
+use crate::backend_server::dataset::{self, Item};
 use crate::backend_server::fault::Fault;
-use crate::backend_server::holding::{self, Item};
 use crate::backend_server::journal::Attempt;
 use crate::backend_server::process::Process;
-use crate::backend_server::queue::{Place, Slot};
+use crate::backend_server::queue::{Admission, Slot};
 use crate::backend_server::report::Status;
 use crate::backend_server::request::{Request, Work};
 use crate::backend_server::running::Entry;
@@ -27,13 +27,13 @@
 const CANCELLED: u16 = 499;
 
 #[derive(Serialize)]
-struct Found {
+struct SearchReply {
     ranges: Vec<Range>,
     items: Vec<Item>,
 }
 
 #[derive(Serialize)]
-struct Executed<'a> {
+struct ExecuteReply<'a> {
     value: Value<'a>,
 }
 
@@ -57,28 +57,28 @@
 impl Process {
     /// Runs or refuses a request; `None` ends the connection.
     pub(crate) async fn serve(self: Arc<Self>, request: Request) -> Option<Reply> {
-        self.keep(&request.attempt);
-        let place = match self.admit(&request) {
-            Ok(place) => place,
+        self.record_attempt(&request.attempt);
+        let admission = match self.admit(&request) {
+            Ok(admission) => admission,
             Err(reason) => return Some(self.refuse(reason)),
         };
         if !request.attempt.executes {
-            return self.work(request, place).await;
+            return self.work(request, admission).await;
         }
-        let life = self.life.clone();
-        let work = async move { self.work(request, place).await };
-        let task = tokio::spawn(life.run_until_cancelled_owned(work));
+        let shutdown = self.shutdown.clone();
+        let work = async move { self.work(request, admission).await };
+        let task = tokio::spawn(shutdown.run_until_cancelled_owned(work));
         task.await.ok().flatten().flatten()
     }
 
-    fn keep(&self, attempt: &Attempt) {
+    fn record_attempt(&self, attempt: &Attempt) {
         if self.core.settings.journal {
             let mut journal = self.core.journal.lock();
             journal.attempts.push(attempt.clone());
         }
     }
 
-    fn admit(&self, request: &Request) -> Result<Place, NotRun> {
+    fn admit(&self, request: &Request) -> Result<Admission, NotRun> {
         match self.status() {
             Status::Draining => return Err(NotRun::Draining),
             Status::Starting => return Err(NotRun::Starting),
@@ -87,43 +87,43 @@
         if request.deadline.is_some_and(|at| at <= Instant::now()) {
             return Err(NotRun::Deadline);
         }
-        let place = self.queue.enter(self.core.settings.shed_at);
+        let admission = self.queue.enter(self.core.settings.shed_at);
         self.report();
-        place.ok_or(NotRun::Shedding)
+        admission.ok_or(NotRun::Shedding)
     }
 
-    async fn work(self: Arc<Self>, request: Request, place: Place) -> Option<Reply> {
-        let mut watch = Watch::new(&self, &request);
+    async fn work(self: Arc<Self>, request: Request, admission: Admission) -> Option<Reply> {
+        let mut guard = AttemptGuard::new(&self, &request);
         let slot = tokio::select! {
             biased;
-            stop = watch.stopped() => return Some(self.stopped_in_queue(&stop, &mut watch)),
-            slot = place.slot() => slot?,
+            stop = guard.stopped() => return Some(self.stopped_in_queue(&stop, &mut guard)),
+            slot = admission.slot() => slot?,
         };
         let Some(snapshot) = self.snapshot(&request) else {
-            watch.done = true;
+            guard.done = true;
             return Some(self.refuse(NotRun::IndexVersion));
         };
         self.begin(&request);
-        if self.core.crashes(&request) {
-            watch.done = true;
+        if self.core.is_crash_request(&request) {
+            guard.done = true;
             self.core.crash(&self);
             return future::pending().await;
         }
         tokio::select! {
             biased;
-            stop = watch.stopped() => return Some(self.stopped_at_work(&stop, &mut watch)),
+            stop = guard.stopped() => return Some(self.stopped_at_work(&stop, &mut guard)),
             () = time::sleep(self.service_time()) => {}
         }
-        watch.done = true;
+        guard.done = true;
         self.complete(&request, slot);
         self.reply(&request, snapshot).await
     }
 
     fn snapshot(&self, request: &Request) -> Option<Snapshot> {
-        let holding = self.core.holding();
-        let version = holding.version(request.attempt.index_version)?;
+        let dataset = self.core.dataset();
+        let version = dataset.version(request.attempt.index_version)?;
         let ranges = match &request.work {
-            Work::Search(asked) => holding.covered(asked),
+            Work::Search(asked) => dataset.covered(asked),
             Work::Execute => Vec::new(),
         };
         Some(Snapshot { version, ranges })
@@ -132,25 +132,25 @@
     fn begin(&self, request: &Request) {
         let busy = self.queue.busy() as u64;
         let key = self.journal_key(request);
-        self.core.journal.lock().begun(key, busy);
+        self.core.journal.lock().record_start(key, busy);
         self.report();
     }
 
     fn complete(&self, request: &Request, slot: Slot) {
         let key = self.journal_key(request);
-        self.core.journal.lock().completed(key);
+        self.core.journal.lock().record_completion(key);
         self.completed.fetch_add(1, Ordering::SeqCst);
         drop(slot);
         self.report();
     }
 
     fn journal_key<'a>(&self, request: &'a Request) -> Option<&'a str> {
-        let kept = self.core.settings.journal && request.attempt.executes;
-        request.attempt.key.as_deref().filter(|_| kept)
+        let is_recorded = self.core.settings.journal && request.attempt.executes;
+        request.attempt.key.as_deref().filter(|_| is_recorded)
     }
 
-    fn stopped_in_queue(&self, stop: &Stop, watch: &mut Watch) -> Reply {
-        watch.done = true;
+    fn stopped_in_queue(&self, stop: &Stop, guard: &mut AttemptGuard) -> Reply {
+        guard.done = true;
         match stop {
             Stop::Cancelled => self.cancelled(),
             Stop::Deadline => self.refuse(NotRun::Deadline),
@@ -158,8 +158,8 @@
     }
 
     /// The deadline of a request that runs gives a plain `504`: it must not read as "not run".
-    fn stopped_at_work(&self, stop: &Stop, watch: &mut Watch) -> Reply {
-        watch.done = true;
+    fn stopped_at_work(&self, stop: &Stop, guard: &mut AttemptGuard) -> Reply {
+        guard.done = true;
         match stop {
             Stop::Cancelled => self.cancelled(),
             Stop::Deadline => {
@@ -186,7 +186,7 @@
         }
         let mut reply = self.result(request, snapshot);
         let attempt = &request.attempt.attempt;
-        let last = self.core.last_attempt(attempt);
+        let last = self.core.swap_last_attempt(attempt);
         let shown = match fault {
             Some(Fault::ForeignAttempt) => FOREIGN_ATTEMPT.to_owned(),
             Some(Fault::DuplicateAttempt) => last,
@@ -203,13 +203,13 @@
         let Snapshot { version, ranges } = snapshot;
         let mut reply = match request.work {
             Work::Search(_) => {
-                let items = holding::items(&ranges, self.core.settings.item_every, version);
-                http::json(StatusCode::OK, &Found { ranges, items })
+                let items = dataset::items(&ranges, self.core.settings.item_every, version);
+                http::json(StatusCode::OK, &SearchReply { ranges, items })
             }
             Work::Execute => {
                 let key = request.attempt.key.as_deref();
                 let value = Value { key };
-                http::json(StatusCode::OK, &Executed { value })
+                http::json(StatusCode::OK, &ExecuteReply { value })
             }
         };
         http::set(&mut reply, header::INDEX_VERSION, &version);
@@ -218,14 +218,14 @@
 }
 
 /// Waits for what stops an attempt, and counts one that goes away with its connection.
-struct Watch {
+struct AttemptGuard {
     process: Arc<Process>,
     entry: Entry,
     deadline: Option<Instant>,
     done: bool,
 }
 
-impl Watch {
+impl AttemptGuard {
     fn new(process: &Arc<Process>, request: &Request) -> Self {
         Self {
             process: process.clone(),
@@ -249,7 +249,7 @@
     }
 }
 
-impl Drop for Watch {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if !self.done {
             self.process.core.journal.lock().counters.abandoned += 1;
--- a/crates/fakes/src/configuration_service/limit.rs
+++ b/crates/fakes/src/configuration_service/limit.rs
@@ -21,8 +21,8 @@
             self.window = Some(now);
             self.calls = 0;
         }
-        let left = self.calls_per_second.is_none_or(|limit| self.calls < limit);
-        self.calls += u64::from(left);
-        left
+        let is_allowed = self.calls_per_second.is_none_or(|limit| self.calls < limit);
+        self.calls += u64::from(is_allowed);
+        is_allowed
     }
 }
--- a/crates/fakes/src/endpoint.rs
+++ b/crates/fakes/src/endpoint.rs
@@ -23,7 +23,7 @@
 use tokio_util::task::TaskTracker;
 
 const BACKLOG: u32 = 1024;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Number of a connection, counted from 1 in the order of acceptance.
 pub type ConnectionId = u64;
@@ -98,7 +98,7 @@
 
 /// A listener with its connections.
 pub(crate) struct Endpoint {
-    life: CancellationToken,
+    shutdown: CancellationToken,
     tasks: TaskTracker,
 }
 
@@ -106,19 +106,19 @@
     pub(crate) fn open<H: Handler>(
         reservation: &Reservation,
         handler: &Arc<H>,
-        life: CancellationToken,
+        shutdown: CancellationToken,
     ) -> io::Result<Self> {
         let listener = reservation.listen()?;
         let tasks = TaskTracker::new();
-        let accepting = accept_all(listener, handler.clone(), life.clone(), tasks.clone());
-        tasks.spawn(life.clone().run_until_cancelled_owned(accepting));
+        let accepting = accept_all(listener, handler.clone(), shutdown.clone(), tasks.clone());
+        tasks.spawn(shutdown.clone().run_until_cancelled_owned(accepting));
         tasks.close();
-        Ok(Self { life, tasks })
+        Ok(Self { shutdown, tasks })
     }
 
     /// Drops the listener and all connections and waits until they are gone.
     pub(crate) async fn close(&self) {
-        self.life.cancel();
+        self.shutdown.cancel();
         self.tasks.wait().await;
     }
 }
@@ -131,14 +131,14 @@
         }
         // Without file descriptors accepting fails at once, again and again, and a loop without a
         // pause would keep the tasks that could give some back from running: the test would hang.
-        time::sleep(ACCEPT_PAUSE).await;
+        time::sleep(ACCEPT_RETRY_PAUSE).await;
     }
 }
 
 async fn accept_all<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
-    life: CancellationToken,
+    shutdown: CancellationToken,
     tasks: TaskTracker,
 ) {
     let count = AtomicU64::new(0);
@@ -149,13 +149,13 @@
             silent: Arc::default(),
         };
         let serving = serve(stream, connection, handler.clone());
-        tasks.spawn(life.clone().run_until_cancelled_owned(serving));
+        tasks.spawn(shutdown.clone().run_until_cancelled_owned(serving));
     }
 }
 
 async fn serve<H: Handler>(stream: TcpStream, connection: Connection, handler: Arc<H>) {
     let id = connection.id;
-    let _closing = Closing {
+    let _guard = CloseGuard {
         id,
         handler: handler.clone(),
     };
@@ -178,12 +178,12 @@
     let _ = http1::Builder::new().serve_connection(io, service).await;
 }
 
-struct Closing<H: Handler> {
+struct CloseGuard<H: Handler> {
     id: ConnectionId,
     handler: Arc<H>,
 }
 
-impl<H: Handler> Drop for Closing<H> {
+impl<H: Handler> Drop for CloseGuard<H> {
     fn drop(&mut self) {
         self.handler.closed(self.id);
     }
@@ -193,7 +193,7 @@
 pub(crate) struct Site<H> {
     reservation: Reservation,
     handler: Arc<H>,
-    life: CancellationToken,
+    shutdown: CancellationToken,
     endpoint: Mutex<Option<Endpoint>>,
 }
 
@@ -201,12 +201,12 @@
     /// Listens on a free port.
     pub(crate) fn start(handler: Arc<H>) -> io::Result<Self> {
         let reservation = Reservation::new()?;
-        let life = CancellationToken::new();
-        let endpoint = Endpoint::open(&reservation, &handler, life.child_token())?;
+        let shutdown = CancellationToken::new();
+        let endpoint = Endpoint::open(&reservation, &handler, shutdown.child_token())?;
         Ok(Self {
             reservation,
             handler,
-            life,
+            shutdown,
             endpoint: Mutex::new(Some(endpoint)),
         })
     }
@@ -226,8 +226,8 @@
     pub(crate) async fn bring_up(&self) -> io::Result<()> {
         let mut endpoint = self.endpoint.lock().await;
         if endpoint.is_none() {
-            let life = self.life.child_token();
-            *endpoint = Some(Endpoint::open(&self.reservation, &self.handler, life)?);
+            let shutdown = self.shutdown.child_token();
+            *endpoint = Some(Endpoint::open(&self.reservation, &self.handler, shutdown)?);
         }
         Ok(())
     }
@@ -235,6 +235,6 @@
 
 impl<H> Drop for Site<H> {
     fn drop(&mut self) {
-        self.life.cancel();
+        self.shutdown.cancel();
     }
 }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -146,19 +146,19 @@
     }
 
     fn start(&self, group: usize, replica: usize) -> Server {
-        let place = (group * self.replicas + replica) as u64;
+        let index = (group * self.replicas + replica) as u64;
         Server::start(Settings {
             ranges: vec![self.keys(group)],
-            seed: self.settings.seed + place,
+            seed: self.settings.seed + index,
             ..self.settings.clone()
         })
     }
 
     fn describe(&self, servers: &[Vec<Server>]) -> Route {
         let groups = servers.iter().enumerate();
-        let groups = groups.map(|(place, replicas)| Group {
-            name: format!("group-{place}").into(),
-            keys: self.keys(place),
+        let groups = groups.map(|(index, replicas)| Group {
+            name: format!("group-{index}").into(),
+            keys: self.keys(index),
             weight: 1.0,
             backend_servers: replicas.iter().map(Server::address).collect(),
         });
@@ -189,10 +189,10 @@
 
 /// The running backend servers of one or more routes.
 pub struct Fleet {
-    routes: Vec<Running>,
+    routes: Vec<RunningRoute>,
 }
 
-struct Running {
+struct RunningRoute {
     shape: Shape,
     groups: Vec<Vec<Server>>,
 }
@@ -205,11 +205,11 @@
     /// Panics outside of a tokio runtime and where the loopback interface has no free port.
     pub fn start(shapes: impl IntoIterator<Item = Shape>) -> Self {
         let routes = shapes.into_iter().map(|shape| {
-            let group = |place| (0..shape.replicas).map(move |replica| (place, replica));
-            let start = |(place, replica)| shape.start(place, replica);
-            let groups = (0..shape.groups).map(|place| group(place).map(start).collect());
+            let group = |index| (0..shape.replicas).map(move |replica| (index, replica));
+            let start = |(index, replica)| shape.start(index, replica);
+            let groups = (0..shape.groups).map(|index| group(index).map(start).collect());
             let groups = groups.collect();
-            Running { groups, shape }
+            RunningRoute { groups, shape }
         });
         Self {
             routes: routes.collect(),
@@ -219,7 +219,7 @@
     /// Returns the document that describes the routes and their callers.
     pub fn document(&self) -> Document {
         let mut document = Document::default();
-        for Running { shape, groups } in &self.routes {
+        for RunningRoute { shape, groups } in &self.routes {
             document.routes.push(shape.describe(groups));
             let is_known = document.callers.contains(&shape.caller);
             if !is_known {
@@ -245,9 +245,9 @@
     }
 
     /// Adds a number up over all backend servers.
-    pub fn total(&self, number: impl Fn(&Counters) -> u64) -> u64 {
+    pub fn total(&self, counter: impl Fn(&Counters) -> u64) -> u64 {
         self.servers()
-            .map(|server| number(&server.counters()))
+            .map(|server| counter(&server.counters()))
             .sum()
     }
 
--- a/crates/fakes/src/host_list.rs
+++ b/crates/fakes/src/host_list.rs
@@ -44,7 +44,7 @@
 }
 
 #[derive(Serialize)]
-struct Reading {
+struct HostsReply {
     hosts: Vec<Host>,
 }
 
@@ -117,10 +117,10 @@
         let hosts = self.view.read().unwrap_or_default();
         let hosts = hosts.into_iter();
         let hosts = hosts.map(|(address, state)| Host { address, state });
-        let reading = Reading {
+        let hosts_reply = HostsReply {
             hosts: hosts.collect(),
         };
-        http::json(StatusCode::OK, &reading)
+        http::json(StatusCode::OK, &hosts_reply)
     }
 }
 
@@ -131,8 +131,8 @@
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Option<Reply>> {
         self.calls.fetch_add(1, Ordering::SeqCst);
-        let is_reading = request.method() == Method::GET && request.uri().path() == "/hosts";
-        let reply = if is_reading {
+        let is_list_request = request.method() == Method::GET && request.uri().path() == "/hosts";
+        let reply = if is_list_request {
             self.read()
         } else {
             http::empty(StatusCode::NOT_FOUND)
--- a/crates/fakes/src/lag.rs
+++ b/crates/fakes/src/lag.rs
@@ -50,7 +50,7 @@
         }
         let now = Instant::now();
         state.history.push_back((now, value));
-        state.forget(now);
+        state.prune(now);
     }
 
     /// What is reported now; `None` only where nothing was ever recorded.
@@ -59,7 +59,7 @@
         if let Mode::Fixed(value) = &state.mode {
             return Some(value.clone());
         }
-        state.forget(Instant::now());
+        state.prune(Instant::now());
         state.history.front().map(|(_, value)| value.clone())
     }
 
@@ -70,7 +70,7 @@
 
 impl<T> State<T> {
     /// Drops the values that a later one had replaced before the time that is reported.
-    fn forget(&mut self, now: Instant) {
+    fn prune(&mut self, now: Instant) {
         let lag = match self.mode {
             Mode::Lag(lag) => lag,
             Mode::True | Mode::Fixed(_) => Duration::ZERO,
--- a/crates/fakes/src/relay/tcp.rs
+++ b/crates/fakes/src/relay/tcp.rs
@@ -21,14 +21,14 @@
 use tokio_util::task::AbortOnDropHandle;
 
 const CHUNK_BYTES: usize = 16 * 1024;
-const CHUNKS_IN_FLIGHT: usize = 256;
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
 /// A TCP relay on a port of the loopback interface; gone when dropped, with its connections.
 pub struct Relay {
     shared: Arc<Shared>,
     reservation: Reservation,
     flapping: Mutex<Option<AbortOnDropHandle<()>>>,
-    life: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 struct Shared {
@@ -85,14 +85,14 @@
             connections: Mutex::default(),
             opened: AtomicUsize::new(0),
         });
-        let life = CancellationToken::new();
-        let accepting = accept_all(listener, shared.clone(), life.clone());
-        tokio::spawn(life.clone().run_until_cancelled_owned(accepting));
+        let shutdown = CancellationToken::new();
+        let accepting = accept_all(listener, shared.clone(), shutdown.clone());
+        tokio::spawn(shutdown.clone().run_until_cancelled_owned(accepting));
         Self {
             shared,
             reservation,
             flapping: Mutex::default(),
-            life,
+            shutdown,
         }
     }
 
@@ -158,7 +158,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.life.cancel();
+        self.shutdown.cancel();
     }
 }
 
@@ -200,14 +200,14 @@
     }
 }
 
-async fn accept_all(listener: TcpListener, shared: Arc<Shared>, life: CancellationToken) {
+async fn accept_all(listener: TcpListener, shared: Arc<Shared>, shutdown: CancellationToken) {
     loop {
         let (stream, source) = endpoint::accept(&listener).await;
         shared.opened.fetch_add(1, Ordering::SeqCst);
         let connection = Arc::new(Connection {
             source: source.ip(),
             silent: AtomicBool::new(false),
-            end: life.child_token(),
+            end: shutdown.child_token(),
         });
         shared.connections().push(connection.clone());
         // The link is read after the entry into the table: a cut that comes between the two finds
@@ -256,7 +256,7 @@
     connection: &Connection,
     direction: Direction,
 ) -> io::Result<()> {
-    let (sender, receiver) = mpsc::channel(CHUNKS_IN_FLIGHT);
+    let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
     let reading = read_all(from, shared, sender);
     let writing = write_all(to, shared, connection, direction, receiver);
     tokio::join!(reading, writing).1
--- a/crates/fakes/src/relay/udp.rs
+++ b/crates/fakes/src/relay/udp.rs
@@ -15,7 +15,7 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-const DATAGRAM_BYTES: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// A UDP relay on a port of the loopback interface; gone when dropped.
 pub struct Relay {
@@ -27,7 +27,7 @@
     target: SocketAddr,
     socket: UdpSocket,
     state: Mutex<State>,
-    life: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 struct State {
@@ -58,7 +58,7 @@
             target,
             socket,
             state: Mutex::new(state),
-            life: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
         });
         shared.spawn(forward_all(shared.clone()));
         Ok(Self { shared, address })
@@ -92,13 +92,13 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.life.cancel();
+        self.shared.shutdown.cancel();
     }
 }
 
 impl Shared {
     /// Decides on one datagram: the delay that it gets, or `None` where it is dropped.
-    fn pass(&self, direction: Direction) -> Option<Duration> {
+    fn filter(&self, direction: Direction) -> Option<Duration> {
         let mut state = self.state();
         let loss = state.loss;
         let is_lost = state.random.random_bool(loss);
@@ -111,9 +111,9 @@
 
     /// Runs a task that ends with the relay.
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let life = self.life.clone();
+        let shutdown = self.shutdown.clone();
         tokio::spawn(async move {
-            life.run_until_cancelled(task).await;
+            shutdown.run_until_cancelled(task).await;
         });
     }
 
@@ -129,12 +129,12 @@
 /// Carries datagrams to the target, each source by a socket of its own.
 async fn forward_all(shared: Arc<Shared>) {
     let mut sockets = HashMap::new();
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, source)) = shared.socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let Some(delay) = shared.pass(Direction::Forward) else {
+        let Some(delay) = shared.filter(Direction::Forward) else {
             continue;
         };
         let known = sockets.get(&source).cloned();
@@ -164,12 +164,12 @@
 }
 
 async fn return_all(shared: Arc<Shared>, socket: Arc<UdpSocket>, source: SocketAddr) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok(length) = socket.recv(&mut buffer).await else {
             continue;
         };
-        let Some(delay) = shared.pass(Direction::Back) else {
+        let Some(delay) = shared.filter(Direction::Back) else {
             continue;
         };
         let datagram = buffer[..length].to_vec();
