--- a/crates/fakes/src/backend_server/connections.rs
+++ b/crates/fakes/src/backend_server/connections.rs
@@ -1,10 +1,10 @@
-//! The open connections of one process: the limit over all clients, and silence on chosen ones.
+//! Open connections of one process, their limit, and injected silence.
 
 use crate::endpoint::{Connection, ConnectionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Connections of one process.
+/// The open connections of one process, except refused ones.
 pub(crate) struct Table {
     limit: usize,
     state: Mutex<State>,
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct State {
     open: BTreeMap<ConnectionId, Connection>,
-    /// Numbers that are silent, also those that are still to be accepted.
+    /// Connections to silence, including ones not yet accepted.
     silent: BTreeSet<ConnectionId>,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes a connection in; `false` where the limit is reached.
+    /// Adds a connection; `false` if the limit is reached.
     pub(crate) fn open(&self, connection: &Connection) -> bool {
         let mut state = self.lock();
         if state.open.len() >= self.limit {
@@ -38,12 +38,12 @@
         true
     }
 
-    /// Tells whether the connection was within the limit.
+    /// Returns whether the connection is open and within the limit.
     pub(crate) fn contains(&self, connection: ConnectionId) -> bool {
         self.lock().open.contains_key(&connection)
     }
 
-    /// Forgets a connection; `false` where it was not within the limit.
+    /// Removes a connection; `false` if it was refused.
     pub(crate) fn close(&self, connection: ConnectionId) -> bool {
         self.lock().open.remove(&connection).is_some()
     }
--- a/crates/fakes/src/backend_server/core.rs
+++ b/crates/fakes/src/backend_server/core.rs
@@ -1,5 +1,4 @@
-//! What outlives the processes of a server: its address, what it holds, its journal; and the
-//! changes from one process to the next.
+//! Server state that survives restarts, and the start, crash and stop of processes.
 
 use crate::backend_server::dataset::Dataset;
 use crate::backend_server::delay::Sampler;
@@ -19,7 +18,7 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-/// What outlives a process.
+/// Server state that survives restarts.
 pub(crate) struct Core {
     pub(crate) settings: Settings,
     pub(crate) journal: Journal,
@@ -36,7 +35,7 @@
     closing: CancellationToken,
 }
 
-/// The process that is there now.
+/// The running process.
 pub(crate) struct Current {
     pub(crate) process: Arc<Process>,
     endpoint: Arc<Endpoint>,
@@ -76,13 +75,13 @@
         self.reservation.address()
     }
 
-    /// Start number of the newest process.
+    /// Returns the incarnation of the newest process.
     pub(crate) fn start_number(&self) -> Incarnation {
         let later = self.starts.load(Ordering::SeqCst).saturating_sub(1);
         self.settings.start + later
     }
 
-    /// Ends the present process and lets no further one start.
+    /// Stops the current process and prevents automatic restarts.
     pub(crate) fn close(&self) {
         self.closing.cancel();
         self.stop();
@@ -102,7 +101,7 @@
         Ok(())
     }
 
-    /// Ends the present process; what it had open goes as soon as its tasks run.
+    /// Stops the current process; its connections close once its tasks have run.
     pub(crate) fn stop(&self) -> Option<Arc<Endpoint>> {
         let current = self.current().take()?;
         current.process.shutdown.cancel();
@@ -114,7 +113,7 @@
         crash.is_some_and(|crash| request.contains(&crash.marker))
     }
 
-    /// Ends a process as a crash does, and starts the next one if so set.
+    /// Crashes a process, and restarts it if the settings say so.
     pub(crate) fn crash(self: &Arc<Self>, process: &Process) {
         self.journal.lock().counters.crashes += 1;
         process.shutdown.cancel();
@@ -135,7 +134,7 @@
         let Some(delay) = restart_after else { return };
         let waiting = self.closing.run_until_cancelled(time::sleep(delay));
         if waiting.await.is_some() && self.current().is_none() {
-            // A failure leaves the server dead, which the test notices.
+            // On failure the server stays down, which the test notices.
             let _ = self.launch();
         }
     }
@@ -155,14 +154,14 @@
         *override_load.unwrap_or_else(PoisonError::into_inner) = load;
     }
 
-    /// The value of the header `monsoonring-load` where the truth is `load`.
+    /// Returns the value of the header `monsoonring-load` for the actual `load`.
     pub(crate) fn reply_load(&self, load: &Load) -> String {
         let override_load = self.reply_load.lock();
         let override_load = override_load.unwrap_or_else(PoisonError::into_inner);
         override_load.as_ref().unwrap_or(load).header()
     }
 
-    /// Keeps the id of the attempt that is replied to and returns the one before it.
+    /// Stores the id of the attempt being answered and returns the previous one.
     pub(crate) fn swap_last_attempt(&self, attempt: &str) -> String {
         let last = self.last_attempt.lock();
         let mut last = last.unwrap_or_else(PoisonError::into_inner);
--- a/crates/fakes/src/backend_server/dataset.rs
+++ b/crates/fakes/src/backend_server/dataset.rs
@@ -1,11 +1,11 @@
-//! Index versions and keys that a server holds, and the items in them.
+//! Index versions, key ranges and items of a server.
 
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::{IndexVersion, Key};
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// What a server holds at one moment.
+/// The index versions and key ranges that a server serves.
 #[derive(Clone, Debug)]
 pub(crate) struct Dataset {
     pub(crate) versions: BTreeSet<IndexVersion>,
@@ -26,7 +26,8 @@
 }
 
 impl Dataset {
-    /// The version to answer from: the pinned one if it is there, else the newest if none is pinned.
+    /// Returns the version to read: the pinned one, or the newest if none is pinned. `None` if the
+    /// server does not have it.
     pub(crate) fn version(&self, pinned: Option<IndexVersion>) -> Option<IndexVersion> {
         match pinned {
             Some(version) => self.versions.get(&version).copied(),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Those of the asked keys that are held, in the order of the question.
+    /// Returns the parts of the requested ranges that the server has, in request order.
     pub(crate) fn covered(&self, asked: &[Range]) -> Vec<Range> {
         let mut covered = Vec::new();
         for range in asked {
@@ -45,7 +46,7 @@
     }
 }
 
-/// The items in the given ranges, one at each multiple of `every`.
+/// Returns the items in the given ranges, one at each multiple of `every`.
 pub(crate) fn items(ranges: &[Range], every: u64, version: IndexVersion) -> Vec<Item> {
     let every = every.max(1);
     let mut items = Vec::new();
--- a/crates/fakes/src/backend_server/delay.rs
+++ b/crates/fakes/src/backend_server/delay.rs
@@ -1,4 +1,4 @@
-//! Seeded service times.
+//! Service time distributions with a seeded generator.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,27 +9,27 @@
 /// Distribution of service times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Distribution {
-    /// Always the same.
+    /// A constant time.
     Constant(Duration),
-    /// Exponential.
+    /// Exponential distribution.
     Exponential {
         /// Mean of the distribution.
         mean: Duration,
     },
-    /// Lognormal.
+    /// Lognormal distribution.
     Lognormal {
         /// Median of the distribution.
         median: Duration,
         /// Standard deviation of the logarithm.
         sigma: f64,
     },
-    /// Two values, of which the slow one is a straggler.
+    /// Two values: a usual one and a straggler.
     Bimodal {
-        /// The usual value.
+        /// Usual time.
         fast: Duration,
-        /// The straggler's value.
+        /// Time of a straggler.
         slow: Duration,
-        /// Share of slow ones, from 0 to 1.
+        /// Probability of a straggler, from 0 to 1.
         slow_share: f64,
     },
 }
@@ -76,18 +76,18 @@
     }
 }
 
-/// Uniform over `(0, 1]`, so that its logarithm is finite.
+/// Samples uniformly from `(0, 1]`; zero is excluded to keep the logarithm finite.
 fn unit(random: &mut ChaCha8Rng) -> f64 {
     1.0 - random.random::<f64>()
 }
 
-/// Standard normal, by the method of Box and Muller.
+/// Samples the standard normal distribution with the Box–Muller transform.
 fn normal(random: &mut ChaCha8Rng) -> f64 {
     let radius = (-2.0 * unit(random).ln()).sqrt();
     radius * (TAU * unit(random)).cos()
 }
 
-/// Service times of one server, with the factor that slows it down at run time.
+/// Samples a server's service times and applies its slowdown factor.
 pub(crate) struct Sampler {
     state: Mutex<State>,
 }
--- a/crates/fakes/src/backend_server/fault.rs
+++ b/crates/fakes/src/backend_server/fault.rs
@@ -1,29 +1,29 @@
-//! Faults that are switched on for a number of replies.
+//! Faults injected into a number of replies.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What is wrong with the reply to a request that ran.
+/// A fault in the reply to a request that ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It comes this much later, whatever the deadline says.
+    /// The reply is delayed by this time, regardless of the deadline.
     Late(Duration),
-    /// Half of the body arrives, then the connection ends.
+    /// Half of the body arrives, then the connection closes.
     Truncated,
-    /// It carries an attempt id that was never sent.
+    /// The reply has an attempt id that no client sent.
     ForeignAttempt,
-    /// It carries the attempt id of the reply before it.
+    /// The reply has the attempt id of the previous reply.
     DuplicateAttempt,
-    /// It is taken from, and says that it is taken from, another index version than the pinned one.
+    /// The reply is read from, and labelled with, a different index version than the pinned one.
     WrongIndexVersion,
-    /// `500` without `monsoonring-not-run`: the request ran and failed.
+    /// The reply is `500` without `monsoonring-not-run`: the request ran and failed.
     Failed,
-    /// The connection ends without a reply, although the request ran.
+    /// The connection closes without a reply although the request ran.
     Lost,
 }
 
-/// Faults that are still to come, in the order in which they were switched on.
+/// Pending faults, in the order in which they were added.
 #[derive(Default)]
 pub(crate) struct Plan {
     pending: Mutex<VecDeque<(Fault, u64)>>,
@@ -40,7 +40,7 @@
         self.lock().clear();
     }
 
-    /// The fault of the next reply.
+    /// Takes the fault of the next reply.
     pub(crate) fn next(&self) -> Option<Fault> {
         let mut pending = self.lock();
         let (fault, count) = pending.front_mut()?;
--- a/crates/fakes/src/backend_server/journal.rs
+++ b/crates/fakes/src/backend_server/journal.rs
@@ -1,4 +1,4 @@
-//! What tests and benchmarks look at afterwards. It outlives crashes and restarts of the process.
+//! Counters and attempt records for tests and benchmarks. They survive crashes and restarts.
 
 use crate::endpoint::ConnectionId;
 use crate::http::NotRun;
@@ -6,71 +6,71 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Numbers since the start of the stand-in.
+/// Event counters of a server, over all of its processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests received, whatever became of them.
+    /// Requests received, whatever their outcome.
     pub received: u64,
-    /// Requests whose work began.
+    /// Requests that started to execute.
     pub started: u64,
-    /// Requests whose work came to its end.
+    /// Requests that finished executing.
     pub completed: u64,
-    /// Attempts cancelled by `DELETE`, queued or running.
+    /// Queued or running attempts cancelled by `DELETE`.
     pub cancelled: u64,
-    /// Attempts given up because their connection went away, queued or running.
+    /// Queued or running attempts abandoned because their connection closed.
     pub abandoned: u64,
-    /// Requests whose deadline passed while they were running.
+    /// Requests whose deadline passed during execution.
     pub overran: u64,
-    /// Requests refused unrun, by reason.
+    /// Requests refused without running, by reason.
     pub refused: BTreeMap<NotRun, u64>,
     /// Requests that crashed the process.
     pub crashes: u64,
-    /// Connections accepted, refused ones included.
+    /// Connections accepted, including those refused afterwards.
     pub connections_opened: u64,
-    /// Connections refused because of the limit.
+    /// Connections refused because the limit was reached.
     pub connections_refused: u64,
-    /// Connections open now, refused ones left out.
+    /// Connections currently open, except refused ones.
     pub connections_open: u64,
-    /// Most connections that were open at a time, refused ones left out.
+    /// Maximum of `connections_open`.
     pub connections_peak: u64,
-    /// Most requests that were worked on at a time.
+    /// Maximum number of slots in use, sampled when a request starts.
     pub busy_peak: u64,
 }
 
 impl Counters {
-    /// Requests refused for one reason.
+    /// Returns the number of requests refused for a reason.
     pub fn refused_for(&self, reason: NotRun) -> u64 {
         self.refused.get(&reason).copied().unwrap_or(0)
     }
 }
 
-/// One attempt as it was received.
+/// An attempt as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Attempt id, as sent.
+    /// Attempt id.
     pub attempt: String,
-    /// Id of the request, as sent.
+    /// Request id.
     pub request: Option<String>,
-    /// Whether it came to `/execute`.
+    /// Whether it was sent to `/execute` instead of `/query`.
     pub executes: bool,
-    /// Idempotency key, as sent.
+    /// Idempotency key; `/execute` requires one.
     pub key: Option<String>,
-    /// Pinned index version, as sent.
+    /// Pinned index version.
     pub index_version: Option<IndexVersion>,
-    /// Remaining time in milliseconds, as sent.
+    /// Time left until the deadline when sent, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Connection that it came on, counted within the process.
+    /// Number of its connection within the process.
     pub connection: ConnectionId,
-    /// Start number of the process that received it.
+    /// Incarnation of the process that received it.
     pub start: Incarnation,
 }
 
-/// How often the work under one idempotency key began and ended.
+/// How often requests with one idempotency key started and completed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
-    /// Times that the work began; more than one is a doubled request.
+    /// Number of executions started; more than one is a duplicate execution.
     pub begun: u64,
-    /// Times that the work came to its end.
+    /// Number of executions completed.
     pub completed: u64,
 }
 
--- a/crates/fakes/src/backend_server/mod.rs
+++ b/crates/fakes/src/backend_server/mod.rs
@@ -1,7 +1,7 @@
-//! A backend server: slots, connections, index versions and keys, and the faults of all of these.
+//! Fake backend server with slots, connections, index versions, key ranges and injectable faults.
 //!
-//! The server is a handle that outlives its processes. A crash or kill drops the listener and every
-//! connection at once and keeps the address, so that a restart is a later process at the same place.
+//! A server outlives its processes. A crash or kill closes the listener and all connections but
+//! keeps the address, so that a restart is a new process on the same address.
 
 mod connections;
 mod core;
@@ -33,7 +33,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// A backend server on a port of the loopback interface; gone when dropped.
+/// A backend server on a loopback port; it shuts down when dropped.
 pub struct Server {
     core: Arc<Core>,
 }
@@ -43,7 +43,7 @@
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime and where the loopback interface has no free port.
+    /// Panics outside a tokio runtime or if the loopback interface has no free port.
     pub fn start(settings: Settings) -> Self {
         let core = Core::new(settings).expect("the loopback interface has a free port");
         let core = Arc::new(core);
@@ -51,60 +51,60 @@
         Self { core }
     }
 
-    /// Returns the address, the same one for all processes.
+    /// Returns the address, which restarts keep.
     pub fn address(&self) -> BackendServerId {
         self.core.address()
     }
 
-    /// Drops the listener and all connections at once; returns when they are gone.
+    /// Closes the listener and all connections; returns when they are gone.
     pub async fn kill(&self) {
         if let Some(endpoint) = self.core.stop() {
             endpoint.close().await;
         }
     }
 
-    /// Kills the process if there is one, and starts the next one on the same address.
+    /// Kills the process, if any, and starts a new one on the same address.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error where the address can't be listened on.
+    /// Returns the operating system's error if the address can't be listened on.
     pub async fn restart(&self) -> io::Result<()> {
         self.kill().await;
         self.core.launch()
     }
 
-    /// Tells whether there is a process.
+    /// Returns whether a process is running.
     pub fn is_running(&self) -> bool {
         self.core.current().is_some()
     }
 
-    /// Returns the start number of the newest process.
+    /// Returns the incarnation of the newest process.
     pub fn start_number(&self) -> Incarnation {
         self.core.start_number()
     }
 
-    /// Begins or ends draining.
+    /// Starts or stops draining.
     pub fn set_draining(&self, draining: bool) {
         self.with_process(|process| process.set_draining(draining));
     }
 
-    /// Serves a further index version.
+    /// Adds an index version.
     pub fn add_index_version(&self, version: IndexVersion) {
         self.core.change(|dataset| dataset.versions.insert(version));
     }
 
-    /// Stops to serve an index version; what runs already ends on it.
+    /// Removes an index version; running requests finish on it.
     pub fn retire_index_version(&self, version: IndexVersion) {
         self.core
             .change(|dataset| dataset.versions.remove(&version));
     }
 
-    /// Replaces the keys that are held; what runs already keeps to the old ones.
+    /// Replaces the key ranges; running requests use the old ones.
     pub fn set_ranges(&self, ranges: Vec<Range>) {
         self.core.change(|dataset| dataset.ranges = ranges);
     }
 
-    /// Multiplies service times from now on.
+    /// Multiplies later service times by a factor.
     pub fn set_slowdown(&self, factor: f64) {
         self.core.service_time.set_factor(factor);
     }
@@ -114,61 +114,62 @@
         self.core.service_time.set_distribution(distribution);
     }
 
-    /// Adds a fault to the next `count` replies, after those already planned.
+    /// Injects a fault into `count` replies, after the faults already planned.
     pub fn plan(&self, fault: Fault, count: u64) {
         self.core.faults.add(fault, count);
     }
 
-    /// Forgets the faults that are still to come.
+    /// Removes all planned faults.
     pub fn clear_faults(&self) {
         self.core.faults.clear();
     }
 
-    /// Silences a connection of the present process for good, also one that is still to be opened.
+    /// Silences a connection of the current process permanently, also one not yet opened.
     pub fn silence(&self, connection: ConnectionId) {
         self.with_process(|process| process.connections.silence(connection));
     }
 
-    /// Silences all connections that are open now; new ones work.
+    /// Silences all open connections; new connections work.
     pub fn silence_open(&self) {
         for connection in self.connections() {
             self.silence(connection);
         }
     }
 
-    /// Returns the numbers of the open connections of the present process.
+    /// Returns the numbers of the current process's open connections.
     pub fn connections(&self) -> Vec<ConnectionId> {
         let current = self.core.current();
         let process = current.as_ref().map(|current| &current.process);
         process.map_or_else(Vec::new, |process| process.connections.ids())
     }
 
-    /// Sets how the health endpoint relates to the truth.
+    /// Sets what the health endpoint reports.
     pub fn set_health_report(&self, mode: Mode<Status>) {
         self.core.health.set_mode(mode);
     }
 
-    /// Sets how the load endpoint relates to the truth.
+    /// Sets what the load endpoint reports.
     pub fn set_load_report(&self, mode: Mode<Load>) {
         self.core.load.set_mode(mode);
     }
 
-    /// Makes the header `monsoonring-load` of each reply show this value; `None` shows the truth.
+    /// Overrides the header `monsoonring-load` of replies; `None` reports the actual load.
     pub fn set_reply_load(&self, load: Option<Load>) {
         self.core.set_reply_load(load);
     }
 
-    /// Returns the numbers so far.
+    /// Returns the counters, which survive restarts.
     pub fn counters(&self) -> Counters {
         self.core.journal.lock().counters.clone()
     }
 
-    /// Returns the attempts received, in order.
+    /// Returns the attempts in the order received; empty if [`Settings::journal`] is off.
     pub fn attempts(&self) -> Vec<Attempt> {
         self.core.journal.lock().attempts.clone()
     }
 
-    /// Returns the runs of non-idempotent requests by idempotency key.
+    /// Returns the runs of non-idempotent requests by idempotency key; empty if
+    /// [`Settings::journal`] is off.
     pub fn runs(&self) -> RunsByKey {
         self.core.journal.lock().runs.clone()
     }
--- a/crates/fakes/src/backend_server/process.rs
+++ b/crates/fakes/src/backend_server/process.rs
@@ -1,7 +1,7 @@
-//! One process of a backend server, from its start to its crash, kill or the end of the stand-in.
+//! One process of a backend server, from its start to its crash or kill.
 //!
-//! What a crash would lose lives here: queue, running attempts, connections, warmth. What the test
-//! looks at afterwards lives in the core and outlives it.
+//! This holds the state that a crash loses: queue, running attempts, connections and warm-up.
+//! [`Core`] holds the state that survives.
 
 use crate::backend_server::connections;
 use crate::backend_server::core::Core;
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Keeps what lagging endpoints will show later.
+    /// Records load and status for the health and load endpoints.
     pub(crate) fn report(&self) {
         self.core.load.record(self.load());
         self.core.health.record(self.status());
     }
 
-    /// Time that the next request's work takes.
+    /// Samples the service time of the next request.
     pub(crate) fn service_time(&self) -> Duration {
         let time = self.core.service_time.next();
         let completed = self.completed.load(Ordering::SeqCst);
@@ -109,7 +109,7 @@
         reply
     }
 
-    /// Adds what the reply to an attempt says of the server.
+    /// Adds the server's load, incarnation, index versions and draining state to a reply.
     fn add_headers(&self, reply: &mut Reply) {
         let load = self.load();
         http::set(reply, header::LOAD, &self.core.reply_load(&load));
@@ -196,7 +196,7 @@
 }
 
 impl Cold {
-    /// Slowdown after so many completed requests; falls evenly to 1.
+    /// Returns the slowdown after `completed` requests, which falls linearly to 1.
     fn factor(self, completed: u64) -> f64 {
         if completed >= self.warm_after {
             return 1.0;
--- a/crates/fakes/src/backend_server/queue.rs
+++ b/crates/fakes/src/backend_server/queue.rs
@@ -1,20 +1,20 @@
-//! Slots for work and the queue before them.
+//! Execution slots and the queue in front of them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The right to work; given back when dropped.
+/// An execution slot; released when dropped.
 pub(crate) type Slot = OwnedSemaphorePermit;
 
-/// Slots, first come first served.
+/// A fixed number of slots with a FIFO queue.
 pub(crate) struct Queue {
     slots: usize,
     free: Arc<Semaphore>,
     waiting: Arc<AtomicUsize>,
 }
 
-/// A request's place: a slot, or one in the queue.
+/// An admitted request, which has a slot or waits in the queue.
 pub(crate) enum Admission {
     Slot(Slot),
     Waiting(Waiting),
@@ -41,12 +41,12 @@
         self.waiting.load(Ordering::SeqCst)
     }
 
-    /// Waits for a slot without a place in the queue, as a new connection does.
+    /// Waits for a slot without counting towards the queue length, as new connections do.
     pub(crate) async fn take(&self) -> Option<Slot> {
         self.free.clone().acquire_owned().await.ok()
     }
 
-    /// Takes a slot if one is free, else a place among at most `limit` waiting ones.
+    /// Takes a free slot or joins the queue; `None` if `limit` requests are already waiting.
     pub(crate) fn enter(&self, limit: Option<usize>) -> Option<Admission> {
         if let Ok(slot) = self.free.clone().try_acquire_owned() {
             return Some(Admission::Slot(slot));
@@ -73,7 +73,7 @@
     }
 }
 
-/// A place in the queue; left when dropped.
+/// A position in the queue; released when dropped.
 pub(crate) struct Waiting {
     free: Arc<Semaphore>,
     waiting: Arc<AtomicUsize>,
--- a/crates/fakes/src/backend_server/report.rs
+++ b/crates/fakes/src/backend_server/report.rs
@@ -1,4 +1,4 @@
-//! What a server says of itself.
+//! Bodies of the health and load endpoints.
 
 use monsoonring_configuration::id::{Incarnation, IndexVersion};
 use serde::Serialize;
@@ -6,34 +6,34 @@
 /// Body of the load endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Load {
-    /// Requests being worked on.
+    /// Number of slots in use.
     pub busy: usize,
-    /// Requests worked on at the same time at most.
+    /// Total number of slots.
     pub slots: usize,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Index versions that can be served.
+    /// Index versions that the server can serve.
     pub index_versions: Vec<IndexVersion>,
-    /// Start number of the process.
+    /// Incarnation of the process.
     pub start: Incarnation,
 }
 
 impl Load {
-    /// The value of the header `monsoonring-load`.
+    /// Returns the value of the header `monsoonring-load`.
     pub(crate) fn header(&self) -> String {
         format!("{}/{}/{}", self.busy, self.slots, self.queued)
     }
 }
 
-/// Health of a process.
+/// Health status of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// It takes requests.
+    /// Accepts requests.
     Serving,
-    /// It has just started and takes none yet.
+    /// Still starting; refuses requests.
     Starting,
-    /// It is leaving and takes no new ones.
+    /// Refuses new requests and finishes running ones.
     Draining,
 }
 
--- a/crates/fakes/src/backend_server/request.rs
+++ b/crates/fakes/src/backend_server/request.rs
@@ -1,4 +1,4 @@
-//! Requests as they come off the wire.
+//! Parsing and validation of requests.
 
 use crate::backend_server::journal::Attempt;
 use crate::endpoint::ConnectionId;
@@ -16,7 +16,7 @@
 
 const ATTEMPT_DIGITS: usize = 16;
 
-/// One request to run, checked against the protocol.
+/// A valid request.
 pub(crate) struct Request {
     pub(crate) attempt: Attempt,
     pub(crate) deadline: Option<Instant>,
@@ -24,9 +24,9 @@
     pub(crate) work: Work,
 }
 
-/// What is asked for.
+/// The operation that a request asks for.
 pub(crate) enum Work {
-    /// A search of the given keys.
+    /// A search over the given key ranges.
     Search(Vec<Range>),
     /// A non-idempotent request.
     Execute,
@@ -45,7 +45,7 @@
     _query: serde_json::Value,
 }
 
-/// Where a request came in.
+/// The connection and process that received a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Origin {
     pub(crate) connection: ConnectionId,
@@ -53,7 +53,7 @@
 }
 
 impl Request {
-    /// Reads a request; `None` where it breaks the protocol or breaks off.
+    /// Reads a request; `None` if it violates the protocol or is cut short.
     pub(crate) async fn read(
         request: hyper::Request<Incoming>,
         executes: bool,
@@ -112,7 +112,7 @@
     Some(value.to_owned())
 }
 
-/// A header that may be absent; `None` where it is there and no number.
+/// Parses an optional numeric header; `None` if it is present but not a number.
 fn number<T: FromStr>(headers: &HeaderMap, name: &str) -> Option<Option<T>> {
     match headers.get(name) {
         None => Some(None),
--- a/crates/fakes/src/backend_server/run.rs
+++ b/crates/fakes/src/backend_server/run.rs
@@ -1,8 +1,7 @@
-//! The way of one request: refused, queued, worked on, answered.
+//! Execution of one request: admission, queueing, work and reply.
 //!
-//! A search is given up when its connection goes away. A non-idempotent request runs on in a task of
-//! its own, as a ticket that is being written does: only cancellation, its deadline or the end of the
-//! process stop it.
+//! A search stops when its connection closes. A non-idempotent request runs in a separate task, which
+//! only cancellation, its deadline or the end of the process stops.
 
 use crate::backend_server::dataset::{self, Item};
 use crate::backend_server::fault::Fault;
@@ -42,20 +41,20 @@
     key: Option<&'a str>,
 }
 
-/// What the work of a request reads; fixed when the work begins.
+/// Index version and key ranges that a request reads, fixed when its execution starts.
 struct Snapshot {
     version: IndexVersion,
     ranges: Vec<Range>,
 }
 
-/// How the work of a request ended early.
+/// Why a request stopped early.
 enum Stop {
     Cancelled,
     Deadline,
 }
 
 impl Process {
-    /// Runs or refuses a request; `None` ends the connection.
+    /// Runs or refuses a request; `None` closes the connection.
     pub(crate) async fn serve(self: Arc<Self>, request: Request) -> Option<Reply> {
         self.record_attempt(&request.attempt);
         let admission = match self.admit(&request) {
@@ -157,7 +156,7 @@
         }
     }
 
-    /// The deadline of a request that runs gives a plain `504`: it must not read as "not run".
+    /// A deadline that passes during execution returns a plain `504`, which must not claim "not run".
     fn stopped_at_work(&self, stop: &Stop, guard: &mut AttemptGuard) -> Reply {
         guard.done = true;
         match stop {
@@ -217,7 +216,8 @@
     }
 }
 
-/// Waits for what stops an attempt, and counts one that goes away with its connection.
+/// Waits for the cancellation or deadline of an attempt. An attempt whose guard is dropped before it
+/// is done counts as abandoned.
 struct AttemptGuard {
     process: Arc<Process>,
     entry: Entry,
--- a/crates/fakes/src/backend_server/running.rs
+++ b/crates/fakes/src/backend_server/running.rs
@@ -1,4 +1,4 @@
-//! The attempts that are queued or running, by their ids, so that they can be cancelled.
+//! Queued and running attempts by id, for cancellation.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,7 +9,7 @@
     tokens: Mutex<HashMap<String, CancellationToken>>,
 }
 
-/// One attempt in the table; leaves it when dropped.
+/// An attempt's entry in the table; removed when dropped.
 pub(crate) struct Entry {
     table: Arc<Table>,
     attempt: String,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Cancels an attempt; `false` where none of that id is queued or running.
+    /// Cancels an attempt; `false` if none with this id is queued or running.
     pub(crate) fn cancel(&self, attempt: &str) -> bool {
         let token = self.lock().get(attempt).cloned();
         token.inspect(CancellationToken::cancel).is_some()
--- a/crates/fakes/src/backend_server/settings.rs
+++ b/crates/fakes/src/backend_server/settings.rs
@@ -1,44 +1,45 @@
-//! What one backend server is like from its start on.
+//! Settings of a fake backend server.
 
 use crate::backend_server::delay::Distribution;
 use monsoonring_configuration::Range;
 use monsoonring_configuration::id::{Incarnation, IndexVersion};
 use std::time::Duration;
 
-/// Settings of a backend server; what can change at run time has a method on the server as well.
+/// Settings of a backend server; those that can change at run time also have a method on the
+/// server.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Requests worked on at the same time.
+    /// Maximum number of requests executed concurrently.
     pub slots: usize,
-    /// Open connections, over all clients.
+    /// Maximum number of open connections over all clients.
     pub connections: usize,
-    /// What becomes of connections beyond the limit.
+    /// How connections beyond the limit are refused.
     pub over_limit: OverLimit,
-    /// Time that passes before the first request of a new connection is read.
+    /// Delay before the first request of a new connection is read.
     pub connect_cost: Duration,
-    /// Whether a new connection takes a slot for that time.
+    /// Whether a new connection occupies a slot for `connect_cost`.
     pub connect_takes_slot: bool,
-    /// Requests that may wait for a slot; the next one is shed. `None` sheds nothing.
+    /// Maximum queue length; further requests are shed. `None` disables shedding.
     pub shed_at: Option<usize>,
-    /// When a shed or refused request should come back.
+    /// Retry delay sent with shed requests.
     pub retry_after: Duration,
-    /// Index versions served at first.
+    /// Initial index versions.
     pub index_versions: Vec<IndexVersion>,
-    /// Keys held at first.
+    /// Initial key ranges.
     pub ranges: Vec<Range>,
-    /// There is one item at each multiple of this number.
+    /// Distance between items: one item exists at each multiple of this key.
     pub item_every: u64,
-    /// Time that the work of a request takes.
+    /// Distribution of execution times.
     pub service_time: Distribution,
     /// Seed of the service times.
     pub seed: u64,
-    /// How a process behaves at first; `None` is warm at once.
+    /// Behaviour of a new process; `None` starts it warm.
     pub cold: Option<Cold>,
-    /// Which requests crash the process.
+    /// Requests that crash the process.
     pub crash: Option<Crash>,
-    /// Start number of the first process.
+    /// Incarnation of the first process.
     pub start: Incarnation,
-    /// Whether each attempt and run is kept; off for long benchmarks.
+    /// Whether to record each attempt and run. Long benchmarks turn this off to bound memory.
     pub journal: bool,
 }
 
@@ -65,31 +66,31 @@
     }
 }
 
-/// What becomes of a connection beyond the limit.
+/// How a connection beyond the limit is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverLimit {
-    /// Its first request is answered `503` and the connection closed.
+    /// Answer its first request with `503`, then close it.
     Answer,
-    /// It is closed at once, without a reply.
+    /// Close it without a reply.
     Close,
 }
 
-/// A process that has just started.
+/// Start-up and warm-up of a new process.
 #[derive(Clone, Copy, Debug)]
 pub struct Cold {
-    /// Time during which each request is refused with `starting`.
+    /// Time during which all requests are refused with `starting`.
     pub refuse_for: Duration,
-    /// Factor on the service time of the first request.
+    /// Service time factor of the first request.
     pub slowdown: f64,
-    /// Completed requests after which the factor has fallen to 1.
+    /// Number of completed requests after which the factor reaches 1.
     pub warm_after: u64,
 }
 
-/// Requests that crash the process that starts to run them.
+/// Requests that crash the process when they start to execute.
 #[derive(Clone, Debug)]
 pub struct Crash {
-    /// Text in the body of such a request.
+    /// Text that marks the body of such a request.
     pub marker: String,
-    /// Time until the process is started again on the same address; `None` leaves it dead.
+    /// Delay before an automatic restart on the same address; `None` disables it.
     pub restart_after: Option<Duration>,
 }
--- a/crates/fakes/src/configuration_service/call.rs
+++ b/crates/fakes/src/configuration_service/call.rs
@@ -1,4 +1,4 @@
-//! Calls as they come off the wire.
+//! Parsing of calls.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A call, read from its path and query.
+/// A read of a value, or a long poll for a revision above `after`.
 pub(crate) struct Call {
     pub(crate) name: String,
     pub(crate) after: Option<Revision>,
--- a/crates/fakes/src/configuration_service/limit.rs
+++ b/crates/fakes/src/configuration_service/limit.rs
@@ -1,11 +1,11 @@
-//! The limit of calls a second, over all readers.
+//! Rate limit over all readers.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Calls answered in the present second.
+/// Fixed-window limit of calls per second.
 #[derive(Default)]
 pub(crate) struct Limit {
     pub(crate) calls_per_second: Option<u64>,
@@ -14,7 +14,7 @@
 }
 
 impl Limit {
-    /// Takes one call of the present second; `false` where there is none left.
+    /// Counts a call; `false` if the limit of the current window is reached.
     pub(crate) fn take(&mut self, now: Instant) -> bool {
         let is_over = self.window.is_none_or(|start| now >= start + WINDOW);
         if is_over {
--- a/crates/fakes/src/configuration_service/mod.rs
+++ b/crates/fakes/src/configuration_service/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration service: named values with revisions that can be read and watched.
+//! Fake configuration service: named values with revisions that can be read and watched.
 //!
-//! What operators publish and what readers see are kept apart, so that a stale service goes on
-//! showing old copies while new values are published behind it.
+//! Published values and the readers' view are separate, so that a stale service serves old values
+//! while operators publish new ones.
 
 mod call;
 mod limit;
@@ -25,41 +25,41 @@
 use tokio::sync::watch;
 use tokio::time::{self, Instant};
 
-/// Name of the value that holds the document.
+/// Name of the value that holds the configuration document.
 pub const DOCUMENT: &str = "monsoonring";
 
 /// How the service behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// Answers calls.
     #[default]
     Up,
-    /// Nobody listens; open connections are dropped.
+    /// Does not listen; open connections are closed.
     Down,
-    /// It takes calls and never answers.
+    /// Accepts calls but never answers.
     Hang,
-    /// It shows the values as they were when this mode was set.
+    /// Serves the values as of when this mode was set.
     Stale,
 }
 
-/// Numbers since the start of the stand-in.
+/// Call counters since the start of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls received; a waiting one counts as one.
+    /// Calls received; a long poll counts once.
     pub calls: u64,
-    /// Calls refused because of the limit of calls a second.
+    /// Calls refused by the rate limit.
     pub refused: u64,
-    /// Waiting calls that ended without a change.
+    /// Long polls that timed out without a change.
     pub unchanged: u64,
 }
 
-/// A configuration service on a port of the loopback interface; gone when dropped.
+/// A configuration service on a loopback port; it shuts down when dropped.
 pub struct Service {
     shared: Arc<Shared>,
     site: Site<Shared>,
 }
 
-/// A value as readers see it.
+/// A value and its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Value {
     revision: Revision,
@@ -75,7 +75,7 @@
     limit: Mutex<Limit>,
 }
 
-/// What readers see.
+/// The mode and the values that readers see.
 #[derive(Clone, Default)]
 struct View {
     mode: Mode,
@@ -87,7 +87,7 @@
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime and where the loopback interface has no free port.
+    /// Panics outside a tokio runtime or if the loopback interface has no free port.
     pub fn start() -> Self {
         let shared = Arc::new(Shared {
             published: Mutex::default(),
@@ -100,12 +100,12 @@
         Self { shared, site }
     }
 
-    /// Returns the address.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.site.address()
     }
 
-    /// Publishes a value under the next revision, which is returned.
+    /// Publishes a value and returns its revision.
     pub fn publish(&self, name: &str, content: impl Into<Bytes>) -> Revision {
         let mut published = self.shared.published();
         let last = published.get(name).map_or(0, |value| value.revision);
@@ -115,29 +115,29 @@
         revision
     }
 
-    /// Publishes the document under the next revision, which is returned.
+    /// Publishes the document and returns its revision.
     ///
     /// # Panics
     ///
-    /// Panics where the document holds a number that JSON lacks.
+    /// Panics if the document can't be serialized to JSON.
     pub fn publish_document(&self, document: &Document) -> Revision {
-        let text = serde_json::to_vec(document).expect("a document is plain JSON");
+        let text = serde_json::to_vec(document).expect("a document serializes to JSON");
         self.publish(DOCUMENT, text)
     }
 
-    /// Puts a value at any revision: an older one as after a restore from a copy, or the present one
-    /// with other content as after a race of two operators.
+    /// Sets a value at any revision: a lower one simulates a restore from backup, the current one
+    /// with other content a race between two operators.
     pub fn publish_at(&self, name: &str, revision: Revision, content: impl Into<Bytes>) {
         let mut published = self.shared.published();
         published.insert(name.to_owned(), Value::new(revision, content));
         self.shared.show(&published);
     }
 
-    /// Changes how the service behaves; returns when it does.
+    /// Changes the mode; returns when it is in effect.
     ///
     /// # Panics
     ///
-    /// Panics where the address can't be listened on again.
+    /// Panics if the address can't be listened on again.
     pub async fn set_mode(&self, mode: Mode) {
         let published = self.shared.published().clone();
         self.shared.view.send_modify(|view| {
@@ -154,12 +154,12 @@
         }
     }
 
-    /// Limits the calls a second; those beyond are answered `429`. `None` lifts the limit.
+    /// Limits the calls per second; excess calls are answered with `429`. `None` removes the limit.
     pub fn set_limit(&self, calls_per_second: Option<u64>) {
         self.shared.limit().calls_per_second = calls_per_second;
     }
 
-    /// Returns the numbers so far.
+    /// Returns the call counters.
     pub fn counters(&self) -> Counters {
         *self.shared.counters()
     }
@@ -181,7 +181,7 @@
 }
 
 impl Shared {
-    /// Shows readers what is published, unless they are shown old copies.
+    /// Makes the published values visible to readers, except in mode [`Mode::Stale`].
     fn show(&self, published: &Values) {
         self.view.send_modify(|view| {
             if view.mode != Mode::Stale {
--- a/crates/fakes/src/endpoint.rs
+++ b/crates/fakes/src/endpoint.rs
@@ -1,8 +1,8 @@
-//! An address, the listener on it and the connections, which can all be dropped at once.
+//! HTTP endpoints that can be shut down abruptly and restarted on the same address.
 //!
-//! The address outlives the listener: a second socket stays bound to the port without listening.
-//! Without it another socket could be given the port between a crash and the restart, which would
-//! show as replies of a foreign server. Connecting to it meanwhile is refused, as after a crash.
+//! A second socket stays bound to the port without listening. Otherwise another process could take
+//! the port between a crash and the restart, and clients would see replies of an unrelated server.
+//! Connections are refused in the meantime, as after a real crash.
 
 use crate::gate::Gate;
 use crate::http::Reply;
@@ -25,10 +25,10 @@
 const BACKLOG: u32 = 1024;
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Number of a connection, counted from 1 in the order of acceptance.
+/// Connection number, from 1 in the order of acceptance.
 pub type ConnectionId = u64;
 
-/// A port that stays taken while nobody listens on it.
+/// A loopback port that stays bound whether or not a listener exists.
 pub(crate) struct Reservation {
     _socket: TcpSocket,
     address: SocketAddr,
@@ -60,7 +60,7 @@
     Ok(socket)
 }
 
-/// One accepted connection, as its handler sees it.
+/// An accepted connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Connection {
     pub(crate) id: ConnectionId,
@@ -68,27 +68,27 @@
 }
 
 impl Connection {
-    /// Stops reading and writing for good; the connection stays open.
+    /// Stops all reads and writes permanently; the connection stays open.
     pub(crate) fn silence(&self) {
         self.silent.store(true, Ordering::SeqCst);
     }
 }
 
-/// What a stand-in does with connections and requests.
+/// Handles the connections and requests of an endpoint.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Takes in a new connection before anything is read from it; `false` closes it.
+    /// Called for a new connection before anything is read from it; `false` closes it.
     fn opened<'a>(&'a self, connection: &'a Connection) -> BoxFuture<'a, bool> {
         let _ = connection;
         Box::pin(async { true })
     }
 
-    /// Hears that a connection is gone.
+    /// Called when a connection has closed.
     fn closed(&self, connection: ConnectionId) {
         let _ = connection;
     }
 
-    /// Answers one request; dropped when the connection goes away. `None` ends the connection
-    /// without a reply.
+    /// Answers a request; `None` closes the connection without a reply. The future is dropped when
+    /// the connection closes.
     fn handle(
         self: Arc<Self>,
         connection: ConnectionId,
@@ -96,7 +96,7 @@
     ) -> BoxFuture<'static, Option<Reply>>;
 }
 
-/// A listener with its connections.
+/// A listener and its connections.
 pub(crate) struct Endpoint {
     shutdown: CancellationToken,
     tasks: TaskTracker,
@@ -116,21 +116,21 @@
         Ok(Self { shutdown, tasks })
     }
 
-    /// Drops the listener and all connections and waits until they are gone.
+    /// Closes the listener and all connections and waits until they are gone.
     pub(crate) async fn close(&self) {
         self.shutdown.cancel();
         self.tasks.wait().await;
     }
 }
 
-/// Accepts the next connection, and tells where it comes from.
+/// Accepts the next connection and returns it with its source address.
 pub(crate) async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         if let Ok(accepted) = listener.accept().await {
             return accepted;
         }
-        // Without file descriptors accepting fails at once, again and again, and a loop without a
-        // pause would keep the tasks that could give some back from running: the test would hang.
+        // Out of file descriptors, accept fails immediately. A busy loop would starve the tasks
+        // that could release some.
         time::sleep(ACCEPT_RETRY_PAUSE).await;
     }
 }
@@ -174,7 +174,7 @@
                 .ok_or(io::Error::from(io::ErrorKind::ConnectionAborted))
         }
     });
-    // An error here is a connection that the other side or a fault ended; the counters tell of it.
+    // Errors mean that the client or a fault closed the connection; the counters record it.
     let _ = http1::Builder::new().serve_connection(io, service).await;
 }
 
@@ -189,7 +189,7 @@
     }
 }
 
-/// An address with one handler, where somebody listens or nobody does.
+/// An address with a handler, whose listener can be stopped and restarted.
 pub(crate) struct Site<H> {
     reservation: Reservation,
     handler: Arc<H>,
@@ -215,14 +215,14 @@
         self.reservation.address()
     }
 
-    /// Drops the listener and all connections; returns when they are gone.
+    /// Closes the listener and all connections; returns when they are gone.
     pub(crate) async fn take_down(&self) {
         if let Some(endpoint) = self.endpoint.lock().await.take() {
             endpoint.close().await;
         }
     }
 
-    /// Listens again, where nobody does.
+    /// Starts listening again; does nothing if a listener exists.
     pub(crate) async fn bring_up(&self) -> io::Result<()> {
         let mut endpoint = self.endpoint.lock().await;
         if endpoint.is_none() {
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Backend servers in the shapes of today's routes, with the document that describes them.
+//! Fleets of backend servers sized like the production routes, and their configuration document.
 //!
-//! The sizes are the offices' own. They state no service times; those here are assumptions, a
-//! lognormal body whose tail makes stragglers, and benchmarks vary them.
+//! Service times are assumptions: lognormal, with a tail that produces stragglers. Benchmarks vary
+//! them.
 
 use crate::backend_server::{Counters, Distribution, Server, Settings};
 use crate::host_list::{self, List};
@@ -16,24 +16,24 @@
 const MAX_BODY_BYTES: u64 = 64 * 1024;
 const SIGMA: f64 = 0.5;
 
-/// One route and the backend servers behind it.
+/// Size and behaviour of a route's backend servers.
 #[derive(Clone, Debug)]
 pub struct Shape {
     /// Name of the route.
     pub route: RouteId,
-    /// What its requests do.
+    /// Whether requests are searches or non-idempotent executions.
     pub kind: Kind,
-    /// The caller that uses it.
+    /// The only caller of the route.
     pub caller: Caller,
-    /// Groups of replicas; they share the key space evenly.
+    /// Number of groups of replicas; they divide the key space evenly.
     pub groups: usize,
-    /// Backend servers in each group.
+    /// Number of backend servers in each group.
     pub replicas: usize,
-    /// Time after which a request that named no deadline has failed.
+    /// Default deadline of a request.
     pub deadline: Duration,
-    /// When a partial answer is better than a later one.
+    /// When to return a partial answer, if ever.
     pub soft_deadline: Option<SoftDeadline>,
-    /// What each backend server is like; ranges and seeds are set from its place.
+    /// Settings of each backend server; ranges and seed are derived from its group and replica.
     pub settings: Settings,
 }
 
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns the gate desk: 10 groups of 3, 2 slots, 25 connections at 6 ms each. Someone waits at
-/// the gate, so it answers from nearly all the data rather than late.
+/// Returns the gate desk: 10 groups of 3, 2 slots, 25 connections at 6 ms each. Its soft deadline
+/// prefers a nearly complete answer to a late one.
 pub fn gate_desk() -> Shape {
     Shape {
         groups: 10,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the planner desk: 20 equal backend servers, 2 slots, 110 connections at 1 ms each.
+/// Returns the planner desk: one group of 20 backend servers, 2 slots, 110 connections at 1 ms each.
 pub fn planner_desk() -> Shape {
     Shape {
         replicas: 20,
@@ -71,8 +71,8 @@
     }
 }
 
-/// Returns the repair tickets: 10 equal backend servers that run requests at most once, 2 slots,
-/// 110 connections at 1 ms each.
+/// Returns the repair tickets: one group of 10 backend servers that run requests at most once,
+/// 2 slots, 110 connections at 1 ms each.
 pub fn repair_tickets() -> Shape {
     Shape {
         kind: Kind::Execute,
@@ -114,7 +114,7 @@
 }
 
 impl Shape {
-    /// A hedge would run a non-idempotent request twice.
+    /// Disables hedging for non-idempotent requests, as a hedge would run them twice.
     fn hedge(&self) -> Hedge {
         let budget_percent = match self.kind {
             Kind::Search => Hedge::default().budget_percent,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Multiplies all times: service, connections, deadlines.
+    /// Multiplies service times, connection costs and deadlines by a factor.
     #[must_use]
     pub fn scaled(mut self, factor: f64) -> Self {
         self.deadline = self.deadline.mul_f64(factor);
@@ -139,7 +139,7 @@
         self
     }
 
-    /// The keys of one group.
+    /// Returns the key range of a group.
     fn keys(&self, group: usize) -> Range {
         let start = group as u64 * KEYS_PER_GROUP;
         Range::new(start, start + KEYS_PER_GROUP)
@@ -187,7 +187,7 @@
     (time.as_secs_f64() * 1_000.0).ceil() as u64
 }
 
-/// The running backend servers of one or more routes.
+/// Running backend servers of one or more routes.
 pub struct Fleet {
     routes: Vec<RunningRoute>,
 }
@@ -198,11 +198,11 @@
 }
 
 impl Fleet {
-    /// Starts all backend servers of the given routes.
+    /// Starts the backend servers of the given routes.
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime and where the loopback interface has no free port.
+    /// Panics outside a tokio runtime or if the loopback interface has no free port.
     pub fn start(shapes: impl IntoIterator<Item = Shape>) -> Self {
         let routes = shapes.into_iter().map(|shape| {
             let group = |index| (0..shape.replicas).map(move |replica| (index, replica));
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Returns the document that describes the routes and their callers.
+    /// Returns the configuration document of the routes and their callers.
     pub fn document(&self) -> Document {
         let mut document = Document::default();
         for RunningRoute { shape, groups } in &self.routes {
@@ -229,7 +229,7 @@
         document
     }
 
-    /// Returns the replicas of a group; empty where there is no such route or group.
+    /// Returns the replicas of a group; empty if the route or group does not exist.
     pub fn group(&self, route: &str, group: usize) -> &[Server] {
         let mut routes = self.routes.iter();
         let running = routes.find(|running| *running.shape.route == *route);
@@ -237,21 +237,21 @@
         replicas.map_or(&[], Vec::as_slice)
     }
 
-    /// Returns all backend servers, by route, group and replica.
+    /// Returns all backend servers, ordered by route, group and replica.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.routes
             .iter()
             .flat_map(|route| route.groups.iter().flatten())
     }
 
-    /// Adds a number up over all backend servers.
+    /// Sums a counter over all backend servers.
     pub fn total(&self, counter: impl Fn(&Counters) -> u64) -> u64 {
         self.servers()
             .map(|server| counter(&server.counters()))
             .sum()
     }
 
-    /// Puts all backend servers on the host list as live.
+    /// Adds all backend servers to the host list as live.
     pub fn register(&self, list: &List) {
         for server in self.servers() {
             list.set(server.address(), host_list::State::Live);
--- a/crates/fakes/src/gate.rs
+++ b/crates/fakes/src/gate.rs
@@ -1,4 +1,4 @@
-//! Streams that can go silent while they stay open.
+//! TCP streams that can stop transferring data while they stay open.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream that can go silent: once it has, nothing is read or written and nothing is closed.
+/// A TCP stream; once silent, every operation on it stays pending and it never closes.
 pub(crate) struct Gate {
     pub(crate) stream: TcpStream,
     pub(crate) silent: Arc<AtomicBool>,
--- a/crates/fakes/src/host_list.rs
+++ b/crates/fakes/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags.
+//! Fake of the platform's host list, which can lag.
 
 use crate::endpoint::{ConnectionId, Handler, Site};
 use crate::http::{self, Reply};
@@ -17,15 +17,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It is there.
+    /// In service.
     Live,
-    /// It is leaving.
+    /// About to be taken out of service.
     Leaving,
 }
 
 type Hosts = BTreeMap<SocketAddr, State>;
 
-/// A host list on a port of the loopback interface; gone when dropped.
+/// A host list on a loopback port; it shuts down when dropped.
 pub struct List {
     shared: Arc<Shared>,
     site: Site<Shared>,
@@ -53,7 +53,7 @@
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime and where the loopback interface has no free port.
+    /// Panics outside a tokio runtime or if the loopback interface has no free port.
     pub fn start() -> Self {
         let shared = Arc::new(Shared {
             hosts: Mutex::default(),
@@ -65,32 +65,32 @@
         Self { shared, site }
     }
 
-    /// Returns the address.
+    /// Returns the address that the list is served on.
     pub fn address(&self) -> SocketAddr {
         self.site.address()
     }
 
-    /// Puts a host into the list or changes its state.
+    /// Adds a host or changes its state.
     pub fn set(&self, address: SocketAddr, state: State) {
         self.shared.change(|hosts| hosts.insert(address, state));
     }
 
-    /// Takes a host off the list.
+    /// Removes a host.
     pub fn remove(&self, address: SocketAddr) {
         self.shared.change(|hosts| hosts.remove(&address));
     }
 
-    /// Makes readers see the list as it was that long ago.
+    /// Makes readers see the list as it was this long ago.
     pub fn set_lag(&self, lag: Duration) {
         self.shared.view.set_mode(Mode::Lag(lag));
     }
 
-    /// Returns the number of readings so far.
+    /// Returns the number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.shared.calls.load(Ordering::SeqCst)
     }
 
-    /// Drops the listener and all connections; returns when they are gone.
+    /// Closes the listener and all connections; returns when they are gone.
     pub async fn take_down(&self) {
         self.site.take_down().await;
     }
@@ -99,7 +99,7 @@
     ///
     /// # Panics
     ///
-    /// Panics where the address can't be listened on again.
+    /// Panics if the address can't be listened on again.
     pub async fn bring_up(&self) {
         let listening = self.site.bring_up().await;
         listening.expect("the reserved port can be listened on");
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! Replies with JSON bodies, and bodies that break off.
+//! HTTP replies: JSON, empty, truncated and "not run".
 
 use crate::header;
 use bytes::Bytes;
@@ -15,21 +15,21 @@
 pub(crate) type Body = BoxBody<Bytes, io::Error>;
 pub(crate) type Reply = Response<Body>;
 
-/// A reply with a JSON body.
+/// Returns a reply with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
-    let text = serde_json::to_vec(value).expect("values of the stand-ins are plain JSON");
+    let text = serde_json::to_vec(value).expect("reply bodies serialize to JSON");
     let mut reply = bytes(status, text.into());
     let json = HeaderValue::from_static("application/json");
     reply.headers_mut().insert(CONTENT_TYPE, json);
     reply
 }
 
-/// A reply without a body.
+/// Returns a reply without a body.
 pub(crate) fn empty(status: StatusCode) -> Reply {
     bytes(status, Bytes::new())
 }
 
-/// A reply with the given body.
+/// Returns a reply with the given body.
 pub(crate) fn bytes(status: StatusCode, content: Bytes) -> Reply {
     let body = Full::new(content).map_err(|never| match never {}).boxed();
     let mut reply = Response::new(body);
@@ -37,14 +37,14 @@
     reply
 }
 
-/// Sets a header; a value that is no header value is left out.
+/// Sets a header; does nothing if the value is not a valid header value.
 pub(crate) fn set(reply: &mut Reply, name: &'static str, value: &impl ToString) {
     if let Ok(value) = HeaderValue::from_str(&value.to_string()) {
         reply.headers_mut().insert(name, value);
     }
 }
 
-/// A reply that announces its whole body, sends the first half and then loses the connection.
+/// Makes a reply announce its full length, send the first half and then break the connection.
 pub(crate) async fn truncated(reply: Reply) -> Reply {
     let (mut parts, body) = reply.into_parts();
     let content = body.collect().await.map(|whole| whole.to_bytes());
@@ -53,34 +53,34 @@
     let half = content.slice(..content.len() / 2);
     let frames = [
         Ok(Frame::data(half)),
-        Err(io::Error::other("the reply breaks off here")),
+        Err(io::Error::other("reply truncated by an injected fault")),
     ];
     let body = StreamBody::new(stream::iter(frames));
     Response::from_parts(parts, BodyExt::boxed(body))
 }
 
-/// Reasons in the header `monsoonring-not-run`.
+/// Why a request did not run, as sent in the header `monsoonring-not-run`.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NotRun {
     /// The queue is full.
     #[display("shedding")]
     Shedding,
-    /// The server is leaving.
+    /// The server is draining.
     #[display("draining")]
     Draining,
-    /// The process has just started.
+    /// The process is still starting.
     #[display("starting")]
     Starting,
-    /// The deadline passed before the work began.
+    /// The deadline passed before execution started.
     #[display("deadline")]
     Deadline,
-    /// The pinned index version is not there.
+    /// The server does not have the pinned index version.
     #[display("index-version")]
     IndexVersion,
     /// The connection limit is reached.
     #[display("connections")]
     Connections,
-    /// The request breaks the protocol.
+    /// The request violates the protocol.
     #[display("malformed")]
     Malformed,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// A reply which proves that the request did not run.
+/// Returns a reply that states that the request did not run.
 pub(crate) fn not_run(reason: NotRun) -> Reply {
     let mut reply = empty(reason.status());
     set(&mut reply, header::NOT_RUN, &reason);
--- a/crates/fakes/src/lag.rs
+++ b/crates/fakes/src/lag.rs
@@ -1,22 +1,22 @@
-//! Reports that lag or mislead.
+//! Status reports that can be stale or wrong.
 //!
-//! A view keeps the values that were reported together with their times, so that a lagging one can
-//! show the value of some time ago instead of a delayed reply with the present one.
+//! A view keeps timestamped values, so that a lagging report returns an old value immediately rather
+//! than the current value late.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How a report relates to the truth.
+/// How a report relates to the actual value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Mode<T> {
-    /// The present value.
+    /// Reports the current value.
     #[default]
     True,
-    /// The value of that long ago.
+    /// Reports the value from this long ago.
     Lag(Duration),
-    /// Always this value.
+    /// Always reports this value.
     Fixed(T),
 }
 
@@ -26,7 +26,7 @@
 
 struct State<T> {
     mode: Mode<T>,
-    /// Changes in the order of time; the first one is the oldest that may still be asked for.
+    /// Changes in time order, starting with the value reported now.
     history: VecDeque<(Instant, T)>,
 }
 
@@ -41,7 +41,7 @@
         self.lock().mode = mode;
     }
 
-    /// Records the present value.
+    /// Records the current value, if it changed.
     pub(crate) fn record(&self, value: T) {
         let mut state = self.lock();
         let unchanged = state.history.back().is_some_and(|(_, last)| *last == value);
@@ -53,7 +53,7 @@
         state.prune(now);
     }
 
-    /// What is reported now; `None` only where nothing was ever recorded.
+    /// Returns the value to report; `None` only if nothing was ever recorded.
     pub(crate) fn read(&self) -> Option<T> {
         let mut state = self.lock();
         if let Mode::Fixed(value) = &state.mode {
@@ -69,7 +69,7 @@
 }
 
 impl<T> State<T> {
-    /// Drops the values that a later one had replaced before the time that is reported.
+    /// Drops values that were already replaced at the reported time.
     fn prune(&mut self, now: Instant) {
         let lag = match self.mode {
             Mode::Lag(lag) => lag,
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for what surrounds monsoonring, for tests, demos and benchmarks.
+//! Fake backend servers, configuration service, host list and network relays for tests, demos and
+//! benchmarks.
 //!
-//! Each is a library type that listens on a free port of the loopback interface and lives in tasks
-//! of the calling runtime. They speak `docs/protocols.md` and nothing more, and misbehave only on
-//! request: a test switches a fault on, drives the daemon and then reads counters and journals.
-//! They do not simulate a cluster; time, sockets and interleavings are real.
+//! Each fake listens on a free loopback port and runs in tasks of the calling runtime. The fakes
+//! implement `docs/protocols.md` and misbehave only on request: a test injects a fault, drives the
+//! daemon, then reads counters and journals. Time, sockets and interleavings are real.
 
 pub mod backend_server;
 pub mod configuration_service;
--- a/crates/fakes/src/relay/mod.rs
+++ b/crates/fakes/src/relay/mod.rs
@@ -1,29 +1,29 @@
-//! Relays in front of one target, which can fail as the network does.
+//! Relays that inject network faults between clients and one target.
 //!
-//! The test hands a relay's address to one side in place of the target's. One relay stands for one
-//! pair of ends, so that each pair can be cut by itself; the one for TCP can also tell its sources
-//! apart by their IP numbers.
+//! A test gives clients the relay's address instead of the target's. Use one relay for each pair of
+//! peers to partition the pairs independently; the TCP relay can also set faults by source IP
+//! address.
 
 mod tcp;
 pub mod udp;
 
 pub use tcp::Relay;
 
-/// What the link lets through.
+/// Which traffic the link lets through.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Link {
     /// Everything.
     #[default]
     Open,
-    /// Nothing: open connections are dropped and new ones closed as soon as they are accepted.
-    /// Datagrams are dropped.
+    /// Nothing: open connections are closed, and new ones as soon as they are accepted. Datagrams
+    /// are dropped.
     Cut,
-    /// Nothing, without a sign: connections stay open, new ones too, and all bytes are held.
+    /// Nothing, silently: open and new connections stay open, and their bytes are held back.
     /// Datagrams are dropped.
     Hold,
-    /// Only what goes to the target; what comes back is held, or dropped if it is a datagram.
+    /// Only traffic to the target; bytes from it are held back, datagrams dropped.
     OnlyForward,
-    /// Only what comes from the target; what goes to it is held, or dropped if it is a datagram.
+    /// Only traffic from the target; bytes to it are held back, datagrams dropped.
     OnlyBack,
 }
 
--- a/crates/fakes/src/relay/tcp.rs
+++ b/crates/fakes/src/relay/tcp.rs
@@ -1,8 +1,7 @@
-//! A relay for TCP connections.
+//! TCP relay.
 //!
-//! The link can be set for everybody or for those that connect from one IP number. Bytes that are
-//! held are not lost: as with TCP's own retransmission they arrive, in order, once the link is open
-//! again.
+//! The link can be set for all sources or by source IP address. Held bytes are not lost: as with
+//! TCP retransmission, they arrive in order once the link opens again.
 
 use crate::endpoint::{self, Reservation};
 use crate::relay::{Direction, Link};
@@ -23,7 +22,7 @@
 const CHUNK_BYTES: usize = 16 * 1024;
 const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// A TCP relay on a port of the loopback interface; gone when dropped, with its connections.
+/// A TCP relay on a loopback port; dropping it closes its connections.
 pub struct Relay {
     shared: Arc<Shared>,
     reservation: Reservation,
@@ -41,7 +40,7 @@
 #[derive(Clone, Default)]
 struct State {
     link: Link,
-    /// Links of the sources that have one of their own.
+    /// Links that override `link`, by source.
     sources: BTreeMap<IpAddr, Link>,
     delay: Duration,
 }
@@ -52,7 +51,7 @@
     end: CancellationToken,
 }
 
-/// Bytes on their way, or the end of the stream where there are none.
+/// Bytes in flight; empty at the end of the stream.
 struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
@@ -63,18 +62,18 @@
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime and where the loopback interface has no free port.
+    /// Panics outside a tokio runtime or if the loopback interface has no free port.
     pub fn start(target: SocketAddr) -> Self {
         let relay = Self::without_target();
         relay.set_target(target);
         relay
     }
 
-    /// Starts a relay whose target is not known yet; until then it closes what it accepts.
+    /// Starts a relay without a target; it closes accepted connections until one is set.
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime and where the loopback interface has no free port.
+    /// Panics outside a tokio runtime or if the loopback interface has no free port.
     pub fn without_target() -> Self {
         let reservation = Reservation::new().expect("the loopback interface has a free port");
         let listener = reservation.listen();
@@ -96,35 +95,35 @@
         }
     }
 
-    /// Returns the address that stands for the target.
+    /// Returns the address that clients use instead of the target's.
     pub fn address(&self) -> SocketAddr {
         self.reservation.address()
     }
 
-    /// Sets where new connections go.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         *self.shared.target() = Some(target);
     }
 
-    /// Sets what the link lets through of those that connect from `source`.
+    /// Sets the link of connections from `source`.
     pub fn set_link_from(&self, source: IpAddr, link: Link) {
         self.shared.change(|state| {
             state.sources.insert(source, link);
         });
     }
 
-    /// Sets what the link lets through, whatever the source, and ends flapping.
+    /// Sets the link for all sources and stops flapping.
     pub fn set_link(&self, link: Link) {
         *self.flapping() = None;
         self.shared.set_link(link);
     }
 
-    /// Delays all bytes by this time, in each direction.
+    /// Delays all bytes by this time in each direction.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.state.send_modify(|state| state.delay = delay);
     }
 
-    /// Alternates between the open link and `broken`, until the link is set anew.
+    /// Alternates between `broken` and an open link until [`Relay::set_link`] is called.
     pub fn flap(&self, broken: Link, open_for: Duration, broken_for: Duration) {
         let shared = self.shared.clone();
         let flapping = tokio::spawn(async move {
@@ -138,7 +137,7 @@
         *self.flapping() = Some(AbortOnDropHandle::new(flapping));
     }
 
-    /// Silences the connections that are open now, for good and without closing them; new ones
+    /// Silences the currently open connections permanently without closing them; new connections
     /// work.
     pub fn silence_open(&self) {
         for connection in &*self.shared.connections() {
@@ -210,8 +209,8 @@
             end: shutdown.child_token(),
         });
         shared.connections().push(connection.clone());
-        // The link is read after the entry into the table: a cut that comes between the two finds
-        // the connection there, or else is seen here. Otherwise one would live on across a cut.
+        // Check the link after the insertion: a concurrent cut then either finds the connection
+        // in the table or is seen here, so that no connection survives it.
         if shared.is_cut(&connection) {
             connection.end.cancel();
         }
@@ -222,7 +221,7 @@
 }
 
 async fn relay(stream: TcpStream, shared: Arc<Shared>, connection: Arc<Connection>) {
-    // An error on either side ends the relayed connection, which both ends notice.
+    // An error on either side closes both connections, which both peers notice.
     let _ = relay_both(stream, &shared, &connection).await;
     let mut connections = shared.connections();
     connections.retain(|other| !Arc::ptr_eq(other, &connection));
@@ -265,8 +264,8 @@
 async fn read_all(mut from: OwnedReadHalf, shared: &Shared, sender: mpsc::Sender<Chunk>) {
     loop {
         let mut bytes = vec![0; CHUNK_BYTES];
-        // A reset ends the stream like a close and is held like one: were it passed on at once, an
-        // end behind a held link would hear of the other's death through the partition.
+        // A reset is held back like a close. Otherwise a peer would learn through a partition that
+        // the other one has died.
         let length = from.read(&mut bytes).await.unwrap_or(0);
         bytes.truncate(length);
         let due = Instant::now() + shared.state.borrow().delay;
@@ -300,7 +299,7 @@
         return std::future::pending().await;
     }
     let mut state = shared.state.subscribe();
-    // The sender lives in `shared`, so waiting can only end with an open link.
+    // `shared` owns the sender, so the wait ends only when the link opens.
     let passes = |state: &State| state.link(connection.source).passes(direction);
     let _ = state.wait_for(passes).await;
 }
--- a/crates/fakes/src/relay/udp.rs
+++ b/crates/fakes/src/relay/udp.rs
@@ -1,7 +1,7 @@
-//! A relay for datagrams.
+//! UDP relay.
 //!
-//! The target sees one address of the relay for each source, so that replies find their way back.
-//! What the link does not let through is dropped, as nothing retransmits it.
+//! The relay sends from a separate socket for each source, so that it can route replies back.
+//! Datagrams that the link does not let through are dropped, as UDP does not retransmit.
 
 use crate::relay::{Direction, Link};
 use rand::{Rng, SeedableRng};
@@ -17,7 +17,7 @@
 
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// A UDP relay on a port of the loopback interface; gone when dropped.
+/// A UDP relay on a loopback port; it shuts down when dropped.
 pub struct Relay {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -39,11 +39,11 @@
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a free port; `seed` decides which datagrams are lost.
+    /// Starts a relay to `target` on a free port; `seed` determines which datagrams are lost.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error where the loopback interface has no free port.
+    /// Returns the operating system's error if the loopback interface has no free port.
     pub async fn start(target: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = bind().await?;
         let address = socket.local_addr()?;
@@ -64,22 +64,22 @@
         Ok(Self { shared, address })
     }
 
-    /// Returns the address that stands for the target.
+    /// Returns the address that clients use instead of the target's.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what the link lets through.
+    /// Sets which datagrams the link lets through.
     pub fn set_link(&self, link: Link) {
         self.shared.state().link = link;
     }
 
-    /// Delays all datagrams by this time, in each direction.
+    /// Delays all datagrams by this time in each direction.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.state().delay = delay;
     }
 
-    /// Sets the share of datagrams that are lost, from 0 to 1.
+    /// Sets the fraction of datagrams to lose, from 0 to 1.
     pub fn set_loss(&self, share: f64) {
         self.shared.state().loss = share.clamp(0.0, 1.0);
     }
@@ -97,7 +97,7 @@
 }
 
 impl Shared {
-    /// Decides on one datagram: the delay that it gets, or `None` where it is dropped.
+    /// Returns the delay of the next datagram, or `None` to drop it.
     fn filter(&self, direction: Direction) -> Option<Duration> {
         let mut state = self.state();
         let loss = state.loss;
@@ -109,7 +109,7 @@
         Some(state.delay)
     }
 
-    /// Runs a task that ends with the relay.
+    /// Spawns a task that stops when the relay is dropped.
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let shutdown = self.shutdown.clone();
         tokio::spawn(async move {
@@ -126,7 +126,7 @@
     UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await
 }
 
-/// Carries datagrams to the target, each source by a socket of its own.
+/// Forwards datagrams to the target, with one socket for each source.
 async fn forward_all(shared: Arc<Shared>) {
     let mut sockets = HashMap::new();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -148,14 +148,14 @@
         sockets.insert(source, socket.clone());
         let datagram = buffer[..length].to_vec();
         let sending = async move {
-            // A datagram that can't be sent is one more that is lost.
+            // A send error counts as datagram loss.
             let _ = socket.send(&datagram).await;
         };
         deliver(&shared, delay, sending).await;
     }
 }
 
-/// Opens the socket that stands for a source and carries back what the target sends to it.
+/// Opens the socket for a source and relays the target's datagrams back to the source.
 async fn open(shared: &Arc<Shared>, source: SocketAddr) -> io::Result<Arc<UdpSocket>> {
     let socket = Arc::new(bind().await?);
     socket.connect(shared.target).await?;
@@ -181,7 +181,7 @@
     }
 }
 
-/// Sends at once, or later without holding up the datagrams behind.
+/// Sends a datagram after `delay` without blocking later ones.
 async fn deliver(
     shared: &Shared,
     delay: Duration,
