--- a/crates/fakes/tests/network.rs
+++ b/crates/fakes/tests/network.rs
@@ -1,4 +1,4 @@
-//! The relay, and whole routes of backend servers.
+//! Network relays and fleets of backend servers.
 
 mod support;
 
@@ -21,12 +21,10 @@
 const DATAGRAMS: u64 = 20;
 const GRACE: Duration = Duration::from_millis(50);
 
-// Symptom: a request neither ends nor fails; when the link is back its reply comes late.
-// Events: the link between two ends holds bytes in one or both directions, then opens.
-// Cause: TCP keeps what it could not deliver.
-#[test_case(Link::Hold, 1; "both_ways")]
-#[test_case(Link::OnlyBack, 1; "towards_the_target")]
-#[test_case(Link::OnlyForward, 2; "back")]
+// A request hangs while the link holds bytes, and completes late once it opens: TCP retransmits.
+#[test_case(Link::Hold, 1; "both_directions")]
+#[test_case(Link::OnlyBack, 1; "to_target")]
+#[test_case(Link::OnlyForward, 2; "from_target")]
 #[tokio::test]
 async fn link_holds_and_delivers_later(link: Link, received: u64) {
     let server = Server::start(Settings::default());
@@ -38,10 +36,13 @@
     tokio::pin!(sending);
     assert!(
         time::timeout(GRACE, &mut sending).await.is_err(),
-        "neither reply nor error"
+        "the request neither completes nor fails"
     );
     if received == 2 {
-        eventually("the request has come", || server.counters().received == 2).await;
+        eventually("the server has received the request", || {
+            server.counters().received == 2
+        })
+        .await;
     }
     assert_eq!(server.counters().received, received);
     relay.set_link(Link::Open);
@@ -50,9 +51,7 @@
 
 #[tokio::test]
 async fn link_cut_drops_open_connections() {
-    // Symptom: every request between two ends fails at once.
-    // Events: the link is cut; open connections end, new ones are closed.
-    // Cause: a partition that resets.
+    // A partition that closes connections fails requests immediately.
     let server = Server::start(Settings::default());
     let relay = Relay::start(server.address());
     let mut client = Client::connect(relay.address()).await;
@@ -60,7 +59,7 @@
     relay.set_link(Link::Cut);
     assert!(client.send(Call::query(2)).await.is_err());
     assert!(send(relay.address(), Call::query(3)).await.is_err());
-    eventually("the server hears of it", || {
+    eventually("the server sees the close", || {
         server.counters().connections_open == 0
     })
     .await;
@@ -71,9 +70,7 @@
 
 #[tokio::test]
 async fn link_silences_open_connections_only() {
-    // Symptom: pooled connections never answer while new ones do.
-    // Events: a middlebox forgets the connections that it knew.
-    // Cause: state between the ends is lost without a reset.
+    // A middlebox loses its state without a reset: pooled connections hang, new ones work.
     let server = Server::start(Settings::default());
     let relay = Relay::start(server.address());
     let mut old = Client::connect(relay.address()).await;
@@ -90,20 +87,18 @@
 
 #[tokio::test]
 async fn link_flaps_until_set() {
-    // Symptom: requests to one server fail and succeed in turns.
-    // Events: the link comes and goes.
-    // Cause: a port that resets again and again.
+    // A flapping link makes requests fail and succeed alternately.
     let server = Server::start(Settings::default());
     let relay = Relay::start(server.address());
-    let moment = Duration::from_millis(5);
-    relay.flap(Link::Cut, moment, moment);
+    let interval = Duration::from_millis(5);
+    relay.flap(Link::Cut, interval, interval);
     let (mut failed, mut answered) = (0, 0);
     for _ in 0..SENDS {
         match send(relay.address(), Call::query(1)).await {
             Ok(_) => answered += 1,
             Err(_) => failed += 1,
         }
-        time::sleep(moment).await;
+        time::sleep(interval).await;
     }
     assert!(
         failed > 0 && answered > 0,
@@ -118,15 +113,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn link_delays_each_way() {
+async fn link_delays_both_directions() {
     let server = Server::start(Settings::default());
     let relay = Relay::start(server.address());
     relay.set_delay(Duration::from_millis(30));
-    let begun = Instant::now();
+    let start = Instant::now();
     send(relay.address(), Call::get("/health"))
         .await
         .expect("a reply");
-    assert_eq!(begun.elapsed().as_millis(), 60);
+    assert_eq!(start.elapsed().as_millis(), 60);
 }
 
 #[test_case(fleet::dispatch_map(), Kind::Search, (10, 3), (3, 30, 6); "dispatch_map")]
@@ -134,7 +129,7 @@
 #[test_case(fleet::planner_desk(), Kind::Search, (1, 20), (2, 110, 1); "planner_desk")]
 #[test_case(fleet::repair_tickets(), Kind::Execute, (1, 10), (2, 110, 1); "repair_tickets")]
 #[tokio::test]
-async fn fleet_is_as_described(
+async fn document_matches_fleet(
     shape: Shape,
     kind: Kind,
     size: (usize, usize),
@@ -149,13 +144,13 @@
         (route.groups.len(), route.groups[0].backend_servers.len()),
         size
     );
-    let stated = route.capacity;
+    let declared = route.capacity;
     assert_eq!(
-        (stated.slots, stated.connections, stated.connect_ms),
+        (declared.slots, declared.connections, declared.connect_ms),
         capacity
     );
     let held: u64 = route.groups.iter().map(|group| group.keys.len()).sum();
-    assert_eq!(held, route.keys.len(), "the groups tile the key space");
+    assert_eq!(held, route.keys.len(), "the groups partition the key space");
     let last = route.groups.len() - 1;
     let server = &fleet.group(&name, last)[0];
     assert_eq!(server.address(), route.groups[last].backend_servers[0]);
@@ -183,31 +178,29 @@
     assert_eq!((document.routes.len(), document.callers.len()), (2, 2));
 }
 
-// Symptom: members take each other for dead, or only one of two does.
-// Events: datagrams are dropped in one direction, in both, or by chance.
-// Cause: nothing retransmits a datagram.
+// UDP does not retransmit: datagrams are lost at random, in one direction or in both.
 #[test_case(Link::Open, 0.0, (20, 20); "open")]
-#[test_case(Link::Hold, 0.0, (0, 0); "both_ways")]
-#[test_case(Link::OnlyForward, 0.0, (20, 0); "back")]
-#[test_case(Link::OnlyBack, 0.0, (0, 0); "towards_the_target")]
-#[test_case(Link::Open, 1.0, (0, 0); "by_loss")]
+#[test_case(Link::Hold, 0.0, (0, 0); "both_directions")]
+#[test_case(Link::OnlyForward, 0.0, (20, 0); "from_target")]
+#[test_case(Link::OnlyBack, 0.0, (0, 0); "to_target")]
+#[test_case(Link::Open, 1.0, (0, 0); "random_loss")]
 #[tokio::test]
 async fn datagrams_are_dropped(link: Link, loss: f64, expected: (u64, u64)) {
     let local = async || {
         UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
             .await
-            .expect("a port")
+            .expect("a free port")
     };
     let target = local().await;
     let address = target.local_addr().expect("an address");
-    let relay = udp::Relay::start(address, 1).await.expect("a port");
+    let relay = udp::Relay::start(address, 1).await.expect("a free port");
     relay.set_link(link);
     relay.set_loss(loss);
     let arrived = answer_all(target);
     let source = local().await;
     source.connect(relay.address()).await.expect("a route");
     for _ in 0..DATAGRAMS {
-        source.send(b"ping").await.expect("sent");
+        source.send(b"ping").await.expect("the datagram is sent");
     }
     let returned = answer_all(source);
     eventually("each datagram is answered or dropped", || {
@@ -222,16 +215,19 @@
     assert_eq!(relay.dropped(), DATAGRAMS - returned);
 }
 
-/// Answers each `ping` with a `pong` and counts what comes.
+/// Answers each `ping` with a `pong` and counts the datagrams received.
 fn answer_all(socket: UdpSocket) -> Arc<AtomicU64> {
     let count = Arc::new(AtomicU64::new(0));
-    let counting = count.clone();
+    let counter = count.clone();
     tokio::spawn(async move {
         let mut buffer = [0; 4];
         while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
-            counting.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
             if &buffer[..length] == b"ping" {
-                socket.send_to(b"pong", from).await.expect("sent");
+                socket
+                    .send_to(b"pong", from)
+                    .await
+                    .expect("the datagram is sent");
             }
         }
     });
--- a/crates/fakes/tests/platform.rs
+++ b/crates/fakes/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The configuration service and the host list.
+//! The fake configuration service and host list.
 
 mod support;
 
@@ -23,7 +23,7 @@
     ))
 }
 
-fn seen(reply: &Reply) -> (u16, Option<&str>, &[u8]) {
+fn summary(reply: &Reply) -> (u16, Option<&str>, &[u8]) {
     (
         reply.status.as_u16(),
         reply.header(header::REVISION),
@@ -32,14 +32,14 @@
 }
 
 #[tokio::test]
-async fn read_gives_value_and_revision() {
+async fn read_returns_value_and_revision() {
     let service = Service::start();
     let missing = send(service.address(), read()).await.expect("a reply");
     assert_eq!(missing.status, 404);
     assert_eq!(service.publish(DOCUMENT, "1"), 1);
     assert_eq!(service.publish(DOCUMENT, "2"), 2);
     let reply = send(service.address(), read()).await.expect("a reply");
-    assert_eq!(seen(&reply), (200, Some("2"), b"2".as_slice()));
+    assert_eq!(summary(&reply), (200, Some("2"), b"2".as_slice()));
 }
 
 #[tokio::test]
@@ -47,32 +47,30 @@
     let service = Service::start();
     service.publish(DOCUMENT, "1");
     let waiting = tokio::spawn(send(service.address(), watch(1, 3_600_000)));
-    eventually("the call waits", || service.counters().calls == 1).await;
+    eventually("the long poll is pending", || service.counters().calls == 1).await;
     service.publish("other", "x");
     service.publish(DOCUMENT, "2");
     let reply = waiting.await.expect("no panic").expect("a reply");
-    assert_eq!(seen(&reply), (200, Some("2"), b"2".as_slice()));
-    assert_eq!(service.counters().calls, 1, "a waiting call counts once");
+    assert_eq!(summary(&reply), (200, Some("2"), b"2".as_slice()));
+    assert_eq!(service.counters().calls, 1, "a long poll counts once");
 }
 
 #[tokio::test(start_paused = true)]
-async fn watch_without_change_ends() {
+async fn watch_without_change_times_out() {
     let service = Service::start();
     service.publish(DOCUMENT, "1");
-    let begun = Instant::now();
+    let start = Instant::now();
     let reply = send(service.address(), watch(1, 700))
         .await
         .expect("a reply");
     assert_eq!(reply.status, 304);
-    assert_eq!(begun.elapsed().as_millis(), 700);
+    assert_eq!(start.elapsed().as_millis(), 700);
     assert_eq!(service.counters().unchanged, 1);
 }
 
-// Symptom: a configuration reverts, or two daemons hold different ones of one revision.
-// Events: the service is restored from an older copy; two operators race.
-// Cause: the service's word is taken for the newest that there was.
-#[test_case(1, "old", (200, Some("1"), b"old".as_slice()); "restored_from_older_copy")]
-#[test_case(3, "other", (200, Some("3"), b"other".as_slice()); "same_revision_other_content")]
+// A restore from backup lowers the revision; a race of two operators gives one revision two contents.
+#[test_case(1, "old", (200, Some("1"), b"old".as_slice()); "restored_from_backup")]
+#[test_case(3, "other", (200, Some("3"), b"other".as_slice()); "same_revision_different_content")]
 #[tokio::test]
 async fn publish_at_revision(
     revision: u64,
@@ -85,37 +83,33 @@
     }
     service.publish_at(DOCUMENT, revision, content);
     let reply = send(service.address(), read()).await.expect("a reply");
-    assert_eq!(seen(&reply), expected);
+    assert_eq!(summary(&reply), expected);
     assert_eq!(service.publish(DOCUMENT, "next"), revision + 1);
 }
 
 #[tokio::test]
-async fn mode_down_refuses_and_drops() {
-    // Symptom: daemons can't start, or lose the configuration in force.
-    // Events: the service goes away for long; calls were waiting.
-    // Cause: nobody listens.
+async fn mode_down_closes_connections() {
+    // An outage must fail pending long polls as well as new connections.
     let service = Service::start();
     service.publish(DOCUMENT, "1");
     let waiting = tokio::spawn(send(service.address(), watch(1, 3_600_000)));
-    eventually("the call waits", || service.counters().calls == 1).await;
+    eventually("the long poll is pending", || service.counters().calls == 1).await;
     service.set_mode(Mode::Down).await;
     assert!(waiting.await.expect("no panic").is_err());
     assert!(Client::try_connect(service.address()).await.is_err());
     service.publish(DOCUMENT, "2");
     service.set_mode(Mode::Up).await;
     let reply = send(service.address(), read()).await.expect("a reply");
-    assert_eq!(seen(&reply), (200, Some("2"), b"2".as_slice()));
+    assert_eq!(summary(&reply), (200, Some("2"), b"2".as_slice()));
 }
 
 #[tokio::test]
 async fn mode_hang_never_answers() {
-    // Symptom: a controller stands still.
-    // Events: the service takes calls and does not answer.
-    // Cause: a call without a timeout of its own.
+    // A client without a timeout would block forever on a service that does not answer.
     let service = Service::start();
     service.publish(DOCUMENT, "1");
     let waiting = tokio::spawn(send(service.address(), watch(1, 20)));
-    eventually("the call waits", || service.counters().calls == 1).await;
+    eventually("the long poll is pending", || service.counters().calls == 1).await;
     service.set_mode(Mode::Hang).await;
     assert!(time::timeout(GRACE, waiting).await.is_err());
     let mut client = Client::connect(service.address()).await;
@@ -127,16 +121,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn mode_stale_shows_old_copy() {
-    // Symptom: some daemons never see a change.
-    // Events: operators publish, the service goes on answering from an older copy.
-    // Cause: readers reach a replica of the service that is cut off.
+async fn mode_stale_serves_old_values() {
+    // Readers of a partitioned replica don't see newly published values.
     let service = Service::start();
     service.publish(DOCUMENT, "1");
     service.set_mode(Mode::Stale).await;
     assert_eq!(service.publish(DOCUMENT, "2"), 2);
     let reply = send(service.address(), read()).await.expect("a reply");
-    assert_eq!(seen(&reply), (200, Some("1"), b"1".as_slice()));
+    assert_eq!(summary(&reply), (200, Some("1"), b"1".as_slice()));
     let watched = send(service.address(), watch(1, 100))
         .await
         .expect("a reply");
@@ -145,11 +137,11 @@
     let reply = send(service.address(), watch(1, 100))
         .await
         .expect("a reply");
-    assert_eq!(seen(&reply), (200, Some("2"), b"2".as_slice()));
+    assert_eq!(summary(&reply), (200, Some("2"), b"2".as_slice()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn limit_refuses_calls_of_one_second() {
+async fn limit_refuses_excess_calls() {
     let service = Service::start();
     service.publish(DOCUMENT, "1");
     service.set_limit(Some(2));
@@ -166,9 +158,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn host_list_lags() {
-    // Symptom: a leaving backend server is sent new work.
-    // Events: a host leaves; the list shows it as live for some seconds more.
-    // Cause: the list is a copy of some time ago.
+    // A lagging list shows a leaving host as live, so that daemons still send it requests.
     let list = List::start();
     let host = "127.0.0.1:7000".parse().expect("an address");
     list.set(host, State::Live);
@@ -194,10 +184,8 @@
 }
 
 #[tokio::test]
-async fn host_list_goes_down_and_comes_back() {
-    // Symptom: daemons forget all backend servers.
-    // Events: the list can't be read for a while.
-    // Cause: no list is taken for an empty one.
+async fn host_list_stops_and_restarts() {
+    // An unavailable list must not look like an empty one.
     let list = List::start();
     list.take_down().await;
     assert!(Client::try_connect(list.address()).await.is_err());
--- a/crates/fakes/tests/query.rs
+++ b/crates/fakes/tests/query.rs
@@ -1,4 +1,4 @@
-//! What a backend server answers when nothing goes wrong, and what it refuses without running it.
+//! Successful replies of a backend server, and refusals without execution.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use test_case::test_case;
 
 #[tokio::test]
-async fn query_of_held_keys_is_answered() {
+async fn query_returns_items() {
     let server = Server::start(Settings::default());
     let reply = send(server.address(), Call::query(1))
         .await
@@ -35,16 +35,24 @@
 #[test_case(
     vec![(60, 200)], json!([{"start": 60, "end": 100}]), &[60, 70, 80, 90]; "after_move"
 )]
-#[test_case(vec![(200, 300)], json!([]), &[]; "of_other_keys")]
+#[test_case(vec![(200, 300)], json!([]), &[]; "no_common_keys")]
 #[test_case(
     vec![(0, 5), (95, 200)], json!([{"start": 0, "end": 5}, {"start": 95, "end": 100}]), &[0];
-    "of_two_parts"
+    "two_ranges"
 )]
 #[tokio::test]
-async fn query_covers_what_is_held(held: Vec<(u64, u64)>, ranges: serde_json::Value, keys: &[u64]) {
+async fn query_covers_available_ranges(
+    available: Vec<(u64, u64)>,
+    ranges: serde_json::Value,
+    keys: &[u64],
+) {
     let server = Server::start(Settings::default());
-    let held = held.into_iter();
-    server.set_ranges(held.map(|(start, end)| Range::new(start, end)).collect());
+    let available = available.into_iter();
+    server.set_ranges(
+        available
+            .map(|(start, end)| Range::new(start, end))
+            .collect(),
+    );
     let reply = send(server.address(), Call::query(1))
         .await
         .expect("a reply");
@@ -80,17 +88,15 @@
 #[test_case(Call::query(1), "starting", 503; "starting")]
 #[test_case(Call::query(1).header(header::DEADLINE_MS, "0"), "deadline", 504; "past_deadline")]
 #[test_case(
-    Call::query(1).header(header::INDEX_VERSION, "9"), "index-version", 409; "of_missing_version"
+    Call::query(1).header(header::INDEX_VERSION, "9"), "index-version", 409; "missing_version"
 )]
 #[test_case(Call::query(1).header(header::DEADLINE_MS, "soon"), "malformed", 400; "bad_deadline")]
 #[test_case(Call::query(1).body("[]"), "malformed", 400; "bad_body")]
 #[test_case(Call::execute(1, "k").body("{}"), "malformed", 400; "without_query")]
 #[test_case(Call::post("/query"), "malformed", 400; "without_attempt")]
 #[tokio::test]
-async fn query_is_refused_unrun(call: Call, reason: &str, status: u16) {
-    // Symptom: "not run" is told of a request that ran, and its second run doubles a ticket.
-    // Events: a request comes that the server can't or won't take.
-    // Cause: the refusal is decided after the work has begun.
+async fn refused_query_does_not_run(call: Call, reason: &str, status: u16) {
+    // A request refused as "not run" may be retried, so it must not have started.
     let server = Server::start(Settings {
         cold: (reason == "starting").then_some(Cold {
             refuse_for: Duration::from_secs(3_600),
@@ -112,9 +118,7 @@
 
 #[tokio::test]
 async fn execute_records_each_run() {
-    // Symptom: a ticket is written twice and no test notices.
-    // Events: two attempts with one idempotency key reach the server.
-    // Cause: the server itself does not deduplicate; the journal has to show the doubled run.
+    // The server does not deduplicate idempotency keys; the journal must show duplicate runs.
     let server = Server::start(Settings::default());
     for (attempt, key) in [(1, "a"), (2, "b"), (3, "a")] {
         let call = Call::execute(attempt, key);
--- a/crates/fakes/tests/support/mod.rs
+++ b/crates/fakes/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A plain client for the tests of the stand-ins.
+//! HTTP client for the tests of the fakes.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Polls that a condition is given before a test fails.
-const POLLS: u32 = 2_000;
+/// Number of polls before [`eventually`] fails.
+const MAX_POLLS: u32 = 2_000;
 
-/// Time after which a call that has not ended never will.
-const STUCK_AFTER: std::time::Duration = std::time::Duration::from_secs(20);
+/// Timeout of a call, so that a hung call fails the test.
+const CALL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
 
-/// A reply, read whole.
+/// A complete reply.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -39,7 +39,7 @@
     }
 }
 
-/// One connection.
+/// An open connection to a server.
 pub(crate) struct Client {
     sender: SendRequest<Full<Bytes>>,
 }
@@ -59,10 +59,14 @@
         Ok(Self { sender })
     }
 
-    /// Sends a call and reads the reply; a test that would hang otherwise fails.
+    /// Sends a call and reads the reply.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the call does not end within [`CALL_TIMEOUT`].
     pub(crate) async fn send(&mut self, call: Call) -> Result<Reply, hyper::Error> {
-        let reply = tokio::time::timeout(STUCK_AFTER, self.exchange(call)).await;
-        reply.expect("the call ends, with a reply or without")
+        let reply = tokio::time::timeout(CALL_TIMEOUT, self.exchange(call)).await;
+        reply.expect("the call ends within the timeout")
     }
 
     async fn exchange(&mut self, call: Call) -> Result<Reply, hyper::Error> {
@@ -78,12 +82,12 @@
     }
 }
 
-/// Sends one call on a connection of its own.
+/// Sends a call on a new connection.
 pub(crate) async fn send(address: SocketAddr, call: Call) -> Result<Reply, hyper::Error> {
     Client::connect(address).await.send(call).await
 }
 
-/// One request to be sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     method: Method,
@@ -110,7 +114,7 @@
         Self::new(Method::POST, path)
     }
 
-    /// A search of keys 0 to 99 under the given attempt number.
+    /// Returns a search of keys 0 to 99 with the given attempt number.
     pub(crate) fn query(attempt: u64) -> Self {
         let body = r#"{"ranges":[{"start":0,"end":100}],"query":"valve"}"#;
         Self::new(Method::POST, "/query")
@@ -118,7 +122,7 @@
             .body(body)
     }
 
-    /// A non-idempotent request.
+    /// Returns a non-idempotent request.
     pub(crate) fn execute(attempt: u64, key: &str) -> Self {
         Self::new(Method::POST, "/execute")
             .header(header::ATTEMPT, format!("{attempt:016x}"))
@@ -151,12 +155,12 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn eventually(what: &str, condition: impl Fn() -> bool) {
-    for _ in 0..POLLS {
+pub(crate) async fn eventually(condition_name: &str, condition: impl Fn() -> bool) {
+    for _ in 0..MAX_POLLS {
         if condition() {
             return;
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
-    assert!(condition(), "never came true: {what}");
+    assert!(condition(), "condition not met in time: {condition_name}");
 }
--- a/crates/fakes/tests/work.rs
+++ b/crates/fakes/tests/work.rs
@@ -1,5 +1,6 @@
-//! Slots, queue, deadlines, cancellation and service times. The clock is paused and moves on only
-//! when everything waits, so that times are exact.
+//! Slots, queue, deadlines, cancellation and service latencies.
+//!
+//! Tests that measure time pause the clock, which then advances only when all tasks are idle.
 
 mod support;
 
@@ -12,7 +13,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{self, Instant};
 
-const LONG: Duration = Duration::from_secs(3_600);
+const HOUR: Duration = Duration::from_secs(3_600);
 
 fn one_slot(service: Duration) -> Server {
     Server::start(Settings {
@@ -23,23 +24,21 @@
     })
 }
 
-/// Sends a call in a task of its own and waits until the server has taken it in.
-async fn begin(server: &Server, call: Call) -> JoinHandle<Result<Reply, hyper::Error>> {
+/// Sends a call in a new task and waits until the server has received it.
+async fn send_and_wait(server: &Server, call: Call) -> JoinHandle<Result<Reply, hyper::Error>> {
     let received = server.counters().received;
     let task = tokio::spawn(send(server.address(), call));
-    let has_come = || server.attempts().len() as u64 > received;
-    eventually("the request has come", has_come).await;
+    let is_received = || server.attempts().len() as u64 > received;
+    eventually("the server has received the request", is_received).await;
     task
 }
 
 #[tokio::test]
 async fn queue_beyond_threshold_is_shed() {
-    // Symptom: a loaded server answers everybody too late.
-    // Events: one request is worked on, one waits, a third one comes.
-    // Cause: the queue grows without limit.
-    let server = one_slot(LONG);
-    let _running = begin(&server, Call::query(1)).await;
-    let _waiting = begin(&server, Call::query(2)).await;
+    // Without shedding, the queue of an overloaded server grows until every reply is late.
+    let server = one_slot(HOUR);
+    let _running = send_and_wait(&server, Call::query(1)).await;
+    let _waiting = send_and_wait(&server, Call::query(2)).await;
     let reply = send(server.address(), Call::query(3))
         .await
         .expect("a reply");
@@ -52,30 +51,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn slots_bound_the_work() {
+async fn slots_limit_concurrency() {
     let server = Server::start(Settings {
         slots: 2,
         service_time: Distribution::Constant(Duration::from_millis(10)),
         ..Settings::default()
     });
-    let begun = Instant::now();
+    let start = Instant::now();
     let calls = (0..6).map(|attempt| send(server.address(), Call::query(attempt)));
     let replies = futures::future::join_all(calls).await;
     assert!(replies.iter().flatten().all(|reply| reply.status == 200));
     assert_eq!(server.counters().busy_peak, 2);
-    assert_eq!(begun.elapsed().as_millis(), 30, "three rounds of two");
+    assert_eq!(start.elapsed().as_millis(), 30, "three batches of two");
 }
 
-#[test_case(true, Some("deadline"), 0; "in_the_queue")]
-#[test_case(false, None, 1; "at_work")]
+#[test_case(true, Some("deadline"), 0; "queued")]
+#[test_case(false, None, 1; "running")]
 #[tokio::test(start_paused = true)]
 async fn deadline_stops_a_request(queued: bool, not_run: Option<&str>, overran: u64) {
-    // Symptom: the server works for callers that have long gone.
-    // Events: the deadline passes while the request waits, or while it runs.
-    // Cause: the remaining time is not watched. Only the one that waited may say "not run".
-    let server = one_slot(LONG);
+    // A request stops at its deadline. Only one that was still queued is reported as "not run".
+    let server = one_slot(HOUR);
     if queued {
-        let _running = begin(&server, Call::query(1)).await;
+        let _running = send_and_wait(&server, Call::query(1)).await;
     }
     let call = Call::query(2).header(header::DEADLINE_MS, "20");
     let reply = send(server.address(), call).await.expect("a reply");
@@ -85,18 +82,16 @@
     assert_eq!(server.counters().completed, 0);
 }
 
-#[test_case(true, 1; "in_the_queue")]
-#[test_case(false, 1; "at_work")]
+#[test_case(true, 1; "queued")]
+#[test_case(false, 1; "running")]
 #[tokio::test]
 async fn cancel_stops_an_attempt(queued: bool, started: u64) {
-    // Symptom: losers of a hedge keep slots busy to their end.
-    // Events: an attempt is cancelled while it waits, or while it runs.
-    // Cause: the server can't find the attempt by its id, or doesn't free its place.
-    let server = one_slot(LONG);
+    // Cancelling the losing attempt of a hedge frees its slot or queue position.
+    let server = one_slot(HOUR);
     if queued {
-        let _running = begin(&server, Call::query(1)).await;
+        let _running = send_and_wait(&server, Call::query(1)).await;
     }
-    let attempt = begin(&server, Call::query(2)).await;
+    let attempt = send_and_wait(&server, Call::query(2)).await;
     let reply = send(server.address(), Call::cancel(2))
         .await
         .expect("a reply");
@@ -120,16 +115,14 @@
     );
 }
 
-#[test_case(Call::query(1), 1, 0; "search_is_given_up")]
-#[test_case(Call::execute(1, "k"), 0, 1; "execute_runs_on")]
+#[test_case(Call::query(1), 1, 0; "search_is_abandoned")]
+#[test_case(Call::execute(1, "k"), 0, 1; "execute_completes")]
 #[tokio::test]
-async fn disconnect_of_the_client(call: Call, abandoned: u64, completed: u64) {
-    // Symptom: a search keeps its slot for nobody; or a ticket is lost half-written.
-    // Events: the connection goes away while the request runs.
-    // Cause: what a lost connection means depends on the request.
+async fn client_disconnects(call: Call, abandoned: u64, completed: u64) {
+    // A disconnect stops a search but must not interrupt a non-idempotent request.
     let server = one_slot(Duration::from_millis(50));
-    let attempt = begin(&server, call).await;
-    eventually("the work has begun", || server.counters().started == 1).await;
+    let attempt = send_and_wait(&server, call).await;
+    eventually("the request runs", || server.counters().started == 1).await;
     attempt.abort();
     eventually("the request has ended", || {
         let counters = server.counters();
@@ -145,9 +138,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn cold_process_warms_with_requests() {
-    // Symptom: a restarted server is given its full share at once and makes stragglers.
-    // Events: a process starts, refuses for a while, is slow at first.
-    // Cause: caches are empty until requests have filled them.
+    // A new process refuses requests at first, then is slow until requests have filled its caches.
     let server = Server::start(Settings {
         service_time: Distribution::Constant(Duration::from_millis(10)),
         cold: Some(Cold {
@@ -161,9 +152,9 @@
     let refused = client.send(Call::query(0)).await.expect("a reply");
     assert_eq!(refused.not_run(), Some("starting"));
     time::advance(Duration::from_millis(500)).await;
-    assert_eq!(times(&mut client, 4).await, [50, 30, 10, 10]);
+    assert_eq!(latencies(&mut client, 4).await, [50, 30, 10, 10]);
     server.set_slowdown(3.0);
-    assert_eq!(times(&mut client, 1).await, [30]);
+    assert_eq!(latencies(&mut client, 1).await, [30]);
 }
 
 #[test_case(Distribution::Exponential { mean: Duration::from_millis(20) }; "exponential")]
@@ -188,20 +179,20 @@
             ..Settings::default()
         });
         let mut client = Client::connect(server.address()).await;
-        runs.push(times(&mut client, 20).await);
+        runs.push(latencies(&mut client, 20).await);
     }
     assert_eq!(runs[0], runs[1], "same seed");
-    assert_ne!(runs[0], runs[2], "other seed");
+    assert_ne!(runs[0], runs[2], "different seed");
 }
 
-/// Sends queries one after the other and returns how many milliseconds each took.
-async fn times(client: &mut Client, count: u64) -> Vec<u128> {
-    let mut times = Vec::new();
+/// Sends queries sequentially and returns the duration of each in milliseconds.
+async fn latencies(client: &mut Client, count: u64) -> Vec<u128> {
+    let mut latencies = Vec::new();
     for attempt in 0..count {
-        let begun = Instant::now();
+        let start = Instant::now();
         let reply = client.send(Call::query(attempt)).await.expect("a reply");
         assert_eq!(reply.status, StatusCode::OK);
-        times.push(begun.elapsed().as_millis());
+        latencies.push(start.elapsed().as_millis());
     }
-    times
+    latencies
 }
