--- a/crates/fakes/src/backend_server/run.rs
+++ b/crates/fakes/src/backend_server/run.rs
@@ -1,7 +1,7 @@
 //! Execution of one request: admission, queueing, work and reply.
 //!
-//! A search stops when its connection closes. A non-idempotent request runs in a separate task, which
-//! only cancellation, its deadline or the end of the process stops.
+//! A search stops when its connection closes. A non-idempotent request runs in a separate task,
+//! which only cancellation, its deadline or the end of the process stops.
 
 use crate::backend_server::dataset::{self, Item};
 use crate::backend_server::fault::Fault;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A deadline that passes during execution returns a plain `504`, which must not claim "not run".
+    /// Returns a plain `504` for a deadline that passes during execution, without "not run".
     fn stopped_at_work(&self, stop: &Stop, guard: &mut AttemptGuard) -> Reply {
         guard.done = true;
         match stop {
@@ -216,8 +216,8 @@
     }
 }
 
-/// Waits for the cancellation or deadline of an attempt. An attempt whose guard is dropped before it
-/// is done counts as abandoned.
+/// Waits for the cancellation or deadline of an attempt. An attempt whose guard is dropped before
+/// it is done counts as abandoned.
 struct AttemptGuard {
     process: Arc<Process>,
     entry: Entry,
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// Returns the planner desk: one group of 20 backend servers, 2 slots, 110 connections at 1 ms each.
+/// Returns the planner desk: one group of 20 backend servers, 2 slots, 110 connections at 1 ms
+/// each.
 pub fn planner_desk() -> Shape {
     Shape {
         replicas: 20,
--- a/crates/fakes/src/lag.rs
+++ b/crates/fakes/src/lag.rs
@@ -1,7 +1,7 @@
 //! Status reports that can be stale or wrong.
 //!
-//! A view keeps timestamped values, so that a lagging report returns an old value immediately rather
-//! than the current value late.
+//! A view keeps timestamped values, so that a lagging report returns an old value immediately
+//! rather than the current value late.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/fakes/tests/fault.rs
+++ b/crates/fakes/tests/fault.rs
@@ -18,7 +18,7 @@
 const EARLIER: &str = "0000000000000001";
 const FOREIGN: &str = "feedfacefeedface";
 
-// A daemon must detect truncated, lost and mislabelled replies, whichever connection they arrive on.
+// A daemon must detect truncated, lost and mislabelled replies, even on the right connection.
 #[test_case(Fault::Truncated, None; "truncated")]
 #[test_case(Fault::Lost, None; "lost")]
 #[test_case(Fault::ForeignAttempt, Some((200, FOREIGN, Some("1"))); "foreign_attempt")]
--- a/crates/fakes/tests/platform.rs
+++ b/crates/fakes/tests/platform.rs
@@ -68,7 +68,8 @@
     assert_eq!(service.counters().unchanged, 1);
 }
 
-// A restore from backup lowers the revision; a race of two operators gives one revision two contents.
+// A restore from backup lowers the revision; a race of two operators publishes two documents
+// under one revision.
 #[test_case(1, "old", (200, Some("1"), b"old".as_slice()); "restored_from_backup")]
 #[test_case(3, "other", (200, Some("3"), b"other".as_slice()); "same_revision_different_content")]
 #[tokio::test]
