--- a/crates/experiment/examples/demo.rs
+++ b/crates/experiment/examples/demo.rs
@@ -246,7 +246,7 @@
 
     fn runs(&self, key: &str) -> u64 {
         let servers = self.deployment.fleet.group(&self.tickets.route, 0);
-        let begun = |server: &Server| server.runs().get(key).map_or(0, |runs| runs.begun);
+        let begun = |server: &Server| server.runs().get(key).map_or(0, |runs| runs.started);
         servers.iter().map(begun).sum()
     }
 }
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -69,7 +69,7 @@
 fn doubled(servers: &[Server]) -> u64 {
     let mut runs: HashMap<String, u64> = HashMap::new();
     for (key, of_key) in servers.iter().flat_map(Server::runs) {
-        *runs.entry(key).or_default() += of_key.begun;
+        *runs.entry(key).or_default() += of_key.started;
     }
     runs.values().map(|begun| begun.saturating_sub(1)).sum()
 }
--- a/crates/experiment/tests/office/session.rs
+++ b/crates/experiment/tests/office/session.rs
@@ -96,7 +96,7 @@
         let servers = self.deployment().fleet.group(route, 0);
         let runs = servers
             .iter()
-            .map(|server| server.runs().get(&key).map_or(0, |run| run.begun));
+            .map(|server| server.runs().get(&key).map_or(0, |run| run.started));
         let runs: u64 = runs.sum();
         self.note(&format!("the backend servers ran it {runs} time(s)"));
     }
--- a/crates/experiment/tests/processes/once.rs
+++ b/crates/experiment/tests/processes/once.rs
@@ -41,7 +41,7 @@
 fn begun(cluster: &Cluster) -> u64 {
     let servers = cluster.fleet.servers();
     let runs = servers.flat_map(|server| server.runs().into_values());
-    runs.map(|run| run.begun).sum()
+    runs.map(|run| run.started).sum()
 }
 
 async fn until_begun(cluster: &Cluster) {
--- a/crates/experiment/tests/processes/rolling.rs
+++ b/crates/experiment/tests/processes/rolling.rs
@@ -181,7 +181,7 @@
     let runs: Vec<_> = servers
         .flat_map(|server| server.runs().into_values())
         .collect();
-    assert!(runs.iter().all(|run| run.begun == 1), "doubled");
+    assert!(runs.iter().all(|run| run.started == 1), "doubled");
     assert_eq!(runs.len(), answers, "each has run");
 }
 
--- a/crates/fakes/src/backend_server/journal.rs
+++ b/crates/fakes/src/backend_server/journal.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
     /// Number of executions started; more than one is a duplicate execution.
-    pub begun: u64,
+    pub started: u64,
     /// Number of executions completed.
     pub completed: u64,
 }
@@ -110,7 +110,7 @@
         self.counters.started += 1;
         self.counters.busy_peak = self.counters.busy_peak.max(busy);
         if let Some(key) = key {
-            self.runs.entry(key.to_owned()).or_default().begun += 1;
+            self.runs.entry(key.to_owned()).or_default().started += 1;
         }
     }
 
--- a/crates/fakes/tests/query.rs
+++ b/crates/fakes/tests/query.rs
@@ -126,8 +126,8 @@
         assert_eq!(reply.json(), json!({"value": {"key": key}}));
     }
     let runs = server.runs();
-    assert_eq!((runs["a"].begun, runs["a"].completed), (2, 2));
-    assert_eq!((runs["b"].begun, runs["b"].completed), (1, 1));
+    assert_eq!((runs["a"].started, runs["a"].completed), (2, 2));
+    assert_eq!((runs["b"].started, runs["b"].completed), (1, 1));
     let attempts = server.attempts();
     let keys = attempts.iter().map(|attempt| attempt.key.as_deref());
     assert!(keys.eq([Some("a"), Some("b"), Some("a")]));
