--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -68,7 +68,7 @@
 fn doubled(servers: &[Server]) -> u64 {
     let mut runs: HashMap<String, u64> = HashMap::new();
     for (key, executions) in servers.iter().flat_map(Server::runs) {
-        *runs.entry(key).or_default() += executions.begun;
+        *runs.entry(key).or_default() += executions.started;
     }
-    runs.values().map(|begun| begun.saturating_sub(1)).sum()
+    runs.values().map(|started| started.saturating_sub(1)).sum()
 }
--- a/crates/fakes/src/backend_server/core.rs
+++ b/crates/fakes/src/backend_server/core.rs
@@ -1,9 +1,8 @@
-//! What outlives the processes of a server: its address, what it holds, its journal; and the
-//! changes from one process to the next.
+//! Server state that survives restarts, and the start, crash and stop of processes.
 
-use crate::backend_server::delay::Source;
+use crate::backend_server::dataset::Dataset;
+use crate::backend_server::delay::Sampler;
 use crate::backend_server::fault;
-use crate::backend_server::holding::Holding;
 use crate::backend_server::journal::Journal;
 use crate::backend_server::process::Process;
 use crate::backend_server::report::{Load, Status};
@@ -19,24 +18,24 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-/// What outlives a process.
+/// Server state that survives restarts.
 pub(crate) struct Core {
     pub(crate) settings: Settings,
     pub(crate) journal: Journal,
     pub(crate) faults: fault::Plan,
-    pub(crate) service_time: Source,
+    pub(crate) service_time: Sampler,
     pub(crate) load: View<Load>,
     pub(crate) health: View<Status>,
     reply_load: Mutex<Option<Load>>,
     last_attempt: Mutex<String>,
     reservation: Reservation,
-    holding: Mutex<Holding>,
+    dataset: Mutex<Dataset>,
     starts: AtomicU64,
     current: Mutex<Option<Current>>,
     closing: CancellationToken,
 }
 
-/// The process that is there now.
+/// The running process.
 pub(crate) struct Current {
     pub(crate) process: Arc<Process>,
     endpoint: Arc<Endpoint>,
@@ -51,20 +50,20 @@
             index_versions: settings.index_versions.clone(),
             start: settings.start,
         };
-        let holding = Holding {
+        let dataset = Dataset {
             versions: settings.index_versions.iter().copied().collect(),
             ranges: settings.ranges.clone(),
         };
         Ok(Self {
             journal: Journal::default(),
             faults: fault::Plan::default(),
-            service_time: Source::new(settings.service_time, settings.seed),
+            service_time: Sampler::new(settings.service_time, settings.seed),
             load: View::new(Mode::True, load),
             health: View::new(Mode::True, Status::Starting),
             reply_load: Mutex::default(),
             last_attempt: Mutex::default(),
             reservation: Reservation::new()?,
-            holding: Mutex::new(holding),
+            dataset: Mutex::new(dataset),
             starts: AtomicU64::new(0),
             current: Mutex::default(),
             closing: CancellationToken::new(),
@@ -76,13 +75,13 @@
         self.reservation.address()
     }
 
-    /// Start number of the newest process.
+    /// Returns the incarnation of the newest process.
     pub(crate) fn start_number(&self) -> Incarnation {
         let later = self.starts.load(Ordering::SeqCst).saturating_sub(1);
         self.settings.start + later
     }
 
-    /// Ends the present process and lets no further one start.
+    /// Stops the current process and prevents automatic restarts.
     pub(crate) fn close(&self) {
         self.closing.cancel();
         self.stop();
@@ -93,7 +92,7 @@
         let earlier = self.starts.fetch_add(1, Ordering::SeqCst);
         let process = Process::new(self.clone(), self.settings.start + earlier);
         let process = Arc::new(process);
-        let endpoint = Endpoint::open(&self.reservation, &process, process.life.clone())?;
+        let endpoint = Endpoint::open(&self.reservation, &process, process.shutdown.clone())?;
         process.report();
         *self.current() = Some(Current {
             process,
@@ -102,22 +101,22 @@
         Ok(())
     }
 
-    /// Ends the present process; what it had open goes as soon as its tasks run.
+    /// Stops the current process; its connections close once its tasks have run.
     pub(crate) fn stop(&self) -> Option<Arc<Endpoint>> {
         let current = self.current().take()?;
-        current.process.life.cancel();
+        current.process.shutdown.cancel();
         Some(current.endpoint)
     }
 
-    pub(crate) fn crashes(&self, request: &Request) -> bool {
+    pub(crate) fn is_crash_request(&self, request: &Request) -> bool {
         let crash = self.settings.crash.as_ref();
         crash.is_some_and(|crash| request.contains(&crash.marker))
     }
 
-    /// Ends a process as a crash does, and starts the next one if so set.
+    /// Crashes a process, and restarts it if the settings say so.
     pub(crate) fn crash(self: &Arc<Self>, process: &Process) {
         self.journal.lock().counters.crashes += 1;
-        process.life.cancel();
+        process.shutdown.cancel();
         let restart_after = self
             .settings
             .crash
@@ -135,35 +134,35 @@
         let Some(delay) = restart_after else { return };
         let waiting = self.closing.run_until_cancelled(time::sleep(delay));
         if waiting.await.is_some() && self.current().is_none() {
-            // A failure leaves the server dead, which the test notices.
+            // On failure the server stays down, which the test notices.
             let _ = self.launch();
         }
     }
 
-    pub(crate) fn holding(&self) -> Holding {
-        let holding = self.holding.lock();
-        holding.unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn dataset(&self) -> Dataset {
+        let dataset = self.dataset.lock();
+        dataset.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    pub(crate) fn change<T>(&self, act: impl FnOnce(&mut Holding) -> T) {
-        let holding = self.holding.lock();
-        act(&mut holding.unwrap_or_else(PoisonError::into_inner));
+    pub(crate) fn change<T>(&self, act: impl FnOnce(&mut Dataset) -> T) {
+        let dataset = self.dataset.lock();
+        act(&mut dataset.unwrap_or_else(PoisonError::into_inner));
     }
 
     pub(crate) fn set_reply_load(&self, load: Option<Load>) {
-        let shown = self.reply_load.lock();
-        *shown.unwrap_or_else(PoisonError::into_inner) = load;
+        let override_load = self.reply_load.lock();
+        *override_load.unwrap_or_else(PoisonError::into_inner) = load;
     }
 
-    /// The value of the header `monsoonring-load` where the truth is `load`.
+    /// Returns the value of the header `monsoonring-load` for the actual `load`.
     pub(crate) fn reply_load(&self, load: &Load) -> String {
-        let shown = self.reply_load.lock();
-        let shown = shown.unwrap_or_else(PoisonError::into_inner);
-        shown.as_ref().unwrap_or(load).header()
+        let override_load = self.reply_load.lock();
+        let override_load = override_load.unwrap_or_else(PoisonError::into_inner);
+        override_load.as_ref().unwrap_or(load).header()
     }
 
-    /// Keeps the id of the attempt that is replied to and returns the one before it.
-    pub(crate) fn last_attempt(&self, attempt: &str) -> String {
+    /// Stores the id of the attempt being answered and returns the previous one.
+    pub(crate) fn swap_last_attempt(&self, attempt: &str) -> String {
         let last = self.last_attempt.lock();
         let mut last = last.unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut *last, attempt.to_owned())
--- a/crates/fakes/src/backend_server/process.rs
+++ b/crates/fakes/src/backend_server/process.rs
@@ -1,7 +1,7 @@
-//! One process of a backend server, from its start to its crash, kill or the end of the stand-in.
+//! One process of a backend server, from its start to its crash or kill.
 //!
-//! What a crash would lose lives here: queue, running attempts, connections, warmth. What the test
-//! looks at afterwards lives in the core and outlives it.
+//! This holds the state that a crash loses: queue, running attempts, connections and warm-up.
+//! [`Core`] holds the state that survives.
 
 use crate::backend_server::connections;
 use crate::backend_server::core::Core;
@@ -27,13 +27,13 @@
 pub(crate) struct Process {
     pub(crate) core: Arc<Core>,
     pub(crate) start: Incarnation,
-    pub(crate) life: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     pub(crate) queue: Queue,
     pub(crate) running: Arc<running::Table>,
     pub(crate) connections: connections::Table,
     pub(crate) completed: AtomicU64,
     draining: AtomicBool,
-    since: Instant,
+    started_at: Instant,
 }
 
 impl Process {
@@ -41,13 +41,13 @@
         let settings = &core.settings;
         Self {
             start,
-            life: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             queue: Queue::new(settings.slots),
             running: Arc::default(),
             connections: connections::Table::new(settings.connections),
             completed: AtomicU64::new(0),
             draining: AtomicBool::new(false),
-            since: Instant::now(),
+            started_at: Instant::now(),
             core,
         }
     }
@@ -61,7 +61,7 @@
         let starting = self.core.settings.cold.map(|cold| cold.refuse_for);
         if self.draining.load(Ordering::SeqCst) {
             Status::Draining
-        } else if starting.is_some_and(|time| self.since.elapsed() < time) {
+        } else if starting.is_some_and(|time| self.started_at.elapsed() < time) {
             Status::Starting
         } else {
             Status::Serving
@@ -73,18 +73,18 @@
             busy: self.queue.busy(),
             slots: self.queue.slots(),
             queued: self.queue.waiting(),
-            index_versions: self.core.holding().versions.iter().copied().collect(),
+            index_versions: self.core.dataset().versions.iter().copied().collect(),
             start: self.start,
         }
     }
 
-    /// Keeps what lagging endpoints will show later.
+    /// Records load and status for the health and load endpoints.
     pub(crate) fn report(&self) {
         self.core.load.record(self.load());
         self.core.health.record(self.status());
     }
 
-    /// Time that the next request's work takes.
+    /// Samples the service time of the next request.
     pub(crate) fn service_time(&self) -> Duration {
         let time = self.core.service_time.next();
         let completed = self.completed.load(Ordering::SeqCst);
@@ -95,7 +95,7 @@
     }
 
     pub(crate) fn refuse(&self, reason: NotRun) -> Reply {
-        self.core.journal.refused(reason);
+        self.core.journal.record_refusal(reason);
         let mut reply = http::not_run(reason);
         if reason == NotRun::Shedding {
             let wait = self.core.settings.retry_after;
@@ -109,8 +109,8 @@
         reply
     }
 
-    /// Adds what the reply to an attempt says of the server.
-    fn sign(&self, reply: &mut Reply) {
+    /// Adds the server's load, incarnation, index versions and draining state to a reply.
+    fn add_headers(&self, reply: &mut Reply) {
         let load = self.load();
         http::set(reply, header::LOAD, &self.core.reply_load(&load));
         http::set(reply, header::START, &self.start);
@@ -135,7 +135,7 @@
         if let Some(attempt) = attempt {
             let headers = reply.headers_mut();
             headers.entry(header::ATTEMPT).or_insert(attempt);
-            self.sign(&mut reply);
+            self.add_headers(&mut reply);
         }
         Some(reply)
     }
@@ -196,7 +196,7 @@
 }
 
 impl Cold {
-    /// Slowdown after so many completed requests; falls evenly to 1.
+    /// Returns the slowdown after `completed` requests, which falls linearly to 1.
     fn factor(self, completed: u64) -> f64 {
         if completed >= self.warm_after {
             return 1.0;
@@ -215,7 +215,7 @@
                 self.core.journal.lock().counters.connections_refused += 1;
                 return settings.over_limit == OverLimit::Answer;
             }
-            self.core.journal.lock().connection_opened();
+            self.core.journal.lock().record_connection();
             if settings.connect_cost > Duration::ZERO {
                 let _slot = match settings.connect_takes_slot {
                     true => self.queue.take().await,
