--- a/crates/experiment/src/operator.rs
+++ b/crates/experiment/src/operator.rs
@@ -82,7 +82,7 @@
 /// The active configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Configuration {
-    /// Revision of the document; `None` before the first document.
+    /// Revision of the document; `None` if no document is active.
     pub revision: Option<Revision>,
 }
 
--- a/crates/experiment/src/simulation/statistics.rs
+++ b/crates/experiment/src/simulation/statistics.rs
@@ -88,7 +88,7 @@
 /// Statistics of one simulated day.
 #[derive(Clone, Debug)]
 pub struct Statistics {
-    /// Totals by window, of the caller's first attempt.
+    /// Totals by window. A request counts in the window in which its caller first sent it.
     pub windows: Vec<Totals>,
     /// Totals by kind of request.
     pub kinds: Vec<Totals>,
