--- a/crates/configuration/src/reference.rs
+++ b/crates/configuration/src/reference.rs
@@ -1,4 +1,4 @@
-//! Reference documentation of the document in Markdown, generated from the schema.
+//! Generates the Markdown reference of the configuration document from its schema.
 //!
 //! `docs/configuration.md` is the output of [`markdown`]; a test compares the two.
 
@@ -40,7 +40,7 @@
 ";
 
 /// The object types other than the document itself, each before those that it contains.
-const PARTS: [&str; 8] = [
+const OBJECTS: [&str; 8] = [
     "Caller",
     "Route",
     "SoftDeadline",
@@ -58,7 +58,7 @@
 pub fn markdown() -> String {
     let mut text = HEAD.to_owned();
     text.push_str(&object("Document", schema::value()));
-    for name in PARTS {
+    for name in OBJECTS {
         text.push_str(&object(name, definition(name)));
     }
     for name in ENUMERATIONS {
@@ -72,17 +72,17 @@
     &schema::value()["$defs"][name]
 }
 
-fn object(name: &str, part: &'static Value) -> String {
-    let required = part.get("required").and_then(Value::as_array);
+fn object(name: &str, definition: &'static Value) -> String {
+    let required = definition.get("required").and_then(Value::as_array);
     let is_required = |field: &str| {
         required.is_some_and(|names| names.iter().any(|name| name.as_str() == Some(field)))
     };
     let mut text = format!(
         "\n## {name}\n\n{}\n\n| field | type | default | unit | bounds | meaning |\n\
          |---|---|---|---|---|---|\n",
-        description(part)
+        description(definition)
     );
-    let fields: BTreeMap<_, _> = part
+    let fields: BTreeMap<_, _> = definition
         .get("properties")
         .and_then(Value::as_object)
         .into_iter()
@@ -123,12 +123,12 @@
     }
 }
 
-fn enumeration(name: &str, part: &'static Value) -> String {
+fn enumeration(name: &str, definition: &'static Value) -> String {
     let mut text = format!(
         "\n## {name}\n\n{}\n\n| value | meaning |\n|---|---|\n",
-        description(part)
+        description(definition)
     );
-    for (value, meaning) in schema::variants(part) {
+    for (value, meaning) in schema::variants(definition) {
         text.push_str(&format!("| `{value}` | {} |\n", meaning.replace('\n', " ")));
     }
     text
--- a/crates/configuration/src/section.rs
+++ b/crates/configuration/src/section.rs
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Encode`] if a section can't be written as JSON.
+/// Returns [`Error::Encode`] if a section can't be encoded as JSON.
 pub fn split(document: &Document) -> Result<Vec<Section>> {
     let form = canonical::form(document);
     let callers = Section::encode(Name::Callers, &form.callers);
@@ -90,16 +90,16 @@
 
 /// Assembles the document of an index from its sections.
 ///
-/// The document is in canonical form and has passed [`check::document`]. If the index is a selection
-/// (see [`Index::select`]), it has only the selected routes.
+/// The document is in canonical form and has passed [`check::document`]. If the index is a
+/// selection (see [`Index::select`]), the document has only the selected routes.
 ///
-/// The digest of `index` identifies the document. That of another [`split`] may differ, because the
-/// sender's version may write other canonical bytes than this one.
+/// Identify the document by the digest of `index`. Don't split the document again to compute it:
+/// the sender may run another version, which encodes the same document differently.
 ///
 /// # Errors
 ///
-/// Returns an error if a section is missing from `sections` or not in the index, if its body doesn't
-/// match its digest or its name, or if the assembled document is invalid.
+/// Returns an error if a section is missing from `sections` or not in the index, if its body
+/// doesn't match its digest or its name, or if the assembled document is invalid.
 pub fn assemble(index: &Index, sections: &[Section]) -> Result<Document> {
     let verified = verify(index, sections)?;
     let mut document = Document::default();
--- a/crates/daemon/src/control/controller.rs
+++ b/crates/daemon/src/control/controller.rs
@@ -32,15 +32,16 @@
 /// Maximum size of the facts in one message, in bytes.
 const MAX_FACT_BYTES: usize = 400;
 
-/// Interval at which a reader of the data centre reads the host list.
-const LIST_PERIOD: Duration = Duration::from_secs(2);
+/// Interval at which a reader reads the host list. Readers are the few daemons of a data centre
+/// that read the platform's services for all of its daemons.
+const LIST_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Interval between updates of the member metrics.
-const METRICS_PERIOD: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Interval at which other daemons read the host list. They learn of leaving backend servers
-/// through facts and need the list only to find members after a long partition.
-const NON_READER_LIST_PERIOD: Duration = Duration::from_secs(300);
+/// Interval at which the daemons that aren't readers read the host list. They learn of leaving
+/// backend servers through facts and need the list only to find members after a long partition.
+const NON_READER_LIST_INTERVAL: Duration = Duration::from_secs(300);
 
 /// Lifetime of the fact that a backend server is leaving.
 pub(crate) const LEAVING_LIFETIME: Duration = Duration::from_secs(30 * 60);
@@ -104,7 +105,7 @@
     members: Arc<[Member]>,
     suspects: Arc<BTreeSet<MemberId>>,
     /// Whether this daemon reads the platform's services for its data centre.
-    reader: bool,
+    is_reader: bool,
     /// Whether the holder has been informed of the members.
     holder_informed: bool,
     next_list: monsoonring_decision::Time,
@@ -147,7 +148,7 @@
             in_force: None,
             members: Arc::default(),
             suspects: Arc::default(),
-            reader: true,
+            is_reader: true,
             holder_informed: false,
             next_list: now,
             next_metrics: now,
@@ -185,15 +186,15 @@
         let now = self.clock.now();
         self.facts.expire(now);
         if now >= self.next_metrics {
-            self.next_metrics = now + METRICS_PERIOD;
+            self.next_metrics = now + METRICS_INTERVAL;
             let states = self.table.iter().map(|change| change.state);
             self.metrics.control.set_members(states);
         }
         if now >= self.next_list {
-            let period = if self.reader {
-                LIST_PERIOD
+            let period = if self.is_reader {
+                LIST_INTERVAL
             } else {
-                NON_READER_LIST_PERIOD
+                NON_READER_LIST_INTERVAL
             };
             self.next_list = now + period;
             self.driver
@@ -307,6 +308,7 @@
             entry,
             found_here: true,
         });
+        // Spreads the fact without waiting for the next periodic probe.
         self.handle_member(member::Event::Burst, None);
     }
 
@@ -383,9 +385,9 @@
         if !self.holder_informed {
             return;
         }
-        self.reader = is_reader(&self.own, &self.members);
+        self.is_reader = is_reader(&self.own, &self.members);
         let peers = self.members.len().saturating_sub(1);
-        let reader = self.reader;
+        let reader = self.is_reader;
         self.handle_configuration(configuration::Event::Members { reader, peers });
     }
 
--- a/crates/daemon/src/gateway/front/mod.rs
+++ b/crates/daemon/src/gateway/front/mod.rs
@@ -56,7 +56,7 @@
     pub(super) clock: Clock,
     pub(super) log: Logger,
     pub(super) metrics: Arc<Metrics>,
-    /// Sender of the requests.
+    /// Who sends the requests.
     pub(super) origin: Origin,
     /// Sends searches to other hosts.
     pub(super) relay: Arc<Relay>,
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DeliveryMargin(pub(super) Duration);
 
-/// Who sends the requests.
+/// Who sends the requests to a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     /// Clients; their searches can be offloaded to another host.
@@ -378,8 +378,10 @@
     }
 }
 
-/// Log line of a request that was given to a home. If the client disconnects, the request is dropped and its line is
-/// written then: it links the client's request id to the id in the decisions.
+/// Log line of a request that was given to a home.
+///
+/// The line links the client's request id to the id in the log of the home's decisions. If the
+/// client disconnects, it is written when the request is dropped.
 struct LogLine<'a> {
     log: &'a Logger,
     metrics: &'a Metrics,
@@ -431,7 +433,8 @@
     response
 }
 
-/// Hashes the method, target and body of a request. Identical requests of different clients have the same hash.
+/// Hashes the method, target and body of a request. Identical requests of different clients have
+/// the same hash.
 fn fingerprint(server_request: &ServerRequest) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(server_request.method.as_str().as_bytes());
--- a/crates/daemon/src/node/routes.rs
+++ b/crates/daemon/src/node/routes.rs
@@ -32,19 +32,24 @@
     log: Logger,
     spawn: Spawn,
     /// Overrides the number of homes per route that placement computes.
-    homes: Option<usize>,
+    homes_override: Option<usize>,
     entries: Mutex<HashMap<RouteId, Entry>>,
     /// Members at the last update, from which the homes were chosen.
     members: Mutex<Arc<[Member]>>,
 }
 
 impl Routes {
-    pub(super) fn new(own: MemberId, log: Logger, spawn: Spawn, homes: Option<usize>) -> Self {
+    pub(super) fn new(
+        own: MemberId,
+        log: Logger,
+        spawn: Spawn,
+        homes_override: Option<usize>,
+    ) -> Self {
         Self {
             own,
             log,
             spawn,
-            homes,
+            homes_override,
             entries: Mutex::default(),
             members: Mutex::default(),
         }
@@ -113,7 +118,9 @@
     ) -> Arc<[Member]> {
         let members = view.members.len();
         let count = placement::homes(&route.capacity, route.groups.len(), members);
-        let count = self.homes.map_or(count, |homes| homes.min(members));
+        let count = self
+            .homes_override
+            .map_or(count, |homes| homes.min(members));
         let unchanged = old.filter(|old| {
             let homes: Vec<MemberId> = old.homes.iter().map(|home| home.id).collect();
             homes.len() == count && !difference.may_affect(&route.name, &homes)
@@ -179,7 +186,7 @@
         }
     }
 
-    /// Stops a home. Its task ends after the requests in progress.
+    /// Stops a home. Its task ends when the requests in progress have finished.
     fn stop_home(&self, name: &RouteId, handle: Option<Handle>, reason: &str) {
         let Some(handle) = handle else { return };
         info!(self.log, "placement"; "what" => "no home", "route" => &**name, "why" => reason);
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -55,7 +55,7 @@
     let meter = metrics.peer_bytes.clone();
     let endpoint = Endpoint::new(settings.peer_listen.ip(), ring, meter);
     let pool = Pool::new(endpoint.clone());
-    let (new_facts, fact_updates) = mpsc::unbounded_channel();
+    let (new_facts, new_facts_rx) = mpsc::unbounded_channel();
     let control = control::spawn(control::Settings {
         own: own.clone(),
         start,
@@ -70,7 +70,7 @@
         metrics: metrics.clone(),
         new_facts,
     });
-    let (facts, found_facts) = mpsc::unbounded_channel();
+    let (found_facts_tx, found_facts_rx) = mpsc::unbounded_channel();
     let history = History::default();
     let routes = routes(
         &settings.baseline,
@@ -80,7 +80,7 @@
             metrics: metrics.clone(),
         },
         clock,
-        facts,
+        found_facts_tx,
         history.clone(),
         rng.random(),
     );
@@ -107,8 +107,8 @@
         history,
     });
     tokio::spawn(apply_views(node.clone()));
-    tokio::spawn(deliver_facts(node.clone(), fact_updates));
-    tokio::spawn(publish_facts(node.clone(), found_facts));
+    tokio::spawn(deliver_facts(node.clone(), new_facts_rx));
+    tokio::spawn(publish_facts(node.clone(), found_facts_rx));
     tokio::spawn(maintain_ledger(node.clone()));
     let max_connections = settings.limits.max_peer_connections;
     tokio::spawn(peer::serve(node.clone(), peers, endpoint, max_connections));
@@ -167,9 +167,9 @@
 /// Delivers new facts to the homes in this daemon; sends those found here to peers.
 async fn deliver_facts(
     node: Arc<Node>,
-    mut fact_updates: mpsc::UnboundedReceiver<control::NewFact>,
+    mut new_facts_rx: mpsc::UnboundedReceiver<control::NewFact>,
 ) {
-    while let Some(new) = fact_updates.recv().await {
+    while let Some(new) = new_facts_rx.recv().await {
         if let Some(event) = node.home_event(&new.entry) {
             node.routes.broadcast(&event);
         }
@@ -180,18 +180,19 @@
 }
 
 /// Publishes the facts that homes in this daemon found.
-async fn publish_facts(node: Arc<Node>, mut found_facts: mpsc::UnboundedReceiver<Fact>) {
-    while let Some(fact) = found_facts.recv().await {
+async fn publish_facts(node: Arc<Node>, mut found_facts_rx: mpsc::UnboundedReceiver<Fact>) {
+    while let Some(fact) = found_facts_rx.recv().await {
         match fact {
             Fact::Leaving(server, start) => {
                 node.control
                     .announce_leaving(server, start, control::LEAVING_LIFETIME);
             }
-            Fact::Suspect(fingerprint, life) => {
+            Fact::Suspect(fingerprint, lifetime) => {
                 node.control.send(control::Input::LocalFact(
                     fact::Key::Suspect(fingerprint),
+                    // Only facts about leaving servers are versioned.
                     0,
-                    life,
+                    lifetime,
                 ));
             }
         }
@@ -223,8 +224,9 @@
 
     /// Pushes a fact found here to the other homes of this daemon's routes.
     ///
-    /// Gossip would take a second or two. A caller that retries a request that crashes servers
-    /// reaches the next home within milliseconds, and would crash a server of each group there too.
+    /// Gossip takes a second or two. A caller that retries a request that crashes servers reaches
+    /// another home within milliseconds. Without the fact, that home would send the request again
+    /// and crash another server of each group.
     fn push_fact(&self, entry: &fact::Entry) {
         let routes = self.routes.list();
         let homes = routes.iter().filter(|route| route.handle.is_some());
@@ -248,6 +250,7 @@
         match &entry.key {
             fact::Key::Leaving(backend_server) => Some(Event::Leaving {
                 backend_server: *backend_server,
+                // Version 0: it is unknown which start of the server is leaving.
                 start: Some(entry.stamp.version).filter(|start| *start > 0),
             }),
             fact::Key::Suspect(fingerprint) => Some(Event::Suspect {
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -1,7 +1,7 @@
-//! Implements the peers' side of a graceful stop.
+//! Implements the peer-facing part of a graceful stop.
 //!
-//! The callers' side becomes unready, waits for the load balancer, closes its port and drains its
-//! requests. This side first announces the stop to the members, so that they forward no new
+//! The caller-facing part becomes unready, waits for the load balancer, closes its port and drains
+//! its requests. This part first announces the stop to the members, so that they forward no new
 //! requests here; then it drains the forwarded requests and hands the ledger over to a successor.
 
 use super::Node;
@@ -25,14 +25,14 @@
 /// Whether the daemon is stopping, and the number of forwarded requests in progress.
 #[derive(Debug, Default)]
 pub(super) struct StopState {
-    stopping: AtomicBool,
+    is_stopping: AtomicBool,
     forwarded: AtomicUsize,
 }
 
 impl StopState {
-    /// Returns the reason if no new requests may be accepted.
+    /// Returns the reason as an error if the daemon accepts no new requests.
     pub(super) fn check_ready(&self) -> Result<(), &'static str> {
-        match self.stopping.load(Ordering::Acquire) {
+        match self.is_stopping.load(Ordering::Acquire) {
             true => Err("stopping"),
             false => Ok(()),
         }
@@ -57,7 +57,7 @@
 
     /// Announces to the members that this daemon is stopping, and the successor for its keys.
     pub(super) fn begin_stop(&self) {
-        self.stopping.stopping.store(true, Ordering::Release);
+        self.stopping.is_stopping.store(true, Ordering::Release);
         let successor = self.successor();
         info!(self.log, "stop"; "what" => "leave", "successor" => format!("{successor:?}"));
         self.control.leave(successor);
@@ -110,8 +110,10 @@
         let (near, remote): (Vec<_>, Vec<_>) = others
             .cloned()
             .partition(|member| member.data_centre == self.own.data_centre);
-        let pool = if near.is_empty() { remote } else { near };
-        placement::select(SUCCESSOR_KEY, &pool, 1).first().copied()
+        let candidates = if near.is_empty() { remote } else { near };
+        placement::select(SUCCESSOR_KEY, &candidates, 1)
+            .first()
+            .copied()
     }
 
     /// Takes over the ledger of a daemon that is stopping.
--- a/crates/decision/src/backend/fleet.rs
+++ b/crates/decision/src/backend/fleet.rs
@@ -32,8 +32,9 @@
 /// consistently slow replica would be hedged late, although the other replicas answer long before.
 const MAX_OWN_QUANTILE_RATIO: f64 = 2.0;
 
-/// Bound on the ratio of a group's median latency to the route's, and on its inverse. Beyond it the
-/// group is in trouble, and longer hedge delays would only hide that.
+/// Bound on the ratio of a group's median latency to the route's, and on its inverse. A slower
+/// group is overloaded or faulty, and hedge delays that follow its latency further would only delay
+/// the hedges that it needs.
 const MAX_RELATIVE_LATENCY: f64 = 1.5;
 
 /// Maximum number of work kinds with their own latency histogram.
@@ -82,8 +83,9 @@
     pub(super) baseline: Cell<Option<Baseline>>,
     /// Whether a server of this group is accounted under another group.
     pub(super) is_shared: bool,
-    /// Mean time between two attempts, in seconds, and the time of the last one.
+    /// Moving average of the time between two attempts, in seconds.
     pub(super) interval: f64,
+    /// Time of the last attempt.
     pub(super) last_sent: Option<Time>,
 }
 
@@ -100,6 +102,7 @@
 /// An outstanding attempt.
 pub(super) struct Attempt {
     pub(super) server: BackendServerId,
+    /// Time at which the server was chosen; the attempt may still wait for a connection.
     pub(super) sent: Time,
     pub(super) work: WorkKind,
     /// Time at which cancellation began.
@@ -298,8 +301,8 @@
         quantile: f64,
         now: Time,
     ) -> Duration {
-        let work_quantile = self.latency_by_work.get(&work);
-        let Some(work_quantile) = work_quantile.and_then(|latency| latency.quantile(quantile))
+        let work_latency = self.latency_by_work.get(&work);
+        let Some(work_quantile) = work_latency.and_then(|latency| latency.quantile(quantile))
         else {
             return self.hedge_delay(server, quantile, now);
         };
@@ -406,8 +409,8 @@
     }
 
     fn compute_baseline(&self, group: usize) -> Baseline {
-        let members = self.groups[group].servers.iter();
-        let service_times: Vec<Duration> = members
+        let servers = self.groups[group].servers.iter();
+        let service_times: Vec<Duration> = servers
             .filter_map(|server| self.servers.get(server)?.service_time())
             .collect();
         let median = self.groups[group]
--- a/crates/decision/src/gateway/registry.rs
+++ b/crates/decision/src/gateway/registry.rs
@@ -20,9 +20,9 @@
 /// seconds.
 pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Time after the store was restored from an older copy by which the entries of servers that are
-/// gone have expired. Entries expire after three missed heartbeats, sent about once a second; the
-/// rest is margin.
+/// Time after a restore of the store from an older copy within which entries of servers that are
+/// gone expire. An entry expires after three missed heartbeats, which are sent about once a second;
+/// the rest is margin.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(8);
 
 /// Difference in the reported end of a cold period that is attributed to network delay.
@@ -60,7 +60,7 @@
 /// Registration of one backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The start of the server that registered.
+    /// The server process that registered.
     pub instance: InstanceId,
     /// The service that it serves.
     pub service: ServiceId,
@@ -103,7 +103,7 @@
 /// A change reported by the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The complete list of entries, as of a revision.
+    /// The complete list of entries.
     Listed(Vec<Entry>),
     /// An entry was written.
     Written(Entry),
@@ -124,7 +124,7 @@
     StoreLost,
     /// The store is reachable again.
     StoreRegained,
-    /// Time has passed.
+    /// A timer is due (see [`Registry::next_wake`]).
     Tick,
 }
 
@@ -215,9 +215,9 @@
 
     /// Returns the servers that accept new requests, by address.
     ///
-    /// If two starts are registered on one address, the one that started later is returned, or the
-    /// one that registered later if the start times are unknown. Servers in evacuated data centres
-    /// are excluded.
+    /// If two server processes are registered on one address, the one that started later is
+    /// returned, or the one that registered later if the start times are equal or unknown. Servers
+    /// in evacuated data centres are excluded.
     pub fn usable(&self) -> Usable<'_> {
         let mut usable = Usable::new();
         for entry in self.entries.values() {
@@ -272,8 +272,9 @@
         self.upsert(entry, old, now)
     }
 
-    /// Keeps all known entries. Entries missing in the restored copy stay unconfirmed for the grace
-    /// period. Its revisions can't be compared with earlier ones, so these are reset.
+    /// Keeps all known entries. Those that the restored copy lacks stay unconfirmed for the grace
+    /// period. The copy's revisions can't be compared with earlier ones, so the revisions of the
+    /// known entries are reset.
     fn mark_restored(&mut self, now: Time) {
         self.grace_until = now + RECOVERY_GRACE;
         self.restored_until = now + ENTRY_EXPIRY;
@@ -330,8 +331,8 @@
 
     /// Removes a server whose entry can't be parsed, unless a newer entry is known.
     fn remove_unreadable(&mut self, instance: &InstanceId, revision: Revision, now: Time) -> bool {
-        let is_older = |entry: &Entry| entry.revision > revision;
-        if self.entries.get(instance).is_some_and(is_older) {
+        let is_newer = |entry: &Entry| entry.revision > revision;
+        if self.entries.get(instance).is_some_and(is_newer) {
             return false;
         }
         self.remove(instance, now)
@@ -350,6 +351,7 @@
         true
     }
 
+    /// Marks an entry that the store lacks as unconfirmed during the grace period; else removes it.
     fn mark_missing(&mut self, instance: &InstanceId, now: Time) -> bool {
         self.reappeared.remove(instance);
         if now < self.grace_until {
--- a/crates/decision/src/home/completion.rs
+++ b/crates/decision/src/home/completion.rs
@@ -65,7 +65,7 @@
     fn take_sent(&mut self, id: AttemptId) -> Option<Flight> {
         let flight = self.flights.take_sent(id)?;
         self.timers.clear(flight.next_due(), Timer::Attempt(id));
-        self.mark_room(flight.server);
+        self.mark_free_slot(flight.server);
         self.freed_fingerprints.insert(flight.fingerprint);
         Some(flight)
     }
--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -32,7 +32,8 @@
 /// hedge delay.
 const LATE_HEDGE_DELAY_SHARE: f64 = 0.5;
 
-/// Number of waiters of a group that may find no slot before the rest of the group is skipped.
+/// Number of waiters of a group that are resumed without finding a free slot before the others are
+/// left waiting.
 const MAX_MISSES: usize = 4;
 
 /// Parameters of a new attempt.
@@ -128,7 +129,7 @@
     }
 
     /// Withdraws an attempt whose fingerprint was quarantined while the attempt was queued; its
-    /// owner waits for the quarantine.
+    /// owner waits for the quarantine to end.
     fn quarantine(&mut self, id: AttemptId, owner: Owner, now: Time) {
         let Some(flight) = self.withdraw(id, now) else {
             return;
@@ -162,11 +163,11 @@
         let Some(flight) = self.flights.mark_sent(id, connection) else {
             return;
         };
-        let planned = flight.next_due();
+        let previous_due = flight.next_due();
         let timeout = self.fleet.silence_timeout(flight.server, now);
         flight.check_at = Some(now + timeout.min(MAX_CHECK_INTERVAL));
         let flight = flight.clone();
-        self.timers.clear(planned, Timer::Attempt(id));
+        self.timers.clear(previous_due, Timer::Attempt(id));
         self.timers.set(flight.next_due(), Timer::Attempt(id));
         let Some(request) = self.mark_sent(&flight) else {
             return;
@@ -188,7 +189,7 @@
         }));
     }
 
-    /// Records at the owner that the attempt may be running from now on, and returns the request.
+    /// Records in the owner that the attempt may be running from now on, and returns the request.
     fn mark_sent(&mut self, flight: &Flight) -> Option<Request<C>> {
         match flight.owner {
             Owner::Part(request, _) => {
@@ -228,7 +229,7 @@
             _ => {}
         }
         self.log(None, "withdraw", Some(flight.server), why);
-        self.mark_room(flight.server);
+        self.mark_free_slot(flight.server);
         Some(flight)
     }
 
@@ -263,16 +264,16 @@
         }
     }
 
-    /// Resumes waiters: all of a group whose usable servers changed, and of a group with a freed
-    /// slot until [`MAX_MISSES`] of them find none. Under overload there are many waiters, and
-    /// resuming all after each reply would cost more than the replies.
+    /// Resumes waiters. If a group's usable servers changed, all of its waiters are resumed. If a
+    /// slot became free, they are resumed until [`MAX_MISSES`] of them find no slot: under overload
+    /// there are many waiters, and resuming all after each reply would cost more than the replies.
     pub(super) fn resume_waiters(&mut self, now: Time) {
         self.resume_quarantined(now);
         for group in std::mem::take(&mut self.changed_groups) {
-            self.groups_with_room.remove(&group);
+            self.groups_with_free_slots.remove(&group);
             self.resume_group(group, usize::MAX, now);
         }
-        for group in std::mem::take(&mut self.groups_with_room) {
+        for group in std::mem::take(&mut self.groups_with_free_slots) {
             self.resume_group(group, MAX_MISSES, now);
         }
     }
--- a/crates/decision/src/home/server.rs
+++ b/crates/decision/src/home/server.rs
@@ -18,9 +18,9 @@
 
 impl<C: Content> Home<C> {
     /// Schedules waiters of the server's groups to resume, because it may have a free slot.
-    pub(super) fn mark_room(&mut self, server: BackendServerId) {
+    pub(super) fn mark_free_slot(&mut self, server: BackendServerId) {
         let groups = self.placement.groups(server);
-        self.groups_with_room.extend(groups);
+        self.groups_with_free_slots.extend(groups);
     }
 
     /// Schedules all waiters of the server's groups to resume, because it became usable or
@@ -75,7 +75,7 @@
         usable.peek().is_some() && usable.all(|server| self.lacks_version(*server, version))
     }
 
-    /// Records the time until which a server wants no work.
+    /// Records the end of the back-off that a server asked for.
     pub(super) fn back_off(&mut self, server: BackendServerId, until: Time) {
         self.fleet_wake_stale = true;
         let old = self.back_offs.entry(server).or_default();
@@ -89,7 +89,7 @@
         let change = self.fleet.polled(server, report, now);
         self.apply_status_change(server, change, now);
         self.update_serving(server);
-        self.mark_room(server);
+        self.mark_free_slot(server);
     }
 
     /// Handles a change of a server's status: survived a suspect request, restarted, or leaving.
@@ -208,7 +208,7 @@
         self.outages.remove(&server);
         self.update_serving(server);
         *self.pending_acquires.entry(server).or_default() += 1;
-        self.mark_room(server);
+        self.mark_free_slot(server);
     }
 
     /// Handles a connection that could not be opened or was closed.
@@ -253,7 +253,7 @@
     }
 
     fn connection_lost(&mut self, disconnect: Disconnect, outage: Outage, now: Time) {
-        self.mark_room(disconnect.server);
+        self.mark_free_slot(disconnect.server);
         if !disconnect.became_unreachable {
             *self.pending_acquires.entry(disconnect.server).or_default() += 1;
             return;
--- a/crates/decision/src/home/state.rs
+++ b/crates/decision/src/home/state.rs
@@ -61,14 +61,14 @@
     /// By quarantined fingerprint: parts and requests that wait for their turn.
     pub(super) quarantined: BTreeMap<Fingerprint, WaitList>,
     /// Groups in which a server may have a free slot again.
-    pub(super) groups_with_room: BTreeSet<usize>,
+    pub(super) groups_with_free_slots: BTreeSet<usize>,
     /// Groups in which a server became usable or unusable: all waiters are resumed.
     pub(super) changed_groups: BTreeSet<usize>,
     /// Fingerprints for which an attempt ended.
     pub(super) freed_fingerprints: BTreeSet<Fingerprint>,
     /// Number of connections to acquire, by server.
     pub(super) pending_acquires: BTreeMap<BackendServerId, usize>,
-    /// Time until which a server wants no work.
+    /// End of the back-off that each server asked for.
     pub(super) back_offs: BTreeMap<BackendServerId, Time>,
     /// Why each unreachable server is unreachable.
     pub(super) outages: BTreeMap<BackendServerId, Outage>,
@@ -124,7 +124,7 @@
             flights: flight::Table::default(),
             waiting: BTreeMap::new(),
             quarantined: BTreeMap::new(),
-            groups_with_room: BTreeSet::new(),
+            groups_with_free_slots: BTreeSet::new(),
             changed_groups: BTreeSet::new(),
             freed_fingerprints: BTreeSet::new(),
             pending_acquires: BTreeMap::new(),
@@ -325,19 +325,20 @@
         }
     }
 
-    /// Returns the longest time that a new attempt waits at the servers of a group, by their load
-    /// reports.
+    /// Returns the longest queueing delay over all groups. The delay of a group is that at its
+    /// least loaded server, by the load reports.
     pub fn longest_wait(&self, now: Time) -> Duration {
         let waits = self.fleet.reported_waits(now).into_iter();
         waits.map(|wait| wait.time).max().unwrap_or_default()
     }
 
-    /// Returns how many parts of searches wait here for a free slot at a server.
+    /// Returns how many parts of searches and executions wait in this home for a free slot at a
+    /// server.
     pub fn parts_waiting(&self) -> usize {
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
-    /// Returns the figures behind a refusal for overload, for the log.
+    /// Returns the load that led to a refusal for overload, for the log.
     fn overload_details(&self, request: &Request<C>, now: Time) -> String {
         let in_flight = format!(
             "in_flight={}/{:.0}",
@@ -350,7 +351,7 @@
         }
     }
 
-    /// Returns what admission needs to know of a request that has a rank.
+    /// Returns the input of admission for a request with an urgency, or `None` without one.
     fn ranked_request(&self, request: &Request<C>, now: Time) -> Option<RankedRequest> {
         let params = self.params(request);
         Some(RankedRequest {
@@ -380,8 +381,8 @@
         }
     }
 
-    /// Tells whether a request yields to more urgent ones. Sent attempts can't be overtaken, so the
-    /// parts of a yielding request wait here until a slot is free.
+    /// Returns whether a request yields to more urgent ones. Sent attempts can't be overtaken, so
+    /// the parts of a yielding request wait here until a slot is free.
     pub(super) fn yields(&self, request: &Request<C>, now: Time) -> bool {
         let params = self.params(request);
         let yields = |urgency| self.gate.yields(params.work, urgency, now);
@@ -485,7 +486,7 @@
     }
 
     fn has_work(&self) -> bool {
-        let is_idle = self.groups_with_room.is_empty() && self.changed_groups.is_empty();
+        let is_idle = self.groups_with_free_slots.is_empty() && self.changed_groups.is_empty();
         !(is_idle && self.freed_fingerprints.is_empty() && self.pending_acquires.is_empty())
     }
 
--- a/crates/decision/src/idempotency/ledger.rs
+++ b/crates/decision/src/idempotency/ledger.rs
@@ -1,10 +1,13 @@
-//! The record of the keys that one incarnation ran, and the decision on each send.
+//! Records the idempotency keys that one incarnation of a daemon ran, and decides on each send.
+//!
+//! A key is either issued by a ledger and bound to its [`Fence`], or chosen by a caller ("own
+//! key").
 //!
 //! Invariants:
 //!
 //! - A key gets at most one [`Permit`], and its record exists before the permit does.
 //! - A record is dropped only after its key has expired, and an expired key gets no permit. A valid
-//!   key without a record has therefore never had a permit from this holder.
+//!   key without a record has therefore never had a permit from this ledger.
 //! - Each issued key reserves space for its record, so that every send of it can be recorded.
 //!   Without a record of the refusal, a delayed copy of an earlier send could run after the caller
 //!   received "not run".
@@ -28,8 +31,8 @@
 /// Bounds of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Time from the issue of a key to its expiry; own keys are kept for as long after their first
-    /// send.
+    /// Time from the issue of a key to its expiry; a caller's own key is kept for as long after its
+    /// first send.
     pub lifetime: Duration,
     /// Time for which a record is kept after its key's expiry or the end of its run; longer than
     /// any deadline.
@@ -77,8 +80,10 @@
     pub(super) inherited_from: BTreeSet<Fence>,
     /// Times until which issued keys reserve space for a record, in order.
     pub(super) reservations: VecDeque<Time>,
+    /// Total size of the stored outcomes, in bytes.
     pub(super) bytes: usize,
     next_serial: Serial,
+    /// Latest time that a call has passed.
     latest: Time,
 }
 
@@ -106,14 +111,17 @@
 
     /// Returns the number of keys that are running.
     pub fn running(&self) -> usize {
-        let fenced = self.fences.values().flat_map(|e| e.records.values());
+        let fenced = self
+            .fences
+            .values()
+            .flat_map(|state| state.records.values());
         let all = fenced.chain(self.own.values());
         all.filter(|record| record.is_running()).count()
     }
 
     /// Returns the number of keys that have a record.
     pub fn recorded(&self) -> usize {
-        let fenced = self.fences.values().map(|e| e.records.len());
+        let fenced = self.fences.values().map(|state| state.records.len());
         fenced.sum::<usize>() + self.own.len()
     }
 
@@ -191,12 +199,15 @@
         self.expire_reservations(now);
         let fence = self.fence;
         self.fences
-            .retain(|of, state| *of == fence || state.is_needed(now));
+            .retain(|held, state| *held == fence || state.is_needed(now));
         for state in self.fences.values_mut() {
             state.records.retain(|_, record| record.is_needed(now));
         }
         self.own.retain(|_, record| record.is_needed(now));
-        let fenced = self.fences.values().flat_map(|e| e.records.values());
+        let fenced = self
+            .fences
+            .values()
+            .flat_map(|state| state.records.values());
         self.bytes = fenced.chain(self.own.values()).map(Record::bytes).sum();
     }
 
@@ -212,7 +223,7 @@
         if let Some(record) = state.records.get_mut(&key.serial) {
             return decide_repeat(record, request);
         }
-        let Some(left) = state.time_left(key.expiry, now) else {
+        let Some(remaining) = state.time_left(key.expiry, now) else {
             return Decision::Refuse(Refusal::Expired);
         };
         if let Phase::Closed { to, acknowledged } = self.phase {
@@ -221,7 +232,7 @@
         let (record, decision) = self.phase.decide(
             Slot::fenced(key),
             request,
-            now.saturating_add(left.saturating_add(retention)),
+            now.saturating_add(remaining.saturating_add(retention)),
         );
         state.records.insert(key.serial, record);
         decision
--- a/crates/decision/src/query/search.rs
+++ b/crates/decision/src/query/search.rs
@@ -35,12 +35,14 @@
     /// An attempt failed after it was sent; charged to the retry budget.
     Retry,
     /// An attempt was not sent, or its reply covered only some of the keys; not charged. The number
-    /// of such attempts is bounded, because each server is excluded for the remaining keys.
+    /// of such attempts is bounded, because after each one its server is excluded for the remaining
+    /// keys.
     Remainder,
-    /// An attempt is slower than usual: a second one, charged to the spare hedge budget.
+    /// An attempt is slower than usual: a second one, charged to the hedge budget without its
+    /// reserve.
     Hedge,
     /// An attempt is among the slowest of its group and was not hedged: a second one, charged to
-    /// the whole hedge budget.
+    /// the hedge budget including its reserve.
     LateHedge,
     /// An attempt is far slower than its server ever is and was not hedged: a second one, charged
     /// to the retry budget. A silent server delays many attempts, more than the hedge budget
@@ -133,7 +135,8 @@
     pub(crate) retries: u32,
     /// Failed parts whose retry is deferred until the attempts in progress have ended.
     pub(crate) deferred: BTreeSet<PartId>,
-    /// Whether parts wait until a server has a free slot, as of the last decision.
+    /// Whether the search yields to more urgent ones, as of the last decision; its parts then wait
+    /// until a server has a free slot.
     pub(crate) yields: bool,
     /// Whether the search was restarted at a newer version.
     pub(crate) restarted: bool,
@@ -142,8 +145,10 @@
     /// Keys that another home searches and has not replied to yet.
     delegated: KeySet,
     merge: Merge<C::Value>,
+    /// Version and merged replies before the restart.
     previous: Option<(IndexVersion, Merge<C::Value>)>,
     next_part: PartId,
+    /// Longest retry delay that a refusal gave.
     retry_after: Option<Duration>,
 }
 
@@ -258,11 +263,12 @@
             progress: !new.is_empty(),
             ..Change::default()
         };
-        let is_own = match self.parts.get(&part) {
+        // Parts are disjoint, so keys within this part are in no other one.
+        let is_within_part = match self.parts.get(&part) {
             Some(own) => new.difference(&own.wanted).is_empty(),
             None => false,
         };
-        if is_own {
+        if is_within_part {
             self.remove_merged(part, &new, &mut change);
             return change;
         }
@@ -272,8 +278,8 @@
         change
     }
 
-    /// Returns whether a reply is of the pinned version. The first reply of an unpinned search pins
-    /// its version.
+    /// Returns whether a reply is of the pinned version, and this is at least `minimum`. The first
+    /// such reply of an unpinned search pins its version.
     pub(crate) fn accepts_version(
         &mut self,
         version: Option<IndexVersion>,
@@ -365,13 +371,18 @@
         }
     }
 
-    /// Returns the share of the data that the answer can still reach, without the parts that were
+    /// Returns the share of the data that the answer can still cover, without the parts that were
     /// given up and without `excluding`.
     pub(crate) fn reachable(&self, route: &Route, excluding: Option<PartId>) -> f64 {
-        let lost = |id: &PartId, part: &Part| part.given_up.is_some() || Some(*id) == excluding;
+        let is_unreachable =
+            |id: &PartId, part: &Part| part.given_up.is_some() || Some(*id) == excluding;
         let mut reachable = self.merge.covered().clone();
         reachable.union_with(&self.delegated);
-        for (_, part) in self.parts.iter().filter(|(id, part)| !lost(id, part)) {
+        for (_, part) in self
+            .parts
+            .iter()
+            .filter(|(id, part)| !is_unreachable(id, part))
+        {
             reachable.union_with(&part.wanted);
         }
         self.share(&reachable, route)
