--- a/crates/cli/src/command/mod.rs
+++ b/crates/cli/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one module each.
+//! The subcommands, and what they share.
 
 pub(crate) mod check;
 mod disagreement;
@@ -9,4 +9,4 @@
 mod request;
 mod state;
 pub(crate) mod status;
-pub(crate) mod story;
+pub(crate) mod timeline;
