--- a/crates/decision/src/home/dispatch.rs
+++ b/crates/decision/src/home/dispatch.rs
@@ -124,7 +124,7 @@
 
     fn can_send(&self, id: AttemptId, now: Time) -> bool {
         let flight = self.flights.get(id);
-        flight.is_some_and(|flight| self.suspects.may_send(flight.fingerprint, now))
+        flight.is_some_and(|flight| self.suspects.can_send(flight.fingerprint, now))
     }
 
     /// Withdraws an attempt whose fingerprint was quarantined while the attempt was queued; its
@@ -211,23 +211,23 @@
         let flight = self.flights.remove(id)?;
         self.timers.clear(flight.next_due(), Timer::Attempt(id));
         self.fleet.forget(id, now);
-        let mut why = format!("attempt {id} was not sent");
+        let mut rationale = format!("attempt {id} was not sent");
         match flight.cause {
             Cause::Hedge | Cause::LateHedge => {
                 if let Some(budgets) = self.budgets_of(flight.server) {
                     budgets.give_back_hedge();
                 }
-                why.push_str(", hedge given back");
+                rationale.push_str(", hedge given back");
             }
             Cause::Overdue => {
                 if let Some(budgets) = self.budgets_of(flight.server) {
                     budgets.give_back_retry();
                 }
-                why.push_str(", retry given back");
+                rationale.push_str(", retry given back");
             }
             _ => {}
         }
-        self.log(None, "withdraw", Some(flight.server), why);
+        self.log(None, "withdraw", Some(flight.server), rationale);
         self.mark_room(flight.server);
         Some(flight)
     }
--- a/crates/experiment/examples/demo.rs
+++ b/crates/experiment/examples/demo.rs
@@ -126,7 +126,7 @@
             );
             self.promises.keep(
                 "a search is answered by every daemon, from one snapshot and completely",
-                answer.outcome == Outcome::Complete && verify::is_true(&answer, &data),
+                answer.outcome == Outcome::Complete && verify::is_correct(&answer, &data),
             );
         }
     }
@@ -246,7 +246,7 @@
 
     fn runs(&self, key: &str) -> u64 {
         let servers = self.deployment.fleet.group(&self.tickets.route, 0);
-        let begun = |server: &Server| server.runs().get(key).map_or(0, |runs| runs.begun);
+        let begun = |server: &Server| server.runs().get(key).map_or(0, |runs| runs.started);
         servers.iter().map(begun).sum()
     }
 }
@@ -310,7 +310,7 @@
             answer.items.len()
         ),
         (Outcome::Executed, _) => format!("executed, result {}", answer.value),
-        (outcome, _) => format!("{outcome} ({})", answer.why.trim()),
+        (outcome, _) => format!("{outcome} ({})", answer.reason.trim()),
     }
 }
 
