--- a/crates/experiment/src/capacity/loss.rs
+++ b/crates/experiment/src/capacity/loss.rs
@@ -80,7 +80,7 @@
     Ok(Section {
         title: "Losses",
         prose: "The dead are found by probes; until then queries to a dead home are passed to another \
-            one after its first silence (`daemon::node::hop`). A cut between regions makes two views: \
+            one after its first silence (`daemon::node::forward`). A cut between regions makes two views: \
             each side serves what it reaches and says the coverage.",
         rows,
     })
