--- a/crates/decision/src/backend/pool/server_pool.rs
+++ b/crates/decision/src/backend/pool/server_pool.rs
@@ -27,7 +27,7 @@
     pub(super) max: usize,
     pub(super) spare: usize,
     pub(super) min_idle: usize,
-    /// Time without demand after which the target shrink_at by one connection.
+    /// Time without demand after which the target shrinks by one connection.
     pub(super) idle_time: Duration,
 }
 
@@ -52,7 +52,7 @@
     /// Requests that have found no idle connection since the last one that did.
     misses: usize,
     peak_changed_at: Time,
-    /// Time after which the peak shrink_at.
+    /// Time after which the peak shrinks.
     idle_time: Duration,
     /// Consecutive failed connects.
     failures: u32,
@@ -180,7 +180,7 @@
         self.paused_until = self.paused_until.max(Some(now + LIMIT_PAUSE));
     }
 
-    /// Updates the timers: ends an expired pause and shrink_at the peak.
+    /// Updates the timers: ends an expired pause and shrinks the peak.
     pub(super) fn advance(&mut self, limits: Limits, now: Time) {
         self.paused_until = self.paused_until.filter(|until| now < *until);
         self.peak = self.peak.min(limits.max);
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -136,7 +136,7 @@
     Key::Own("ticket-1".into())
 }
 
-/// Returns the handover of a ledger with an issued key and a caller's own_key key, both in use.
+/// Returns the handover of a ledger with an issued key and a caller's own key, both in use.
 fn handover() -> Handover {
     let mut ledger = Ledger::new(fence(), [9; 32].into(), Limits::default());
     let now = Time::from_secs(1);
