--- a/crates/daemon/src/backend/codec/mod.rs
+++ b/crates/daemon/src/backend/codec/mod.rs
@@ -233,7 +233,7 @@
     }
 }
 
-/// Reads the server's status report from the headers of any response.
+/// Reads the state that a server reports in the headers of any response.
 pub(crate) fn parse_report(headers: &HeaderMap) -> Report {
     Report {
         load: header_text(headers, header::LOAD).and_then(parse_load),
--- a/crates/fakes/src/lag.rs
+++ b/crates/fakes/src/lag.rs
@@ -1,4 +1,4 @@
-//! Status reports that can be stale or wrong.
+//! Reports of health and load that can be stale or wrong.
 //!
 //! A view keeps timestamped values, so that a lagging report returns an old value immediately
 //! rather than the current value late.
